--- a/src/main/java/io/kelphoist/controller/Controller.java
+++ b/src/main/java/io/kelphoist/controller/Controller.java
@@ -63,7 +63,7 @@
 
     /** Whether users and workers should use this controller. */
     boolean isHealthy() {
-        return !cloudGateway.machineTypes().isEmpty() && !elector.isIsolatedFromState();
+        return !cloudGateway.machineTypes().isEmpty() && !elector.isIsolatedFromStateStore();
     }
 
     // ---- ticks ----
@@ -97,7 +97,7 @@
                 .leaseDelegation()
                 .offerToSelf(
                         term.schedulerState(),
-                        replication.cancellations().knownUntilSeconds(),
+                        replication.cancellations().watermarkSeconds(),
                         nowSeconds);
         replication
                 .leaseDelegation()
--- a/src/main/java/io/kelphoist/controller/ControllerFactory.java
+++ b/src/main/java/io/kelphoist/controller/ControllerFactory.java
@@ -117,7 +117,7 @@
                         eventLoop,
                         counters,
                         workerConnections,
-                        terms::respond,
+                        terms::respondToHeartbeat,
                         newFollowerHeartbeatHandler(elector, peerClient, replication));
         return new ControllerComponents(
                 settings,
@@ -217,7 +217,7 @@
                 new CancellationReplication(
                         peerClient.peerNames(),
                         eventLoop,
-                        records::jobsKnownUntilSeconds,
+                        records::jobsCurrentAsOfSeconds,
                         counters,
                         startedAtSeconds));
     }
@@ -249,7 +249,7 @@
                 DelegationTiming.of(
                         settings.workers().cancelSeconds(), settings.workers().leaseSeconds()),
                 eventLoop,
-                replication.cancellations()::knownUntilSeconds,
+                replication.cancellations()::watermarkSeconds,
                 counters);
     }
 
--- a/src/main/java/io/kelphoist/controller/ControllerMetrics.java
+++ b/src/main/java/io/kelphoist/controller/ControllerMetrics.java
@@ -256,7 +256,7 @@
                 "kelphoist.cancellations.known.age.seconds",
                 "Since the moment up to which all cancellations are known, on the leader; NaN"
                         + " elsewhere",
-                c -> c.replication().cancellations().knownAgeSeconds());
+                c -> c.replication().cancellations().watermarkAgeSeconds());
         registerGauge(
                 "kelphoist.cancellations.unacknowledged",
                 "Cancellations confirmed to users that no leader has acknowledged",
--- a/src/main/java/io/kelphoist/leadership/CancellationReplication.java
+++ b/src/main/java/io/kelphoist/leadership/CancellationReplication.java
@@ -24,7 +24,7 @@
  * grant requests and their responses. The rules are in {@link ConfirmedCancellations} and {@link
  * CancellationWatermark}, both of which it owns.
  *
- * <p>Confined to the controller's event loop, except {@link #knownAgeSeconds} and {@link
+ * <p>Confined to the controller's event loop, except {@link #watermarkAgeSeconds} and {@link
  * #unacknowledgedCount}, which the metrics' thread calls.
  */
 public final class CancellationReplication {
@@ -42,7 +42,7 @@
     /** Of the term led here; empty while none is led or its records are not loaded. */
     private Optional<LoadedTerm> term = Optional.empty();
 
-    /** The newest {@link #knownUntilSeconds} of the term led here; NaN while none is. */
+    /** The newest {@link #watermarkSeconds} of the term led here; NaN while none is. */
     private volatile double lastKnownUntilSeconds = Double.NaN;
 
     /**
@@ -131,7 +131,7 @@
      * The moment, on the loop's clock, before which every cancellation that any user was told of is
      * known here and, while this controller leads, applied.
      */
-    public double knownUntilSeconds() {
+    public double watermarkSeconds() {
         if (term.isEmpty()) {
             return recordsReadUntilSeconds.getAsDouble();
         }
@@ -163,8 +163,8 @@
 
     // ---- for the metrics ----
 
-    /** Age of the newest {@link #knownUntilSeconds}; NaN while no term is led here. */
-    public double knownAgeSeconds() {
+    /** Age of the newest {@link #watermarkSeconds}; NaN while no term is led here. */
+    public double watermarkAgeSeconds() {
         return loop.nowSeconds() - lastKnownUntilSeconds;
     }
 
--- a/src/main/java/io/kelphoist/leadership/GrantExchange.java
+++ b/src/main/java/io/kelphoist/leadership/GrantExchange.java
@@ -73,7 +73,7 @@
                         .offerTo(
                                 peer,
                                 schedulerState,
-                                replication.cancellations().knownUntilSeconds())
+                                replication.cancellations().watermarkSeconds())
                 : Optional.empty();
     }
 
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -335,7 +335,7 @@
     }
 
     /** Whether this controller alone seems to have lost the state store. */
-    public boolean isIsolatedFromState() {
+    public boolean isIsolatedFromStateStore() {
         return contacts.isIsolatedFromState();
     }
 }
--- a/src/main/java/io/kelphoist/leadership/LeaderTerm.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTerm.java
@@ -162,7 +162,7 @@
             schedulerState
                     .reconcileJobs(
                             records.replica().unfinishedJobs(),
-                            records.jobsKnownUntilSeconds(),
+                            records.jobsCurrentAsOfSeconds(),
                             nowSeconds)
                     .forEach(store::applyJobRecord);
         }
--- a/src/main/java/io/kelphoist/leadership/LeaderTermLifecycle.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTermLifecycle.java
@@ -87,7 +87,7 @@
      * @return the response; empty if this controller is not the leader, may not know of all
      *     cancellations, or must not accept the heartbeat
      */
-    public Optional<HeartbeatResponse> respond(Heartbeat heartbeat, String relay) {
+    public Optional<HeartbeatResponse> respondToHeartbeat(Heartbeat heartbeat, String relay) {
         if (!election.isLeader(context.nowSeconds()) || !context.renewalGate().isRenewalAllowed()) {
             return Optional.empty();
         }
--- a/src/main/java/io/kelphoist/leadership/RecordReplication.java
+++ b/src/main/java/io/kelphoist/leadership/RecordReplication.java
@@ -55,7 +55,7 @@
     /** Receives job records while this controller leads; empty while it does not. */
     private Optional<TermRecordStore> leaderStore = Optional.empty();
 
-    private double jobsKnownUntilSeconds = Double.NEGATIVE_INFINITY;
+    private double jobsCurrentAsOfSeconds = Double.NEGATIVE_INFINITY;
     private double lastUpdateAtSeconds = Double.NEGATIVE_INFINITY;
 
     /** Creates an empty replica; nothing is read before {@link #start}. */
@@ -115,7 +115,7 @@
         replica.advanceRevision(kind, revision);
         if (kind == RecordKind.JOBS) {
             // A watch that was held during a verification was requested before it.
-            jobsKnownUntilSeconds = Math.max(jobsKnownUntilSeconds, askedAtSeconds);
+            jobsCurrentAsOfSeconds = Math.max(jobsCurrentAsOfSeconds, askedAtSeconds);
             if (leaderStore.isPresent() && hasChanges) {
                 leaderStore.get().notifyChanged();
             }
@@ -212,8 +212,8 @@
     }
 
     /** All changes of jobs stored before this moment, on the event loop's clock, are applied. */
-    public double jobsKnownUntilSeconds() {
-        return jobsKnownUntilSeconds;
+    public double jobsCurrentAsOfSeconds() {
+        return jobsCurrentAsOfSeconds;
     }
 
     /** Seconds since the state store last sent anything of any kind. */
--- a/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
@@ -58,7 +58,7 @@
     private final ControllerCounters counters = new ControllerCounters();
     private final CancellationReplication leader = newReplication(List.of("p", "q"), counters);
     private final RenewalGate gate =
-            new RenewalGate(TIMING, loop, leader::knownUntilSeconds, counters);
+            new RenewalGate(TIMING, loop, leader::watermarkSeconds, counters);
     private final CancellationReplication firstPeer =
             newReplication(List.of("l", "q"), new ControllerCounters());
     private final CancellationReplication secondPeer =
@@ -135,7 +135,7 @@
         leader.onRecordsLoaded(3, appliedCancellations::add);
         exchangeGrant("q", secondPeer, 0.1);
         exchangeGrant("p", firstPeer, 0.1);
-        double known = leader.knownUntilSeconds();
+        double known = leader.watermarkSeconds();
         assertEquals(100, known, 1e-9);
         nowSeconds = known + 19.3;
         exchangeGrant("q", secondPeer, 0);
@@ -163,7 +163,7 @@
         assertEquals(List.of("job-1"), appliedCancellations);
         // Without a term the records alone say what is known.
         nowSeconds = 110;
-        assertEquals(100, leader.knownUntilSeconds());
+        assertEquals(100, leader.watermarkSeconds());
         assertEquals(Optional.empty(), leader.acknowledgementFor("p"));
     }
 
@@ -233,7 +233,7 @@
         leader.onGrantResponse("p", decode("{\"told\":null}"), nowSeconds);
         assertEquals(13, counters.malformedMessages());
         assertEquals(List.of("job-7"), appliedCancellations);
-        assertEquals(100, leader.knownUntilSeconds(), 1e-9);
+        assertEquals(100, leader.watermarkSeconds(), 1e-9);
     }
 
     private static List<String> malformedStatements(String good) {
--- a/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
@@ -59,18 +59,18 @@
         changedAt.forEach(
                 (id, at) ->
                         assertTrue(
-                                at >= replication.jobsKnownUntilSeconds()
+                                at >= replication.jobsCurrentAsOfSeconds()
                                         || known.getOrDefault(id, -1L) >= versions.get(id),
                                 () ->
                                         id
                                                 + " was changed at "
                                                 + at
                                                 + ", changes are known until "
-                                                + replication.jobsKnownUntilSeconds()
+                                                + replication.jobsCurrentAsOfSeconds()
                                                 + ", and its known version is "
                                                 + known.get(id)));
         assertTrue(
-                replication.jobsKnownUntilSeconds() <= store.nowSeconds(),
+                replication.jobsCurrentAsOfSeconds() <= store.nowSeconds(),
                 "nothing is known of the future");
     }
 
@@ -91,7 +91,7 @@
                         replica -> {
                             verifications++;
                             assertTrue(
-                                    replication.jobsKnownUntilSeconds() >= requestedAt,
+                                    replication.jobsCurrentAsOfSeconds() >= requestedAt,
                                     "the verified records are not older than the request");
                             check();
                             replication.startFollowing();
@@ -118,7 +118,7 @@
         replication.startFollowing();
         store.pass(20);
         assertTrue(
-                replication.jobsKnownUntilSeconds() > store.nowSeconds() - 6,
+                replication.jobsCurrentAsOfSeconds() > store.nowSeconds() - 6,
                 "changes are known again after all faults");
         check();
     }
@@ -146,7 +146,7 @@
         assertTrue(replication.replica().isCancelled("job-1"), "job-1 is cancelled");
         assertEquals(1, replication.replica().unfinishedJobCount());
         assertTrue(
-                replication.jobsKnownUntilSeconds() > store.nowSeconds() - 6,
+                replication.jobsCurrentAsOfSeconds() > store.nowSeconds() - 6,
                 "changes are known again");
     }
 }
