--- a/src/main/java/io/kelphoist/leadership/CancellationReplication.java
+++ b/src/main/java/io/kelphoist/leadership/CancellationReplication.java
@@ -20,54 +20,56 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Replicates the cancellations that users were told of from every controller to the leader, with
- * grant requests and their responses. The rules are in {@link ConfirmedCancellations} and {@link
- * CancellationWatermark}, both of which it owns.
+ * Replicates confirmed cancellations, those that were acknowledged to users, from every controller
+ * to the leader. Each controller states them in its responses to grant requests, and the leader
+ * acknowledges them in later requests. The rules are in {@link ConfirmedCancellations} and {@link
+ * CancellationWatermark}, both of which this class owns.
  *
  * <p>Confined to the controller's event loop, except {@link #watermarkAgeSeconds} and {@link
- * #unacknowledgedCount}, which the metrics' thread calls.
+ * #unacknowledgedCount}, which the metrics thread calls.
  */
 public final class CancellationReplication {
     private static final Logger LOG = LoggerFactory.getLogger(CancellationReplication.class);
 
-    /** Incarnations fit into the 53 bits that any JSON reader keeps. */
+    /** Incarnations must fit into the 53 bits that any JSON reader preserves. */
     private static final long INCARNATION_BOUND = 1L << 52;
 
     private final List<String> otherControllers;
     private final EventLoop loop;
-    private final DoubleSupplier recordsReadUntilSeconds;
+    private final DoubleSupplier jobsCurrentAsOfSeconds;
     private final ControllerCounters counters;
     private final ConfirmedCancellations confirmedCancellations;
 
-    /** Of the term led here; empty while none is led or its records are not loaded. */
-    private Optional<LoadedTerm> term = Optional.empty();
+    /** The term led here; empty while no term is led here or its records are not loaded. */
+    private Optional<LoadedTerm> loadedTerm = Optional.empty();
 
-    /** The newest {@link #watermarkSeconds} of the term led here; NaN while none is. */
-    private volatile double lastKnownUntilSeconds = Double.NaN;
+    /** The last {@link #watermarkSeconds} of the term led here; NaN while no term is led here. */
+    private volatile double lastWatermarkSeconds = Double.NaN;
 
     /**
      * A term led here, whose records are loaded.
      *
-     * @param listener receives known cancellations
+     * @param listener receives the id of each cancelled job, perhaps repeatedly
      */
     private record LoadedTerm(CancellationWatermark watermark, Consumer<String> listener) {}
 
     /**
-     * Creates the replication with no cancellation known.
+     * Creates the replication without any cancellation.
      *
      * @param otherControllers names of all other controllers
-     * @param recordsReadUntilSeconds the moment up to which all changes of jobs have been applied
-     *     here, on the loop's clock
+     * @param jobsCurrentAsOfSeconds the moment up to which all stored changes of jobs have been
+     *     applied here, on the loop's clock
+     * @param startedAtSeconds when this process started, on the loop's clock
      */
     public CancellationReplication(
             Collection<String> otherControllers,
             EventLoop loop,
-            DoubleSupplier recordsReadUntilSeconds,
+            DoubleSupplier jobsCurrentAsOfSeconds,
             ControllerCounters counters,
             double startedAtSeconds) {
         this.otherControllers = List.copyOf(otherControllers);
         this.loop = loop;
-        this.recordsReadUntilSeconds = recordsReadUntilSeconds;
+        this.jobsCurrentAsOfSeconds = jobsCurrentAsOfSeconds;
         this.counters = counters;
         confirmedCancellations =
                 new ConfirmedCancellations(
@@ -75,47 +77,59 @@
                         startedAtSeconds);
     }
 
-    /** A user is about to be told the status of a job: a cancellation is noted first. */
+    /**
+     * Called before the status of a job is reported to a user. If the job is cancelled, records the
+     * cancellation as confirmed, and applies it at once if this controller leads.
+     */
     public void beforeStatusReported(JobRecord job) {
         if (job.status() == JobStatus.CANCELLED) {
             confirmedCancellations.add(job.id(), loop.nowSeconds());
-            term.ifPresent(current -> current.listener.accept(job.id()));
+            loadedTerm.ifPresent(current -> current.listener.accept(job.id()));
         }
     }
 
     // ---- as the leader ----
 
     /**
-     * The records of a term led here are loaded. The listener receives at once what this controller
-     * confirmed itself, and from now on every cancellation that becomes known.
+     * Starts the replication for a term led here, whose records are loaded. The listener receives
+     * at once the cancellations that this controller has confirmed itself, and from now on every
+     * cancellation that this controller confirms or another one states.
      */
     void onRecordsLoaded(long termNumber, Consumer<String> listener) {
-        term = Optional.of(new LoadedTerm(new CancellationWatermark(otherControllers), listener));
+        loadedTerm =
+                Optional.of(new LoadedTerm(new CancellationWatermark(otherControllers), listener));
         confirmedCancellations.onTerm(termNumber);
         confirmedCancellations.jobIds().forEach(listener);
     }
 
-    /** The term led here ended. */
+    /** The term led here has ended. */
     void onTermEnded() {
-        term = Optional.empty();
-        lastKnownUntilSeconds = Double.NaN;
+        loadedTerm = Optional.empty();
+        lastWatermarkSeconds = Double.NaN;
     }
 
-    /** Returns, for a grant request, what is known of that controller's confirmations. */
+    /**
+     * Returns, for a grant request to a peer, up to where its confirmed cancellations have been
+     * received; empty while no term with loaded records is led here.
+     */
     Optional<Acknowledged> acknowledgementFor(String peer) {
-        return term.map(
+        return loadedTerm.map(
                 current ->
                         new Acknowledged(
                                 current.watermark.incarnation(peer),
                                 current.watermark.acknowledgedSequenceNumber(peer)));
     }
 
-    /** Applies the cancellations in a controller's response to a grant request. */
+    /**
+     * Applies the cancellations that a peer states in its response to a grant request.
+     *
+     * @param sentAtSeconds when the request was sent
+     */
     void onGrantResponse(String peer, GrantResponse response, double sentAtSeconds) {
-        if (term.isEmpty()) {
+        if (loadedTerm.isEmpty()) {
             return;
         }
-        LoadedTerm current = term.get();
+        LoadedTerm current = loadedTerm.get();
         if (response.cancellations() instanceof CancellationReport.Stated stated) {
             stated.statement().jobIds().forEach(current.listener);
             current.watermark.onStatement(
@@ -128,22 +142,26 @@
     }
 
     /**
-     * The moment, on the loop's clock, before which every cancellation that any user was told of is
-     * known here and, while this controller leads, applied.
+     * The watermark: every cancellation that any controller confirmed to a user before this moment,
+     * on the loop's clock, has been received here. While this controller leads, it has also been
+     * applied to the scheduler.
      */
     public double watermarkSeconds() {
-        if (term.isEmpty()) {
-            return recordsReadUntilSeconds.getAsDouble();
+        if (loadedTerm.isEmpty()) {
+            return jobsCurrentAsOfSeconds.getAsDouble();
         }
-        CancellationWatermark watermark = term.get().watermark;
-        watermark.onJobsRead(recordsReadUntilSeconds.getAsDouble());
-        lastKnownUntilSeconds = watermark.knownUntilSeconds(loop.nowSeconds());
-        return lastKnownUntilSeconds;
+        CancellationWatermark watermark = loadedTerm.get().watermark;
+        watermark.onJobsRead(jobsCurrentAsOfSeconds.getAsDouble());
+        lastWatermarkSeconds = watermark.knownUntilSeconds(loop.nowSeconds());
+        return lastWatermarkSeconds;
     }
 
-    // ---- as another controller ----
+    // ---- as a follower ----
 
-    /** Returns, for the response to a leader's grant request, the statement for that leader. */
+    /**
+     * Returns, for the response to a leader's grant request, the statement of the cancellations
+     * that this controller has confirmed and that leader has not acknowledged.
+     */
     CancellationReport onGrantRequest(GrantRequest request) {
         return request.state()
                 .acknowledgedCancellations()
@@ -163,9 +181,9 @@
 
     // ---- for the metrics ----
 
-    /** Age of the newest {@link #watermarkSeconds}; NaN while no term is led here. */
+    /** Age of the last {@link #watermarkSeconds} in seconds; NaN while no term is led here. */
     public double watermarkAgeSeconds() {
-        return loop.nowSeconds() - lastKnownUntilSeconds;
+        return loop.nowSeconds() - lastWatermarkSeconds;
     }
 
     /** Number of confirmed cancellations that no leader has acknowledged. */
--- a/src/main/java/io/kelphoist/leadership/CloudGateway.java
+++ b/src/main/java/io/kelphoist/leadership/CloudGateway.java
@@ -19,10 +19,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Exchanges requests and responses between the scheduler of the current term and the cloud, and
- * owns the machine types that this controller knows. The leader stores the types at the state store
- * for the other controllers. Responses that arrive after the term of their request are dropped.
- * Runs on the event loop.
+ * Passes requests of the current term's scheduler to the cloud, and the responses back to the
+ * scheduler. Owns this controller's list of machine types, which the leader stores in the state
+ * store for the other controllers. Responses about instances that arrive after the end of the term
+ * that sent the request are discarded. Runs on the event loop.
  */
 public final class CloudGateway {
     private static final Logger LOG = LoggerFactory.getLogger(CloudGateway.class);
@@ -31,8 +31,11 @@
     private static final double STORED_TYPES_RETRY_SECONDS = 0.5;
     private static final double MIN_LIST_INTERVAL_SECONDS = 2.0;
 
-    /** Lists take at most one in so many of the requests that the cloud allows. */
-    private static final double LIST_REQUEST_DIVISOR = 2;
+    /**
+     * The next instance list is requested only after the time in which the cloud allows this many
+     * requests, so that a list of one page takes at most one of them.
+     */
+    private static final double REQUESTS_PER_LIST_INTERVAL = 2;
 
     private final CloudClient cloudClient;
     private final StateStoreClient stateClient;
@@ -40,7 +43,7 @@
     private final double listIntervalSeconds;
     private final Runnable requestTick;
 
-    /** The term that is led here. */
+    /** The term that is led here; empty while none is. */
     private Optional<CurrentTerm> currentTerm = Optional.empty();
 
     private List<MachineType> machineTypes = List.of();
@@ -52,8 +55,8 @@
     private record CurrentTerm(SchedulerState scheduler, TermRecordStore store) {}
 
     /**
-     * @param requestsPerSecond rate that the cloud allows this controller
-     * @param requestTick asks for a tick soon, after a response
+     * @param requestsPerSecond request rate that the cloud allows this controller
+     * @param requestTick schedules a tick soon, after a response to the current term
      */
     public CloudGateway(
             CloudClient cloudClient,
@@ -65,7 +68,7 @@
         this.stateClient = stateClient;
         this.eventLoop = eventLoop;
         this.listIntervalSeconds =
-                Math.max(MIN_LIST_INTERVAL_SECONDS, LIST_REQUEST_DIVISOR / requestsPerSecond);
+                Math.max(MIN_LIST_INTERVAL_SECONDS, REQUESTS_PER_LIST_INTERVAL / requestsPerSecond);
         this.requestTick = requestTick;
     }
 
@@ -81,12 +84,18 @@
 
     // ---- machine types ----
 
-    /** The types that the cloud offers; empty while unknown. */
+    /**
+     * The machine types that the cloud offers; empty until they have been read from the state store
+     * or the cloud.
+     */
     public List<MachineType> machineTypes() {
         return machineTypes;
     }
 
-    /** Reads the types that a leader stored, and retries until types are known. */
+    /**
+     * Reads the machine types that a leader stored, and retries until this controller has machine
+     * types.
+     */
     public void readStoredTypes() {
         if (!machineTypes.isEmpty()) {
             return;
@@ -100,7 +109,10 @@
                 });
     }
 
-    /** Returns false if there were no types to apply. */
+    /**
+     * Applies the stored machine types, unless this controller has machine types already; returns
+     * false if they could not be read.
+     */
     private boolean applyStoredTypes(StateStoreResult<StoredRecord> result) {
         if (result instanceof StateStoreResult.Success<StoredRecord> found) {
             try {
@@ -109,13 +121,13 @@
                 }
                 return true;
             } catch (MalformedMessageException e) {
-                LOG.error("stored machine types are malformed: error={}", e.getMessage());
+                LOG.error("malformed machine types in the state store: error={}", e.getMessage());
             }
         }
         return false;
     }
 
-    /** Requests the types from the cloud, unless such a request is pending. */
+    /** Requests the machine types from the cloud, unless such a request is pending. */
     void fetchMachineTypes() {
         if (typesRequestPending) {
             return;
@@ -164,13 +176,13 @@
 
     private void listInstances() {
         listRequestPending = true;
-        Optional<CurrentTerm> requester = currentTerm;
+        Optional<CurrentTerm> requestingTerm = currentTerm;
         cloudClient.listInstances(
                 instances -> {
                     listRequestPending = false;
                     nextListAtSeconds = eventLoop.nowSeconds() + listIntervalSeconds;
-                    if (instances.isPresent() && isCurrent(requester)) {
-                        requester
+                    if (instances.isPresent() && isCurrent(requestingTerm)) {
+                        requestingTerm
                                 .get()
                                 .scheduler
                                 .onInstanceList(instances.get(), eventLoop.nowSeconds());
@@ -180,18 +192,19 @@
     }
 
     /**
-     * Requests machines.
+     * Requests machines from the cloud. The response goes to the scheduler of the current term.
      *
-     * @param mayAct evaluated when the request is sent, which may be later
+     * @param isStillLeader evaluated when the request is sent, which may be later; if false, the
+     *     request is not sent
      */
-    void scaleOut(ScaleOutRequest request, BooleanSupplier mayAct) {
-        Optional<CurrentTerm> requester = currentTerm;
+    void scaleOut(ScaleOutRequest request, BooleanSupplier isStillLeader) {
+        Optional<CurrentTerm> requestingTerm = currentTerm;
         cloudClient.scaleOut(
                 request,
-                mayAct,
+                isStillLeader,
                 result -> {
-                    if (isCurrent(requester)) {
-                        requester
+                    if (isCurrent(requestingTerm)) {
+                        requestingTerm
                                 .get()
                                 .scheduler
                                 .onScaleOutResponse(request, result, eventLoop.nowSeconds());
@@ -200,30 +213,30 @@
                 });
     }
 
-    /** Returns machines to the cloud. */
+    /** Requests that the cloud terminate machines. The outcome goes to the current scheduler. */
     void scaleIn(List<String> machines) {
-        Optional<CurrentTerm> requester = currentTerm;
+        Optional<CurrentTerm> requestingTerm = currentTerm;
         List<String> machineNames = new ArrayList<>(machines);
         cloudClient.scaleIn(
                 machineNames,
                 succeeded -> {
-                    if (!isCurrent(requester)) {
+                    if (!isCurrent(requestingTerm)) {
                         return;
                     }
                     if (succeeded) {
-                        requester
+                        requestingTerm
                                 .get()
                                 .scheduler
                                 .onScaleInConfirmed(machineNames, eventLoop.nowSeconds());
                     } else {
-                        requester.get().scheduler.onScaleInFailed(eventLoop.nowSeconds());
+                        requestingTerm.get().scheduler.onScaleInFailed(eventLoop.nowSeconds());
                     }
                     requestTick.run();
                 });
     }
 
-    /** Whether the term that sent a request is still led here. */
-    private boolean isCurrent(Optional<CurrentTerm> requester) {
-        return requester.isPresent() && currentTerm.equals(requester);
+    /** Whether the term that sent a request is still the one that is led here. */
+    private boolean isCurrent(Optional<CurrentTerm> requestingTerm) {
+        return requestingTerm.isPresent() && currentTerm.equals(requestingTerm);
     }
 }
--- a/src/main/java/io/kelphoist/leadership/ExternalSystems.java
+++ b/src/main/java/io/kelphoist/leadership/ExternalSystems.java
@@ -4,7 +4,7 @@
 import io.kelphoist.statestore.StateStoreClient;
 import io.kelphoist.worker.WorkerClient;
 
-/** The systems outside the controllers that a leader works with. */
+/** Access to the systems that a leader uses: the state store, the cloud and the workers. */
 public record ExternalSystems(
         StateStoreClient stateClient,
         GroupCommitter committer,
--- a/src/main/java/io/kelphoist/leadership/GrantExchange.java
+++ b/src/main/java/io/kelphoist/leadership/GrantExchange.java
@@ -15,14 +15,14 @@
 import java.util.Optional;
 
 /**
- * Both sides of the messages with which a leader requests grants and hands over: with these
- * messages, which the election needs anyway, the leader replicates its state to its followers. Runs
- * on the event loop.
+ * Builds and processes the contents of the messages with which a leader requests grants and hands
+ * over, on the leader and on the followers. The election sends these messages in any case, so the
+ * leader also uses them to replicate its state to its followers. Runs on the event loop.
  */
 public final class GrantExchange implements LeaderElector.GrantMessages {
     /**
-     * Records whose last update is older are not current. A watch of a follower is held for up to 4
-     * seconds.
+     * A replica of the records whose last update is older is not considered current. The state
+     * store holds a watch request of a follower for up to 4 seconds.
      */
     private static final double MAX_REPLICA_LAG_SECONDS = 5;
 
@@ -32,7 +32,7 @@
     private final StateStoreClient stateClient;
     private final EventLoop eventLoop;
 
-    /** Connects an elector with what is replicated. */
+    /** Connects the elector and the terms of a controller with its replication handlers. */
     public GrantExchange(
             LeaderElector elector,
             LeaderTermLifecycle terms,
@@ -65,8 +65,9 @@
 
     private Optional<DelegationOffer> delegationOfferTo(
             String peer, SchedulerState schedulerState) {
-        // The next leader assumes that delegations of this one were offered before its own term
-        // began, so that none may be offered once this controller may no longer act.
+        // The next leader assumes that every delegation of this term was offered before its own
+        // term began. So none may be offered once neither the leader lease nor the grants are
+        // valid.
         return elector.election().isLeader(eventLoop.nowSeconds())
                 ? replication
                         .leaseDelegation()
@@ -104,7 +105,7 @@
                 && replication.machineStates().isReplicaCurrent();
     }
 
-    /** Responds to a leader's grant request, and takes over the state that it carries. */
+    /** Responds to a leader's grant request, and applies the state that it contains. */
     public GrantResponse onGrantRequest(GrantRequest request) {
         elector.onGrantRequest(request);
         boolean granted =
@@ -127,7 +128,7 @@
                 cancellations);
     }
 
-    /** Another leader hands over: its term is over. */
+    /** Another leader handed over: applies its last state, and reports the end of its term. */
     public void onPeerTermEnded(HandoverMessage handover) {
         replication.machineStates().onPeerTermEnded(handover);
         elector.onPeerTermEnded(handover);
--- a/src/main/java/io/kelphoist/leadership/LeaderContext.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderContext.java
@@ -9,10 +9,11 @@
 import java.util.function.BiConsumer;
 
 /**
- * What every term of a controller shares with the process around it.
+ * Settings and services of the controller process that each of its terms uses.
  *
- * @param renewalGate withholds lease renewals and starts while cancellations may be unknown
- * @param requestTick asks for a tick soon, as there may be something to decide
+ * @param renewalGate withholds lease renewals and task starts while this controller may lack
+ *     cancellations that were confirmed to users
+ * @param requestTick schedules a tick soon, after an event that may allow new decisions
  * @param taskEventListener receives each event of a job's tasks, on the event loop
  */
 public record LeaderContext(
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -16,9 +16,10 @@
 import java.util.Optional;
 
 /**
- * Connects the {@link Election}, which decides, to the state store and the other controllers.
- * {@link LeadershipKeyWatcher} reads the leadership keys, {@link LeadershipAcquisition} writes
- * them, and {@link PeerContacts} knows who was heard when. Runs on the event loop.
+ * Connects the {@link Election}, which makes the decisions, to the state store and the other
+ * controllers. {@link LeadershipKeyWatcher} reads the leadership keys, {@link
+ * LeadershipAcquisition} writes them, and {@link PeerConnectivity} tracks when messages of the
+ * leader and the other controllers arrived. Runs on the event loop.
  */
 public final class LeaderElector implements Election.Actions {
     /**
@@ -26,8 +27,8 @@
      *
      * @param nodeName name of this controller
      * @param peerNames names of all other controllers
-     * @param leaseMillis duration of the leader's lease
-     * @param grantMillis duration of a grant
+     * @param leaseMillis duration of the leader lease
+     * @param grantMillis duration of a grant, a follower's promise not to lead
      * @param startedAtSeconds when this process started, on the event loop's clock
      */
     public record Parameters(
@@ -37,53 +38,75 @@
             long grantMillis,
             double startedAtSeconds) {}
 
-    /** Is told when a term begins and ends here. */
+    /** Is notified of the start and the end of each term that this controller leads. */
     public interface TermListener {
         /**
-         * This controller was elected.
+         * This controller was elected leader.
          *
-         * @param termVersion revision at which the term was stored
+         * @param termVersion version of the term key: the revision at which the term was stored
          */
         void onTermStarted(long term, long termVersion);
 
-        /** The term that was led here is over. */
+        /** The term that this controller led has ended. */
         void onTermEnded();
     }
 
-    /** Contents of the messages with which a leader requests grants and hands over. */
+    /**
+     * Supplies the contents of a leader's grant requests and handover messages, and processes the
+     * responses.
+     */
     public interface GrantMessages {
-        /** Returns what the leader replicates to a peer with a grant request that is sent now. */
+        /** Returns the state that the leader replicates to a peer with a grant request sent now. */
         LeaderState stateFor(String peer);
 
-        /** A peer responded to a grant request of the current term. */
+        /**
+         * A peer responded to a grant request of the current term.
+         *
+         * @param sentAtSeconds when the request was sent
+         */
         void onGrantResponse(String peer, GrantResponse response, double sentAtSeconds);
 
-        /** Returns the last machine states of the ended term, for the handover to a peer. */
+        /**
+         * Returns the last changes of machine state in the ended term, for the handover message to
+         * a peer.
+         */
         Optional<MachineStateUpdate> handoverUpdate(String peer);
 
-        /** The controller that is best prepared to lead next, if any is known. */
+        /**
+         * The controller whose replica of the leader's state is most current, which should lead
+         * next; empty if no other controller has acknowledged any state.
+         */
         Optional<String> preferredSuccessor();
 
-        /** See {@link Election.Actions#isFollowing}. */
+        /**
+         * Whether this controller has current replicas of the leader's state and of the records. If
+         * not, it lets other controllers become candidates first.
+         */
         boolean isReplicaCurrent();
     }
 
     private static final double MILLIS_PER_SECOND = 1000.0;
 
-    /** After so long without the leader the keys are read, as the watch may report late. */
+    /**
+     * After this long without a grant request of the leader the keys are read at an interval,
+     * because the watch may report changes late.
+     */
     private static final double LEADER_SILENCE_SECONDS = 1.0;
 
-    private static final double STATE_PROBE_INTERVAL_SECONDS = 0.8;
+    private static final double STATE_STORE_PROBE_INTERVAL_SECONDS = 0.8;
 
-    /** Two intervals between probes, and some time for the response. */
-    private static final double RECENT_READ_SECONDS = STATE_PROBE_INTERVAL_SECONDS * 2.5;
+    /** Two intervals between probes of the state store, and some time for the response. */
+    private static final double RECENT_READ_SECONDS = STATE_STORE_PROBE_INTERVAL_SECONDS * 2.5;
 
-    /** By then the state store has deleted the key of a released lease. */
+    /**
+     * Delay between the release of a lease and a read of the keys. By then the state store has
+     * deleted the leader key that was attached to the lease.
+     */
     private static final double READ_AFTER_RELEASE_SECONDS = 0.3;
 
     /**
-     * The term key follows the leader key, and is not evaluated once the leader key is found: the
-     * election then gets no last term.
+     * An acquisition that finds the leader key held reports the leader key only, not the term key
+     * that follows it: the election is then given no last term.
      */
     private static final long NO_LAST_TERM = 0;
 
@@ -94,17 +117,17 @@
     private final Election election;
     private final LeadershipKeyWatcher keyWatcher;
     private final LeadershipAcquisition acquisition;
-    private final PeerContacts contacts;
+    private final PeerConnectivity peerConnectivity;
     private TermListener termListener;
     private GrantMessages grantMessages;
 
-    /** Revision at which the last term that began here was stored. */
+    /** Version of the term key in the last term that started here. */
     private long termVersion;
 
-    /** Who should lead after the last term that ended here. */
+    /** The controller that should lead after the last term that ended here. */
     private Optional<String> preferredSuccessor = Optional.empty();
 
-    private double nextStateProbeAtSeconds;
+    private double nextStateStoreProbeAtSeconds;
 
     /** Creates an elector that does nothing before {@link #start}. */
     public LeaderElector(
@@ -132,11 +155,11 @@
                         eventLoop,
                         parameters.leaseMillis,
                         new AcquisitionListener());
-        this.contacts =
-                new PeerContacts(grantClient.peerNames(), this::probe, stateClient, eventLoop);
+        this.peerConnectivity =
+                new PeerConnectivity(grantClient.peerNames(), this::probe, stateClient, eventLoop);
     }
 
-    /** Begins to follow the leadership keys. Called once. */
+    /** Starts following the leadership keys. Called once. */
     public void start(TermListener termListener, GrantMessages grantMessages) {
         this.termListener = termListener;
         this.grantMessages = grantMessages;
@@ -148,41 +171,48 @@
         return election;
     }
 
-    /** The leader that the state store last named; empty if there is none or it is unknown. */
+    /**
+     * The leader that the leader key named when it was last read; empty if the key was absent or
+     * has not been read, or if that leader's term has ended since.
+     */
     public Optional<String> leader() {
         return Optional.ofNullable(election.leader());
     }
 
-    /** Lets the election and the probes do what is due. */
+    /** Runs the steps of the election and the probes that are due. */
     public void tick() {
-        contacts.updateLeader(leader());
+        peerConnectivity.updateLeader(leader());
         election.tick(eventLoop.nowSeconds());
         probeStateStore(eventLoop.nowSeconds());
-        contacts.probeIfDue(eventLoop.nowSeconds());
+        peerConnectivity.probeIfDue(eventLoop.nowSeconds());
     }
 
     // ---- leadership keys ----
 
     /**
-     * While the leader is silent it matters whether the state store can be reached. The watch alone
-     * would report that seconds later.
+     * While the leader is silent, reads the keys at an interval: it then matters whether this
+     * controller can reach the state store, and the watch alone would detect that seconds later.
      */
     private void probeStateStore(double nowSeconds) {
         if (election.state() == Election.State.FOLLOWER
-                && nowSeconds >= nextStateProbeAtSeconds
-                && contacts.isLeaderSilentFor(LEADER_SILENCE_SECONDS, nowSeconds)) {
-            nextStateProbeAtSeconds = nowSeconds + STATE_PROBE_INTERVAL_SECONDS;
+                && nowSeconds >= nextStateStoreProbeAtSeconds
+                && peerConnectivity.isLeaderSilentFor(LEADER_SILENCE_SECONDS, nowSeconds)) {
+            nextStateStoreProbeAtSeconds = nowSeconds + STATE_STORE_PROBE_INTERVAL_SECONDS;
             keyWatcher.read();
         }
     }
 
-    /** Whether the keys were read a moment ago, given that the leader is silent. */
+    /**
+     * Whether the leadership keys were read recently: within two probe intervals and some time for
+     * the response. Meaningful only while the leader is silent, because only then are they read at
+     * that interval.
+     */
     public boolean hasReadKeysRecently(double nowSeconds) {
         return keyWatcher.hasReadWithin(RECENT_READ_SECONDS, nowSeconds);
     }
 
     private void onKeysRead(LeadershipKeys keys) {
-        acquisition.releaseFormerLease(keys, keyWatcher::read);
+        acquisition.revokePreviousLease(keys, keyWatcher::read);
         election.onLeaderKey(
                 keys.leader().map(LeaderRecord::nodeName).orElse(null),
                 keys.leader().map(LeaderRecord::term).orElse(0L),
@@ -281,11 +311,11 @@
 
     private void onGrantResponse(
             String peer, long term, GrantResponse response, double sentAtSeconds) {
-        contacts.onPeerResponse();
+        peerConnectivity.onPeerResponse();
         if (response.granted()) {
             election.onGrantReceived(peer, term, sentAtSeconds);
         }
-        recordStateHealth(response.reachesStateStore());
+        recordStateStoreReachability(response.reachesStateStore());
         if (election.state() == Election.State.LEADER && election.term() == term) {
             grantMessages.onGrantResponse(peer, response, sentAtSeconds);
         }
@@ -303,24 +333,24 @@
     }
 
     private void probe(String peer) {
-        grantClient.probe(peer, contacts::onPeerResponse);
+        grantClient.probe(peer, peerConnectivity::onPeerResponse);
     }
 
     // ---- messages of other controllers ----
 
-    /** Another controller requested a grant as the leader; the election has not answered yet. */
+    /** A leader requested a grant. Called before the election decides whether to give it. */
     void onGrantRequest(GrantRequest request) {
-        recordStateHealth(request.reachesStateStore());
-        contacts.onGrantRequest(request.sender());
+        recordStateStoreReachability(request.reachesStateStore());
+        peerConnectivity.onGrantRequest(request.sender());
     }
 
-    private void recordStateHealth(boolean peerReachesState) {
-        if (peerReachesState) {
-            contacts.onPeerReachesState();
+    private void recordStateStoreReachability(boolean peerReachesStateStore) {
+        if (peerReachesStateStore) {
+            peerConnectivity.onPeerReachesStateStore();
         }
     }
 
-    /** Another leader handed over: its term is over. */
+    /** Another leader handed over: its term has ended. */
     void onPeerTermEnded(HandoverMessage handover) {
         election.onTermEnded(
                 handover.endedTerm(),
@@ -329,13 +359,19 @@
         tick();
     }
 
-    /** See {@link PeerContacts#hasRecentLeaderContact}. */
+    /**
+     * Whether the leader sent a grant request recently or has changed recently; see {@link
+     * PeerConnectivity#hasRecentLeaderContact}.
+     */
     public boolean hasRecentLeaderContact(double nowSeconds) {
-        return contacts.hasRecentLeaderContact(leader(), nowSeconds);
+        return peerConnectivity.hasRecentLeaderContact(leader(), nowSeconds);
     }
 
-    /** Whether this controller alone seems to have lost the state store. */
+    /**
+     * Whether this controller appears to be isolated from the state store while others are not; see
+     * {@link PeerConnectivity#isIsolatedFromStateStore}.
+     */
     public boolean isIsolatedFromStateStore() {
-        return contacts.isIsolatedFromState();
+        return peerConnectivity.isIsolatedFromStateStore();
     }
 }
--- a/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
@@ -14,29 +14,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes the leadership for this controller: creates a lease, and writes both leadership keys by
- * compare-and-swap under it. Also releases the lease of a previous process of this controller. Runs
- * on the event loop.
+ * Acquires the leadership for this controller: creates the leader lease, and writes both leadership
+ * keys by compare-and-swap, with the leader key attached to the lease. Also revokes the leader
+ * lease of a previous process of this controller. Runs on the event loop.
  */
 final class LeadershipAcquisition {
     /** Receives the outcome of each attempt: {@link #onAcquired} or {@link #onFailed}. */
     interface Listener {
         /**
-         * This controller leads.
+         * This controller has acquired the leadership.
          *
-         * @param revision at which the keys were written
-         * @param sentAtSeconds when the lease was requested; its time runs from then on
+         * @param revision revision at which the leadership keys were written
+         * @param sentAtSeconds when the lease was requested, from when on its duration is counted
          */
         void onAcquired(long term, long leaseId, long revision, double sentAtSeconds);
 
         /** Another controller holds the leader key; followed by {@link #onFailed}. */
         void onHeldByOther(LeaderRecord leader);
 
-        /** The attempt has failed, and left nothing behind. */
+        /**
+         * The attempt has failed. If a lease was created, its revocation has been requested,
+         * without waiting for the outcome.
+         */
         void onFailed();
     }
 
-    /** An attempt whose lease exists. */
+    /** An attempt whose lease has been created. */
     private record Attempt(long term, long leaseId, double sentAtSeconds) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipAcquisition.class);
@@ -47,10 +50,13 @@
     private final long leaseMillis;
     private final Listener listener;
 
-    /** Once this process has tried to lead, the leader key may name it rightly. */
-    private boolean hasTried;
+    /**
+     * Whether this process has ever attempted to acquire the leadership. If so, the leader key may
+     * name this controller because of this process and not of a previous one.
+     */
+    private boolean hasAttempted;
 
-    private boolean formerLeaseReleased;
+    private boolean previousLeaseHandled;
 
     LeadershipAcquisition(
             String nodeName,
@@ -65,9 +71,9 @@
         this.listener = listener;
     }
 
-    /** Starts an attempt; there is one at a time. */
+    /** Starts an attempt. The caller must not start another one before this one has ended. */
     void start() {
-        hasTried = true;
+        hasAttempted = true;
         double sentAtSeconds = eventLoop.nowSeconds();
         stateClient.createLease(
                 leaseMillis,
@@ -121,14 +127,14 @@
                 });
     }
 
-    /** Reads the leader key to find out whether the attempt has succeeded. */
+    /** After an unknown outcome, reads the leader key to determine whether it was written. */
     private void confirm(Attempt attempt) {
         stateClient.get(
                 StateStoreKeys.LEADER,
                 result -> {
                     if (result instanceof StateStoreResult.Success<StoredRecord> found
                             && isWrittenBy(attempt, found.value())) {
-                        // One transaction wrote both keys, so that they share its revision.
+                        // One transaction wrote both keys, so its revision is the version of both.
                         onAcquired(attempt, found.value().version());
                     } else {
                         abandon(attempt.leaseId);
@@ -157,34 +163,36 @@
     }
 
     /**
-     * Releases the lease of a previous process of this controller, if the leader key names this
-     * controller and this process has never tried to lead. That process is gone, so that nobody
-     * needs to wait for its lease to expire. Done at most once.
+     * Revokes the leader lease of a previous process of this controller, if the leader key names
+     * this controller and this process has never attempted to acquire the leadership. That process
+     * has ended, so no controller needs to wait for its lease to expire. Done at most once.
      *
-     * @param onReleased runs when the lease has been released
+     * @param onRevocationEnded runs when the request to revoke the lease has ended in any way
      */
-    void releaseFormerLease(LeadershipKeys keys, Runnable onReleased) {
-        boolean isHeldHere =
+    void revokePreviousLease(LeadershipKeys keys, Runnable onRevocationEnded) {
+        boolean isHeldByThisNode =
                 keys.leader().isPresent() && keys.leader().get().nodeName().equals(nodeName);
-        if (hasTried || formerLeaseReleased || !isHeldHere) {
+        if (hasAttempted || previousLeaseHandled || !isHeldByThisNode) {
             return;
         }
-        formerLeaseReleased = true;
+        previousLeaseHandled = true;
         stateClient.get(
                 StateStoreKeys.LEADER,
                 result -> {
-                    if (!hasTried
+                    if (!hasAttempted
                             && result instanceof StateStoreResult.Success<StoredRecord> found) {
-                        revokeFormerLease(found.value(), onReleased);
+                        revokeLeaseOf(found.value(), onRevocationEnded);
                     }
                 });
     }
 
-    private void revokeFormerLease(StoredRecord leaderKey, Runnable onReleased) {
-        LeaderRecord former = RecordCodec.decodeLeader(leaderKey);
-        if (former.nodeName().equals(nodeName) && leaderKey.hasLease()) {
-            LOG.info("releasing the lease of a previous process: term={}", former.term());
-            stateClient.revokeLease(leaderKey.leaseId(), onReleased);
+    private void revokeLeaseOf(StoredRecord leaderKey, Runnable onRevocationEnded) {
+        LeaderRecord previous = RecordCodec.decodeLeader(leaderKey);
+        if (previous.nodeName().equals(nodeName) && leaderKey.hasLease()) {
+            LOG.info(
+                    "revoking the leader lease of a previous process of this controller: term={}",
+                    previous.term());
+            stateClient.revokeLease(leaderKey.leaseId(), onRevocationEnded);
         }
     }
 }
--- a/src/main/java/io/kelphoist/leadership/LeadershipKeyWatcher.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipKeyWatcher.java
@@ -10,21 +10,22 @@
 import java.util.function.Consumer;
 
 /**
- * Follows the leadership keys. A change that the watch reports only causes all keys to be read
- * again, so that the listener always gets both keys as of one revision, and never an older one than
- * before. Owns the revisions seen so far. Runs on the event loop.
+ * Follows the leadership keys. A change reported by the watch only triggers a read of both keys, so
+ * that the listener always receives both as of one revision, and never as of an older revision than
+ * before. Owns the revision of the watch and the newest revision of the keys. Runs on the event
+ * loop.
  */
 final class LeadershipKeyWatcher {
-    private static final int WATCH_MILLIS = 8000;
+    private static final int WATCH_HOLD_MILLIS = 8000;
     private static final double RETRY_SECONDS = 0.25;
-    private static final long NOT_WATCHED = -1;
-    private static final long NOTHING_SEEN = -1;
+    private static final long NO_WATCH_REVISION = -1;
+    private static final long NO_KEYS_REVISION = -1;
 
     private final StateStoreClient stateClient;
     private final EventLoop eventLoop;
     private final Consumer<LeadershipKeys> listener;
-    private long watchedRevision = NOT_WATCHED;
-    private long newestRevision = NOTHING_SEEN;
+    private long watchRevision = NO_WATCH_REVISION;
+    private long newestKeysRevision = NO_KEYS_REVISION;
     private boolean readPending;
     private double lastReadAtSeconds = Double.NEGATIVE_INFINITY;
 
@@ -35,17 +36,23 @@
         this.listener = listener;
     }
 
-    /** Whether the keys were read successfully within a time up to now. */
+    /** Whether the keys were read successfully within the last {@code seconds}. */
     boolean hasReadWithin(double seconds, double nowSeconds) {
         return nowSeconds - lastReadAtSeconds < seconds;
     }
 
-    /** The keys were written here at a revision: the listener gets no older ones any more. */
+    /**
+     * This controller wrote the keys at a revision: from now on the listener receives no keys as of
+     * an older one.
+     */
     void onWritten(long revision) {
-        newestRevision = Math.max(newestRevision, revision);
+        newestKeysRevision = Math.max(newestKeysRevision, revision);
     }
 
-    /** Reads the keys, and retries until that succeeds; the first read starts the watch. */
+    /**
+     * Reads the keys, and retries until that succeeds. A successful read starts the watch if it has
+     * no revision to continue from.
+     */
     void read() {
         if (readPending) {
             return;
@@ -66,13 +73,13 @@
         }
         lastReadAtSeconds = eventLoop.nowSeconds();
         long revision = snapshot.get().revision();
-        boolean isFirstRead = watchedRevision < 0;
-        watchedRevision = Math.max(watchedRevision, revision);
-        if (isFirstRead) {
+        boolean startsWatch = watchRevision < 0;
+        watchRevision = Math.max(watchRevision, revision);
+        if (startsWatch) {
             watch();
         }
-        if (revision >= newestRevision) {
-            newestRevision = revision;
+        if (revision >= newestKeysRevision) {
+            newestKeysRevision = revision;
             listener.accept(LeadershipKeys.of(snapshot.get()));
         }
     }
@@ -80,14 +87,14 @@
     private void watch() {
         stateClient.awaitChanges(
                 StateStoreKeys.LEADERSHIP_PREFIX,
-                watchedRevision,
-                WATCH_MILLIS,
+                watchRevision,
+                WATCH_HOLD_MILLIS,
                 this::onWatchResult);
     }
 
     private void onWatchResult(StateStoreResult<StoredChanges> result) {
         if (result instanceof StateStoreResult.Success<StoredChanges> success) {
-            watchedRevision = Math.max(watchedRevision, success.value().revision());
+            watchRevision = Math.max(watchRevision, success.value().revision());
             if (!success.value().changes().isEmpty()) {
                 read();
             }
@@ -95,14 +102,17 @@
             return;
         }
         if (result.isRejectedFor(StateStoreResult.Reason.COMPACTED)) {
-            watchedRevision = NOT_WATCHED;
+            watchRevision = NO_WATCH_REVISION;
         }
         eventLoop.schedule(RETRY_SECONDS, this::resumeWatch);
     }
 
-    /** Reads what the watch may have missed. Without a revision, that read starts the watch. */
+    /**
+     * Reads the keys, as the watch may have missed changes, and restarts the watch. If the watch
+     * has no revision to continue from, that read starts it instead.
+     */
     private void resumeWatch() {
-        boolean hasRevision = watchedRevision >= 0;
+        boolean hasRevision = watchRevision >= 0;
         read();
         if (hasRevision) {
             watch();
--- a/src/main/java/io/kelphoist/leadership/LeadershipKeys.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipKeys.java
@@ -9,11 +9,13 @@
 import java.util.Optional;
 
 /**
- * The keys below {@link StateStoreKeys#LEADERSHIP_PREFIX} as of one revision.
+ * The leader key and the term key, both below {@link StateStoreKeys#LEADERSHIP_PREFIX}, as of one
+ * revision.
  *
- * @param leader who holds the leader key; empty if the key is absent
- * @param lastTerm the last term that began; 0 if there never was one
- * @param termVersion version of the term key
+ * @param revision revision of the state store at which the keys were read
+ * @param leader the leader that the leader key names; empty if the key is absent
+ * @param lastTerm number of the newest term; 0 if no term is stored
+ * @param termVersion version of the term key; {@link VersionCondition#ABSENT} if it is absent
  */
 record LeadershipKeys(
         long revision, Optional<LeaderRecord> leader, long lastTerm, long termVersion) {
--- a/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
+++ b/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
@@ -19,15 +19,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Connects lease delegation to the messages between controllers: as the leader it offers
- * delegations with grant requests ({@link LeaseDelegations}), otherwise it accepts them and renews
- * leases under them ({@link HeldDelegation}). Owns both. Confined to the controller's event loop.
+ * Connects lease delegation to the messages between controllers. As the leader, this controller
+ * offers delegations with its grant requests ({@link LeaseDelegations}); otherwise it accepts them
+ * and renews worker leases under them ({@link HeldDelegation}). Owns both. Confined to the
+ * controller's event loop.
  */
 public final class LeaseDelegationHandler {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseDelegationHandler.class);
-    private static final double OWN_OFFER_INTERVAL_SECONDS = 0.4;
+    private static final double SELF_OFFER_INTERVAL_SECONDS = 0.4;
 
-    /** Incarnations fit into the 53 bits that any JSON reader keeps. */
+    /** Incarnations must fit into the 53 bits that any JSON reader preserves. */
     private static final long INCARNATION_BOUND = 1L << 52;
 
     private static final double MILLIS_PER_SECOND = 1000;
@@ -39,17 +40,17 @@
     private final double clockErrorMillis;
     private final HeldDelegation heldDelegation;
 
-    /** Of the term led here. */
+    /** The delegations given in the term led here; empty while no term is led here. */
     private Optional<LeaseDelegations> delegations = Optional.empty();
 
-    private double nextOwnOfferAtSeconds;
-    private HeldDelegation.State loggedState = HeldDelegation.State.NONE;
+    private double nextSelfOfferAtSeconds;
+    private HeldDelegation.State lastLoggedState = HeldDelegation.State.NONE;
 
     /**
      * Creates the handler without a delegation.
      *
-     * @param isEnabled whether this controller gives delegations as leader; it accounts for those
-     *     of earlier leaders in any case
+     * @param isEnabled whether this controller gives delegations as leader; delegations of earlier
+     *     leaders are taken into account in any case
      * @param startedAtSeconds when this process started, on the event loop's clock
      */
     public LeaseDelegationHandler(
@@ -74,28 +75,32 @@
 
     // ---- as the leader ----
 
-    /** A term is led here; returns the bound of renewals under delegations for it. */
+    /**
+     * Starts a term that is led here, which ends a held delegation of an earlier term. Returns when
+     * leases may have been renewed under delegations, for the scheduler of the term.
+     */
     DelegatedRenewals onElected(long term, double nowSeconds) {
         heldDelegation.onNewerTerm(term);
-        LeaseDelegations ofTerm =
+        LeaseDelegations termDelegations =
                 new LeaseDelegations(timing, isEnabled, term, members, nowSeconds);
-        delegations = Optional.of(ofTerm);
-        return ofTerm;
+        delegations = Optional.of(termDelegations);
+        return termDelegations;
     }
 
-    /** The term led here ended. */
+    /** The term led here has ended. */
     void onTermEnded() {
         delegations = Optional.empty();
     }
 
     /**
-     * Returns an offer for a grant request, if one may be given.
+     * Returns an offer for a grant request to a peer, if one may be given.
      *
-     * @param schedulerState of the term led here, with its records loaded
-     * @param knownUntilSeconds the moment up to which all cancellations are known
+     * @param schedulerState the scheduler of the term led here, with its records loaded
+     * @param cancellationWatermarkSeconds the moment up to which all confirmed cancellations have
+     *     been received here
      */
     Optional<DelegationOffer> offerTo(
-            String peer, SchedulerState schedulerState, double knownUntilSeconds) {
+            String peer, SchedulerState schedulerState, double cancellationWatermarkSeconds) {
         return delegations
                 .filter(LeaseDelegations::isReady)
                 .flatMap(
@@ -104,10 +109,14 @@
                                         peer,
                                         schedulerState.machinesExcludedFromDelegation(
                                                 ready.zoneOf(peer)),
-                                        knownUntilSeconds));
+                                        cancellationWatermarkSeconds));
     }
 
-    /** A controller responded to a grant request that was sent at {@code sentAtSeconds}. */
+    /**
+     * A peer responded to a grant request of the term led here.
+     *
+     * @param sentAtSeconds when the request was sent
+     */
     void onGrantResponse(
             String peer, GrantResponse response, double sentAtSeconds, double nowSeconds) {
         if (delegations.isEmpty()) {
@@ -122,11 +131,11 @@
     }
 
     /**
-     * A record of an earlier leader was loaded.
+     * A delegation record of an earlier leader was loaded.
      *
      * @param startsAtMillis latest start of the peer's delegation by the wall clock; NaN if the
      *     record is cleared
-     * @param nowMillis the wall clock
+     * @param nowMillis current time of the wall clock
      */
     void onRecordLoaded(String peer, double startsAtMillis, double nowMillis, double nowSeconds) {
         if (delegations.isPresent() && !Double.isNaN(startsAtMillis)) {
@@ -137,48 +146,52 @@
     }
 
     /**
-     * Stores the records that the next leader needs. The outcome of each write goes to the term
-     * that requested it.
+     * Stores the delegation records that the next leader needs and that are due. The outcome of
+     * each write is reported to the delegations of the term that requested it.
      */
     public void storeRecords(TermRecordStore store, double nowMillis, double nowSeconds) {
         if (delegations.isEmpty()) {
             return;
         }
-        LeaseDelegations requester = delegations.get();
-        for (DelegationRecord record : requester.dueRecords(nowSeconds)) {
+        LeaseDelegations requestingDelegations = delegations.get();
+        for (DelegationRecord record : requestingDelegations.dueRecords(nowSeconds)) {
             double ageSeconds = nowSeconds - record.startsAtSeconds();
             store.storeDelegation(
                     record.peerName(),
                     nowMillis - ageSeconds * MILLIS_PER_SECOND,
-                    isStored -> requester.onRecordStored(record, isStored));
+                    isStored -> requestingDelegations.onRecordStored(record, isStored));
         }
     }
 
     /**
-     * Renews the delegation that this leader gives itself, so that it can renew the leases of its
-     * own zone when it can no longer act as leader. Called on every tick while it can.
+     * Renews the delegation that this leader gives itself, so that it can still renew the leases of
+     * its own zone once neither its leader lease nor the grants are valid. Called on every tick
+     * while one of them is.
+     *
+     * @param cancellationWatermarkSeconds the moment up to which all confirmed cancellations have
+     *     been received here
      */
     public void offerToSelf(
-            SchedulerState schedulerState, double knownUntilSeconds, double nowSeconds) {
+            SchedulerState schedulerState, double cancellationWatermarkSeconds, double nowSeconds) {
         if (delegations.isPresent()
-                && nowSeconds >= nextOwnOfferAtSeconds
+                && nowSeconds >= nextSelfOfferAtSeconds
                 && delegations.get().isReady()) {
-            nextOwnOfferAtSeconds = nowSeconds + OWN_OFFER_INTERVAL_SECONDS;
+            nextSelfOfferAtSeconds = nowSeconds + SELF_OFFER_INTERVAL_SECONDS;
             delegations
                     .get()
                     .offerToSelf(
                             schedulerState.machinesExcludedFromDelegation(members.localZone()),
-                            knownUntilSeconds,
+                            cancellationWatermarkSeconds,
                             nowSeconds)
                     .ifPresent(offer -> heldDelegation.onOwnOffer(offer, nowSeconds));
         }
     }
 
-    // ---- as another controller ----
+    // ---- as a follower ----
 
     /**
-     * A leader requests a grant: accepts the offer in the request and returns this controller's
-     * status for the response.
+     * A leader requested a grant: applies the delegation offer in the request, if there is one, and
+     * returns this controller's delegation status for the response.
      */
     PeerStatus onGrantRequest(GrantRequest request, double nowSeconds) {
         heldDelegation.onLeaderHeard(request.term(), nowSeconds);
@@ -188,14 +201,17 @@
         return heldDelegation.statusFor(request.term(), nowSeconds - startedAtSeconds, nowSeconds);
     }
 
-    /** Whether leases may be renewed here, now or as soon as the leader is silent. */
+    /**
+     * Whether this controller holds a delegation that has not expired, under which it may renew
+     * leases now or as soon as the leader is silent.
+     */
     public boolean holdsDelegation(double nowSeconds) {
         HeldDelegation.State state = heldDelegation.state(nowSeconds);
         return state == HeldDelegation.State.HELD || state == HeldDelegation.State.ACTIVE;
     }
 
     /**
-     * Renews a worker's lease under the held delegation.
+     * Renews a worker's lease under the held delegation, if that covers the worker.
      *
      * @return the fencing token to respond with; empty if the lease must not be renewed here
      */
@@ -215,18 +231,18 @@
             delegations.get().onLocalRenewal(nowSeconds);
         }
         long fencingToken = heldDelegation.term();
-        // No leader has term 0, so a worker must not be given it.
+        // No leader has term 0, so it must not be sent to a worker as a fencing token.
         return fencingToken > 0 ? OptionalLong.of(fencingToken) : OptionalLong.empty();
     }
 
     private void logStateChange(HeldDelegation.State state) {
-        if (state != loggedState) {
+        if (state != lastLoggedState) {
             LOG.info(
-                    "lease delegation changed: term={} zone={} state={}",
+                    "lease delegation state changed: term={} zone={} state={}",
                     heldDelegation.term(),
                     members.localZone(),
                     state);
-            loggedState = state;
+            lastLoggedState = state;
         }
     }
 }
--- a/src/main/java/io/kelphoist/leadership/RecordStoringOutput.java
+++ b/src/main/java/io/kelphoist/leadership/RecordStoringOutput.java
@@ -9,13 +9,14 @@
 import java.util.List;
 
 /**
- * The part of a scheduler's output that goes to the records of its term. Subclasses add the workers
- * and the cloud. Runs on the event loop.
+ * The part of a scheduler's output that stores and reads records, by means of the {@link
+ * TermRecordStore} of its term. Subclasses add the output to workers and the cloud. Runs on the
+ * event loop.
  */
 public abstract class RecordStoringOutput implements SchedulerOutput {
     private final TermRecordStore recordStore;
 
-    /** Creates the part that goes to {@code recordStore}. */
+    /** Creates an output that stores and reads records with {@code recordStore}. */
     protected RecordStoringOutput(TermRecordStore recordStore) {
         this.recordStore = recordStore;
     }
--- a/src/main/java/io/kelphoist/leadership/RenewalGate.java
+++ b/src/main/java/io/kelphoist/leadership/RenewalGate.java
@@ -10,12 +10,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one check that every lease renewal and every task start of the leader passes, at the moment
- * when it is sent: all cancellations that users were told of must be known up to a recent moment.
- * After that a user may have been told of a cancellation by another controller, longer ago than the
- * job's tasks may still run.
+ * The single check that every lease renewal and every task start of the leader must pass at the
+ * moment when it is sent: the cancellation watermark, up to which all cancellations that were
+ * confirmed to users have been received here, must be recent. If it is too old, another controller
+ * may have confirmed a cancellation to a user so long ago that the job's tasks must no longer run.
  *
- * <p>Owns whether the gate is blocked, for the log. Confined to the controller's event loop.
+ * <p>Owns whether the gate is blocked, which is used only to log changes. Confined to the
+ * controller's event loop.
  */
 public final class RenewalGate {
     private static final Logger LOG = LoggerFactory.getLogger(RenewalGate.class);
@@ -23,31 +24,31 @@
 
     private final DelegationTiming timing;
     private final EventLoop loop;
-    private final DoubleSupplier knownUntilSeconds;
+    private final DoubleSupplier cancellationWatermarkSeconds;
     private final ControllerCounters counters;
     private boolean isBlocked;
 
     /**
-     * Creates the gate, open until the first check.
+     * Creates the gate, which is not blocked until the first check.
      *
-     * @param knownUntilSeconds the moment up to which all cancellations are known here, on the
-     *     loop's clock
+     * @param cancellationWatermarkSeconds the moment up to which all confirmed cancellations have
+     *     been received here, on the loop's clock
      */
     public RenewalGate(
             DelegationTiming timing,
             EventLoop loop,
-            DoubleSupplier knownUntilSeconds,
+            DoubleSupplier cancellationWatermarkSeconds,
             ControllerCounters counters) {
         this.timing = timing;
         this.loop = loop;
-        this.knownUntilSeconds = knownUntilSeconds;
+        this.cancellationWatermarkSeconds = cancellationWatermarkSeconds;
         this.counters = counters;
     }
 
     /** Whether the leader may renew a lease or start a task at this moment. */
     public boolean isRenewalAllowed() {
         double nowSeconds = loop.nowSeconds();
-        double watermarkSeconds = knownUntilSeconds.getAsDouble();
+        double watermarkSeconds = cancellationWatermarkSeconds.getAsDouble();
         boolean isAllowed = timing.allowsRenewal(watermarkSeconds, nowSeconds);
         if (!isAllowed) {
             counters.onResponseWithheld();
@@ -56,16 +57,16 @@
             isBlocked = !isAllowed;
             LOG.warn(
                     isAllowed
-                            ? "lease renewal resumed: cancellationAgeSeconds={}"
-                            : "lease renewal blocked: cancellationAgeSeconds={}",
+                            ? "lease renewals and task starts resumed: watermarkAgeSeconds={}"
+                            : "lease renewals and task starts blocked: watermarkAgeSeconds={}",
                     Math.round(Math.min(MAX_LOGGED_AGE_SECONDS, nowSeconds - watermarkSeconds)));
         }
         return isAllowed;
     }
 
     /**
-     * Returns those of the commands that may be sent to a worker at this moment: starts only while
-     * {@link #isRenewalAllowed}, all others always.
+     * Returns those of the commands that may be sent to a worker at this moment: task starts only
+     * while {@link #isRenewalAllowed}, all other commands always.
      */
     List<WorkerCommand> permittedCommands(List<WorkerCommand> commands) {
         return isRenewalAllowed()
--- a/src/main/java/io/kelphoist/leadership/ReplicationHandlers.java
+++ b/src/main/java/io/kelphoist/leadership/ReplicationHandlers.java
@@ -1,8 +1,9 @@
 package io.kelphoist.leadership;
 
 /**
- * Whatever controllers replicate among each other or from the state store. Each handler lives as
- * long as its controller, and is told when a term begins and ends here.
+ * Handlers of all data that a controller replicates from the state store or exchanges with other
+ * controllers. Each handler lives as long as its controller process. Those that depend on the role
+ * of the controller are notified when a term starts or ends here.
  */
 public record ReplicationHandlers(
         RecordReplication records,
--- a/src/main/java/io/kelphoist/leadership/StartPages.java
+++ b/src/main/java/io/kelphoist/leadership/StartPages.java
@@ -7,15 +7,14 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** Translates the scheduler's task attempts into pages of recorded starts. */
+/** Encodes the scheduler's task attempts as pages of recorded task starts. */
 public final class StartPages {
     private StartPages() {}
 
     /**
-     * Encodes attempts that may run on machines.
+     * Encodes a page of attempts that may be running on machines.
      *
-     * @param pageNumber the page that the attempts are on
-     * @param zoneName the name of a zone by its index
+     * @param zoneName returns the name of a zone by its index
      */
     public static RecordMutation encode(
             int pageNumber, List<TaskAttempt> attempts, IntFunction<String> zoneName) {
--- a/src/main/java/io/kelphoist/leadership/TaskCountReplication.java
+++ b/src/main/java/io/kelphoist/leadership/TaskCountReplication.java
@@ -10,51 +10,58 @@
 import java.util.Optional;
 
 /**
- * How many tasks of each job are done and running, as shown to users: counted by the leader, and
- * replicated to the other controllers with its grant requests. Owns the counts; runs on the event
- * loop.
+ * Replicates the numbers of done and running tasks of each job, which are shown to users. The
+ * leader counts them and sends them to the other controllers with its grant requests. Owns the
+ * counts; runs on the event loop.
  */
 public final class TaskCountReplication {
-    private static final int MAX_JOBS = 1000;
+    private static final int MAX_COUNTED_JOBS = 1000;
     private static final double PUBLISH_INTERVAL_SECONDS = 1.0;
 
-    /** Requests to all peers are sent within this time, and carry the same counts. */
-    private static final double ROUND_SECONDS = 0.05;
+    /**
+     * A leader sends the grant requests of one round, one to each peer, within this time. All of
+     * them carry the same counts.
+     */
+    private static final double GRANT_ROUND_SECONDS = 0.05;
 
     private double nextPublishAtSeconds;
     private Map<String, TaskCounts> countsByJob = new HashMap<>();
 
-    /** Returns the last known counts of a job; empty if nothing is known of it. */
+    /**
+     * Returns the counts of a job as they were last counted here or received from the leader; empty
+     * if those contain no counts of this job.
+     */
     public Optional<TaskCounts> countsOf(String jobId) {
         return Optional.ofNullable(countsByJob.get(jobId));
     }
 
-    /** Returns the counts for a grant request of the leader, if they are due. */
+    /** Returns the current counts for a grant request of the leader, if they are due. */
     Optional<Map<String, TaskCounts>> dueCounts(
             SchedulerState schedulerState, EventLoop eventLoop) {
         if (eventLoop.nowSeconds() < nextPublishAtSeconds) {
             return Optional.empty();
         }
         eventLoop.schedule(
-                ROUND_SECONDS,
+                GRANT_ROUND_SECONDS,
                 () -> nextPublishAtSeconds = eventLoop.nowSeconds() + PUBLISH_INTERVAL_SECONDS);
         recount(schedulerState);
         return Optional.of(countsByJob);
     }
 
     private void recount(SchedulerState schedulerState) {
-        Map<String, TaskCounts> counted = new HashMap<>();
+        Map<String, TaskCounts> newCounts = new HashMap<>();
         for (Job job : schedulerState.jobs()) {
-            if (job.doneTaskCount() + job.runningTaskCount() > 0 && counted.size() < MAX_JOBS) {
-                counted.put(
+            if (job.doneTaskCount() + job.runningTaskCount() > 0
+                    && newCounts.size() < MAX_COUNTED_JOBS) {
+                newCounts.put(
                         job.spec().id(),
                         new TaskCounts(job.doneTaskCount(), job.runningTaskCount()));
             }
         }
-        countsByJob = counted;
+        countsByJob = newCounts;
     }
 
-    /** Takes over the counts in a leader's grant request, if it carries any. */
+    /** Replaces the counts by those in a leader's grant request, if it contains any. */
     void onGrantRequest(GrantRequest request) {
         request.state().taskCounts().ifPresent(received -> countsByJob = received);
     }
--- a/src/main/java/io/kelphoist/leadership/package-info.java
+++ b/src/main/java/io/kelphoist/leadership/package-info.java
@@ -1,13 +1,14 @@
 /**
- * Leadership: how a controller is elected, what it does with the scheduler while it leads a term,
- * and how controllers replicate what the next leader needs.
+ * Leader election of a controller, the terms that it leads, and the replication of the state that
+ * the next leader needs.
  *
  * <p>{@code LeaderElector} connects the election to the state store and the other controllers.
- * {@code LeaderTermLifecycle} owns the current {@code LeaderTerm}, whose scheduler decides and
- * whose {@code TermOutput} carries the decisions out. The replication handlers live as long as
- * their controller, and take part in the grant messages of {@code GrantExchange}. Rules that need
- * no input or output belong to the packages election, scheduler, failover, replication, delegation
- * and cancellation. This package must not depend on controller or heartbeat. Runs on the event
- * loop.
+ * {@code LeaderTermLifecycle} owns the current {@code LeaderTerm}, whose scheduler makes decisions
+ * and whose {@code TermOutput} sends them to the workers, the state store and the cloud. The
+ * replication handlers live as long as their controller process: {@code RecordReplication} follows
+ * the state store, and the others exchange their data in the grant messages of {@code
+ * GrantExchange}. Logic that performs no I/O belongs to the packages election, scheduler, failover,
+ * replication, delegation and cancellation. This package must not depend on controller or
+ * heartbeat. All classes run on the event loop.
  */
 package io.kelphoist.leadership;
