--- a/src/main/java/io/kelphoist/leadership/CancellationReplication.java
+++ b/src/main/java/io/kelphoist/leadership/CancellationReplication.java
@@ -79,7 +79,7 @@
 
     /**
      * Called before the status of a job is reported to a user. If the job is cancelled, records the
-     * cancellation as confirmed, and applies it at once if this controller leads.
+     * cancellation as confirmed, and applies it at once if a term with loaded records is led here.
      */
     public void beforeStatusReported(JobRecord job) {
         if (job.status() == JobStatus.CANCELLED) {
--- a/src/main/java/io/kelphoist/leadership/LeaderTerm.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTerm.java
@@ -17,21 +17,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One term that this controller leads, from loading the replicated records to handing over. Owns
- * the term's {@link SchedulerState}, {@link Failover}, {@link TermRecordStore} and {@link
- * TermOutput}; {@link LeaderTermFactory} makes them. Runs on the event loop.
+ * One term that this controller leads, from loading the replicated records until its end. Owns the
+ * term's {@link SchedulerState}, {@link Failover}, {@link TermRecordStore} and {@link TermOutput},
+ * which {@link LeaderTermFactory} creates. Runs on the event loop.
  */
 public final class LeaderTerm {
     /**
-     * Which term this is.
+     * Identifies the term.
      *
-     * @param number the fencing token of everything that the term sends
-     * @param version revision at which the term was stored
-     * @param startedAtSeconds on the event loop's clock
+     * @param number number of the term, the fencing token of everything that it sends
+     * @param version version of the term key: the revision at which the term was stored
+     * @param startedAtSeconds when the term started here, on the event loop's clock
      */
     record Identity(long number, long version, double startedAtSeconds) {}
 
-    /** The parts that belong to one term alone. */
+    /** The components that are created for each term. */
     record Parts(
             Failover failover,
             SchedulerState schedulerState,
@@ -41,11 +41,17 @@
     private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
     private static final double RECONCILE_INTERVAL_SECONDS = 10;
 
-    /** Heartbeat intervals without any direct heartbeat after which a leader counts as isolated. */
-    private static final double ISOLATION_INTERVALS = 2.5;
+    /**
+     * A leader that receives no heartbeat directly from any worker for this many heartbeat
+     * intervals is considered isolated from the workers.
+     */
+    private static final double ISOLATION_HEARTBEAT_INTERVALS = 2.5;
 
-    /** With fewer machines their silence says nothing about this controller. */
-    private static final int MIN_MACHINES_FOR_ISOLATION = 3;
+    /**
+     * With fewer machines, missing heartbeats do not indicate that this controller is isolated: the
+     * machines themselves may have failed.
+     */
+    private static final int MIN_REPORTING_MACHINES_FOR_ISOLATION = 3;
 
     private static final double MILLIS_PER_SECOND = 1000;
 
@@ -80,17 +86,20 @@
         this.output = parts.output;
     }
 
-    /** The state of the scheduler, for the whole term. */
+    /** The scheduler of this term. */
     public SchedulerState schedulerState() {
         return schedulerState;
     }
 
-    /** Where the term keeps its records. */
+    /** The store that loads and writes the records of this term. */
     public TermRecordStore store() {
         return store;
     }
 
-    /** Whether the records are loaded: only then does the scheduler know what there is. */
+    /**
+     * Whether the records are loaded. Until then the scheduler lacks jobs, started tasks and
+     * machines.
+     */
     public boolean isLoaded() {
         return recordsLoaded;
     }
@@ -99,7 +108,8 @@
 
     /**
      * Verifies that the replicated records are current, or reads them again, and then loads them
-     * into the scheduler. Called once, when the term begins.
+     * into the scheduler. Called when the term starts, and again if the records that were verified
+     * turn out to be older than the term.
      */
     void start() {
         replication.records().verifyCurrent(this::onRecordsVerified);
@@ -119,7 +129,7 @@
         replication.machineStates().seedScheduler(schedulerState);
         replication.records().startLeading(store);
         recordsLoaded = true;
-        replication.cancellations().onRecordsLoaded(identity.number, this::onJobCancelled);
+        replication.cancellations().onRecordsLoaded(identity.number, this::onCancellationConfirmed);
         store.storeMachineTypes(cloudGateway.machineTypes());
         LOG.info(
                 "records loaded: term={} machines={} jobs={} durationMillis={}",
@@ -141,10 +151,10 @@
     }
 
     /**
-     * A controller has told a user that this job is cancelled: its cancellation is on record, even
-     * if that record cannot be read here at the moment.
+     * Applies a confirmed cancellation: a controller has acknowledged it to a user, so it is
+     * stored, even if its record cannot be read from here at the moment.
      */
-    private void onJobCancelled(String jobId) {
+    private void onCancellationConfirmed(String jobId) {
         JobRecord cancelled = new JobRecord(jobId, null, JobStatus.CANCELLED, 0, Long.MAX_VALUE);
         schedulerState.onJobRecord(cancelled, 0, context.nowSeconds());
         context.requestTick().run();
@@ -152,7 +162,11 @@
 
     // ---- leading ----
 
-    /** Advances the failover and, once it is complete, decides what to schedule. */
+    /**
+     * Advances the failover and runs the scheduler, which decides nothing until the failover is
+     * complete. From then on also reconciles the scheduler's jobs with their records at an
+     * interval.
+     */
     public void decide(double nowSeconds) {
         failover.advance(schedulerState.machines(), nowSeconds);
         schedulerState.tick(nowSeconds);
@@ -169,19 +183,20 @@
     }
 
     /**
-     * Handles a heartbeat.
+     * Responds to a heartbeat.
      *
-     * @param relay address of the controller that relayed it; empty if it came directly
+     * @param relayAddress address of the controller that relayed the heartbeat; empty if it came
+     *     directly from the worker
      * @return the response; empty if the heartbeat must not be accepted
      */
-    Optional<HeartbeatResponse> respond(Heartbeat heartbeat, String relay) {
+    Optional<HeartbeatResponse> respondToHeartbeat(Heartbeat heartbeat, String relayAddress) {
         if (!recordsLoaded) {
             return renewLeaseOnly(heartbeat, identity.number, replication.records().replica());
         }
         double receivedAtSeconds = context.nowSeconds();
         // Null if the scheduler does not accept the heartbeat.
         List<WorkerCommand> commands =
-                schedulerState.onHeartbeat(heartbeat, relay, receivedAtSeconds);
+                schedulerState.onHeartbeat(heartbeat, relayAddress, receivedAtSeconds);
         context.counters().onHeartbeatHandled(context.nowSeconds() - receivedAtSeconds);
         context.requestTick().run();
         return commands == null
@@ -190,10 +205,10 @@
     }
 
     /**
-     * Responds to a heartbeat before the records are loaded: renews the worker's lease and leaves
-     * the rest of the heartbeat to a later one. A worker that runs a job known to be cancelled gets
-     * no renewal, since nothing tells it to stop yet and loading may take longer than a cancelled
-     * task may run.
+     * Responds to a heartbeat before the records are loaded: renews the worker's lease without
+     * applying the heartbeat; a later heartbeat reports the worker's state again. A worker that
+     * runs a task of a job that is cancelled according to the replica gets no renewal, because no
+     * command can stop the task yet, and loading may take longer than a cancelled task may run.
      *
      * @return the response; empty if the lease must not be renewed
      */
@@ -207,21 +222,24 @@
     }
 
     /**
-     * Hands the leadership over if no worker reaches this controller while there are machines whose
-     * workers should.
+     * Hands over the leadership if this controller is isolated from the workers: no heartbeat has
+     * arrived directly from any worker for several intervals, although enough machines are up or
+     * draining. Does nothing shortly after the start of the term, or if there are no other
+     * controllers.
      */
     public void resignIfIsolated(double nowSeconds) {
         PlatformSettings settings = context.settings();
-        double quietSeconds = ISOLATION_INTERVALS * settings.workers().heartbeatIntervalSeconds();
+        double maxSilenceSeconds =
+                ISOLATION_HEARTBEAT_INTERVALS * settings.workers().heartbeatIntervalSeconds();
         double ageSeconds = nowSeconds - identity.startedAtSeconds;
-        if (ageSeconds < quietSeconds + settings.workers().leaseSeconds()
+        if (ageSeconds < maxSilenceSeconds + settings.workers().leaseSeconds()
                 || settings.peers().isEmpty()) {
             return;
         }
         double lastHeartbeatAtSeconds = context.counters().lastDirectHeartbeatAtSeconds();
-        if (reportingMachineCount() >= MIN_MACHINES_FOR_ISOLATION
-                && nowSeconds - lastHeartbeatAtSeconds > quietSeconds) {
-            election.resign("no worker reaches this controller", nowSeconds);
+        if (reportingMachineCount() >= MIN_REPORTING_MACHINES_FOR_ISOLATION
+                && nowSeconds - lastHeartbeatAtSeconds > maxSilenceSeconds) {
+            election.resign("no direct heartbeat from any worker", nowSeconds);
         }
     }
 
@@ -234,7 +252,11 @@
                 .count();
     }
 
-    /** Ends the term: nothing more is sent, stored or reported, and replication resumes. */
+    /**
+     * Ends the term: its scheduler makes no more requests and receives no more outcomes, and the
+     * replication handlers resume the role of a follower. Writes that are queued may still be sent;
+     * they fail once a newer term is stored.
+     */
     void end() {
         ended = true;
         output.close();
--- a/src/main/java/io/kelphoist/leadership/LeaderTermFactory.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTermFactory.java
@@ -7,19 +7,25 @@
 import io.kelphoist.scheduler.SchedulerState;
 import io.kelphoist.sockets.SocketBudget;
 
-/** Builds the parts of a term that begins here, and starts it. */
+/** Creates the components of a term that this controller leads, and starts the term. */
 public final class LeaderTermFactory {
     /**
-     * Part of the connections for commands that status requests of a failover may take; the rest
-     * stays free for commands.
+     * The status requests of a failover may use at most one in this many of the connections for
+     * commands; the others remain available for commands.
      */
-    private static final int REQUEST_CONNECTION_DIVISOR = 2;
+    private static final int STATUS_REQUEST_CONNECTION_DIVISOR = 2;
 
-    /** More status requests at a time are not answered sooner. */
-    private static final int MAX_HEARTBEAT_REQUESTS = 128;
+    /**
+     * Upper bound of the status requests in flight. With more of them the responses do not arrive
+     * sooner.
+     */
+    private static final int MAX_STATUS_REQUESTS = 128;
 
-    /** Without standby no machine is asked: the failover waits for regular heartbeats. */
-    private static final int NO_HEARTBEAT_REQUESTS = 0;
+    /**
+     * If standby is disabled, no status requests are sent, and the failover waits for regular
+     * heartbeats.
+     */
+    private static final int NO_STATUS_REQUESTS = 0;
 
     private static final int BYTES_PER_KILOBYTE = 1024;
 
@@ -36,9 +42,9 @@
     }
 
     /**
-     * Starts a term. The machine types must be known.
+     * Starts a term. The cloud gateway must have the machine types.
      *
-     * @param termVersion revision at which the term was stored
+     * @param termVersion version of the term key: the revision at which the term was stored
      */
     LeaderTerm start(long termNumber, long termVersion, Election election) {
         LeaderTerm.Identity identity =
@@ -82,7 +88,7 @@
                         systems.committer(),
                         context.eventLoop(),
                         identity.version(),
-                        () -> election.resign("the term has moved on", context.nowSeconds()),
+                        () -> election.resign("a newer term is stored", context.nowSeconds()),
                         context.requestTick());
         double maxValueKilobytes = context.settings().stateLimits().maxValueKilobytes();
         return new TermRecordStore(
@@ -100,19 +106,21 @@
                 SchedulingPolicy.MISSED_HEARTBEAT_FACTOR
                         * settings.workers().heartbeatIntervalSeconds(),
                 settings.cloudLimits().listLagSeconds(),
-                maxHeartbeatRequests(),
-                commandSender::requestHeartbeat,
+                maxStatusRequests(),
+                commandSender::requestStatus,
                 identity.startedAtSeconds());
     }
 
-    private int maxHeartbeatRequests() {
+    private int maxStatusRequests() {
         if (!context.operatorSettings().standby()) {
-            return NO_HEARTBEAT_REQUESTS;
+            return NO_STATUS_REQUESTS;
         }
         int commandConnections =
                 new SocketBudget(context.settings().socketLimit()).maxCommandConnections();
         int requests =
-                Math.min(MAX_HEARTBEAT_REQUESTS, commandConnections / REQUEST_CONNECTION_DIVISOR);
+                Math.min(
+                        MAX_STATUS_REQUESTS,
+                        commandConnections / STATUS_REQUEST_CONNECTION_DIVISOR);
         return Math.max(1, requests);
     }
 }
--- a/src/main/java/io/kelphoist/leadership/LeaderTermLifecycle.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTermLifecycle.java
@@ -9,8 +9,8 @@
 
 /**
  * Starts and ends the terms that this controller leads, and owns the current one. A term can start
- * only when the machine types are known: until then this controller is elected, but there is no
- * {@link LeaderTerm}, and workers only get their leases renewed. Runs on the event loop.
+ * only once the machine types have been read: until then this controller is elected but has no
+ * {@link LeaderTerm}, and responds to heartbeats only by renewing leases. Runs on the event loop.
  */
 public final class LeaderTermLifecycle {
     private static final double MACHINE_TYPES_RETRY_SECONDS = 0.2;
@@ -22,7 +22,7 @@
     private final LeaderTermFactory factory;
     private Optional<LeaderTerm> current = Optional.empty();
 
-    /** Creates the lifecycle without a term. */
+    /** Creates the lifecycle without a current term. */
     public LeaderTermLifecycle(
             Election election,
             LeaderContext context,
@@ -36,21 +36,21 @@
         this.factory = factory;
     }
 
-    /** The term that is led here. */
+    /** The term that is led here; empty if none has started. */
     public Optional<LeaderTerm> current() {
         return current;
     }
 
-    /** The term that is led here, if its records are loaded. */
+    /** The term that is led here; empty if none has started or its records are not loaded. */
     public Optional<LeaderTerm> loaded() {
         return current.isPresent() && current.get().isLoaded() ? current : Optional.empty();
     }
 
     /**
-     * Starts a term, at once or when the machine types are known. The first leader ever finds none
-     * stored, and requests them from the cloud.
+     * Starts a term, at once or as soon as the machine types have been read. The first leader of a
+     * deployment finds no types in the state store, and requests them from the cloud.
      *
-     * @param termVersion revision at which the term was stored
+     * @param termVersion version of the term key: the revision at which the term was stored
      */
     public void start(long termNumber, long termVersion) {
         if (election.state() != Election.State.LEADER || election.term() != termNumber) {
@@ -83,16 +83,18 @@
     /**
      * Responds to a heartbeat as the leader.
      *
-     * @param relay address of the controller that relayed the heartbeat; empty if it came directly
-     * @return the response; empty if this controller is not the leader, may not know of all
-     *     cancellations, or must not accept the heartbeat
+     * @param relayAddress address of the controller that relayed the heartbeat; empty if it came
+     *     directly from the worker
+     * @return the response; empty if this controller is not the leader, may lack cancellations that
+     *     were confirmed to users, or must not accept the heartbeat
      */
-    public Optional<HeartbeatResponse> respondToHeartbeat(Heartbeat heartbeat, String relay) {
+    public Optional<HeartbeatResponse> respondToHeartbeat(
+            Heartbeat heartbeat, String relayAddress) {
         if (!election.isLeader(context.nowSeconds()) || !context.renewalGate().isRenewalAllowed()) {
             return Optional.empty();
         }
         return current.isPresent()
-                ? current.get().respond(heartbeat, relay)
+                ? current.get().respondToHeartbeat(heartbeat, relayAddress)
                 : LeaderTerm.renewLeaseOnly(
                         heartbeat, election.term(), replication.records().replica());
     }
--- a/src/main/java/io/kelphoist/leadership/MachineStateReplication.java
+++ b/src/main/java/io/kelphoist/leadership/MachineStateReplication.java
@@ -15,34 +15,39 @@
 import java.util.Optional;
 
 /**
- * Replicates machine state from the leader to its followers, with the grant requests that are sent
- * anyway, and seeds the scheduler of a new term from the replica. Owns the replica of this
- * controller, and the publishers of the current and the last term led here. Runs on the event loop.
+ * Replicates machine state from the leader to its followers, in the grant requests that the
+ * election sends in any case, and seeds the scheduler of a new term from the replica. Owns this
+ * controller's replica and the publishers of the current and of the last term led here. Runs on the
+ * event loop.
  */
 public final class MachineStateReplication {
-    /** Followers get updates with every other grant request. */
+    /** Followers receive an update with every other grant request. */
     private static final double PUBLISH_INTERVAL_SECONDS = 0.7;
 
-    /** Longer than an election takes: an older replica may lack machines. */
+    /**
+     * Maximum age of a replica that is used as complete. It is longer than an election takes; an
+     * older replica may lack machines.
+     */
     private static final double MAX_REPLICA_AGE_SECONDS = 10;
 
     private final boolean enabled;
     private final EventLoop eventLoop;
     private final MachineStateReplica replica = new MachineStateReplica();
 
-    /** Of the term that is led here. */
+    /** The publisher of the term that is led here; empty while none is or if not enabled. */
     private Optional<MachineStatePublisher> publisher = Optional.empty();
 
-    /** Of the last term that ended here. */
+    /** The publisher of the last term that ended here. */
     private Optional<MachineStatePublisher> lastTermPublisher = Optional.empty();
 
-    /** Of the term that is led here. */
+    /** The failover of the term that is led here; empty while none is. */
     private Optional<Failover> failover = Optional.empty();
 
     private double lastPublishedAtSeconds = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param enabled whether this controller publishes as leader, and uses what others published
+     * @param enabled whether this controller publishes its machines as the leader, and applies what
+     *     other leaders published
      */
     public MachineStateReplication(boolean enabled, EventLoop eventLoop) {
         this.enabled = enabled;
@@ -51,8 +56,8 @@
 
     // ---- as the leader ----
 
-    void onTermStarted(Failover termFailover) {
-        failover = Optional.of(termFailover);
+    void onTermStarted(Failover failoverOfTerm) {
+        failover = Optional.of(failoverOfTerm);
         publisher = enabled ? Optional.of(new MachineStatePublisher()) : Optional.empty();
         lastPublishedAtSeconds = Double.NEGATIVE_INFINITY;
     }
@@ -68,6 +73,7 @@
 
     /**
      * Seeds the scheduler of a new term, whose records are loaded, with the replicated machines.
+     * Then clears the replica.
      */
     void seedScheduler(SchedulerState schedulerState) {
         if (!enabled) {
@@ -83,8 +89,8 @@
     }
 
     /**
-     * Returns an update for a grant request to a peer, if one is due and the leader has begun to
-     * decide.
+     * Returns an update for a grant request to a peer, if one is due and the failover of the term
+     * is complete.
      */
     Optional<MachineStateUpdate> dueUpdate(String peer, SchedulerState schedulerState) {
         if (publisher.isEmpty() || failover.get().state() != Failover.State.ACTIVE) {
@@ -95,7 +101,8 @@
             publisher.get().publish(schedulerState.replicatedMachines());
             lastPublishedAtSeconds = nowSeconds;
         }
-        // Requests to the other peers follow at once, those of the next round later than this.
+        // The grant requests to the other peers are sent at the same time as this one, those of the
+        // next round more than half an interval later.
         return nowSeconds < lastPublishedAtSeconds + PUBLISH_INTERVAL_SECONDS / 2
                 ? Optional.of(publisher.get().nextUpdate(peer, nowSeconds))
                 : Optional.empty();
@@ -112,12 +119,15 @@
         }
     }
 
-    /** The follower that has acknowledged most of the leader's state, if any has. */
+    /**
+     * The follower that has acknowledged the newest state of the leader; empty if none has
+     * acknowledged any.
+     */
     Optional<String> mostCurrentFollower() {
         return publisher.flatMap(MachineStatePublisher::mostCurrentFollower);
     }
 
-    /** Returns the last changes of the ended term, for the message that hands it over. */
+    /** Returns the last changes in the ended term, for the handover message to a peer. */
     Optional<MachineStateUpdate> handoverUpdate(String peer) {
         return lastTermPublisher.map(last -> last.nextUpdate(peer, eventLoop.nowSeconds()));
     }
@@ -125,8 +135,8 @@
     // ---- as a follower ----
 
     /**
-     * Whether this controller is as well prepared to lead as any. Where machine state is not
-     * replicated no controller is better prepared than another.
+     * Whether this controller is as well prepared to lead as any other: its replica is complete and
+     * recent, or machine state is not replicated, so that no controller has an advantage.
      */
     boolean isReplicaCurrent() {
         return !enabled || isCompleteAndRecent(eventLoop.nowSeconds());
@@ -149,7 +159,7 @@
                         List.copyOf(replica.drainDivergedShards())));
     }
 
-    /** Another leader handed over: applies its last changes. */
+    /** Another leader handed over: applies the last changes of its term. */
     void onPeerTermEnded(HandoverMessage handover) {
         if (enabled) {
             handover.machineStateUpdate()
@@ -167,12 +177,18 @@
         return replica;
     }
 
-    /** Seconds from the start of the term led here until a check passed; NaN if it has not. */
+    /**
+     * Seconds from the start of the term led here until a check passed; NaN if it has not passed or
+     * no term is led here.
+     */
     public double secondsUntilPassed(PromotionCheck check) {
         return failover.isPresent() ? failover.get().secondsUntilPassed(check) : Double.NaN;
     }
 
-    /** Changes that the follower farthest behind has not acknowledged; 0 on a follower. */
+    /**
+     * Number of changes that the follower with the greatest lag has not acknowledged; 0 while no
+     * term is led here.
+     */
     public long maxFollowerLag() {
         return publisher.isPresent() ? publisher.get().maxLag() : 0;
     }
--- a/src/main/java/io/kelphoist/leadership/RecordReplication.java
+++ b/src/main/java/io/kelphoist/leadership/RecordReplication.java
@@ -21,22 +21,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps this controller's {@link RecordReplica} up to date, at all times and on every controller,
- * so that a new leader need not read all records. A follower's replica lags by a short pause; a new
- * leader first verifies with one request for each kind that the replica is current. A leader
- * follows only the jobs, as it writes the other kinds itself. Owns the replica and the watchers.
- * Runs on the event loop.
+ * Keeps this controller's {@link RecordReplica} of the state store's records up to date. Every
+ * controller does so at all times, so that a new leader need not read all records. A follower's
+ * replica lags by a short pause between requests; a new leader first verifies with one request for
+ * each kind of record that the replica is current. A leader follows only the jobs, because it
+ * writes the other kinds itself. Owns the replica and the watchers. Runs on the event loop.
  */
 public final class RecordReplication {
     private static final Logger LOG = LoggerFactory.getLogger(RecordReplication.class);
 
-    /** Short, as each response also tells a leader up to when all changes of jobs are known. */
-    private static final int JOBS_WATCH_MILLIS = 1000;
+    /**
+     * How long the state store holds a watch request for jobs. Short, because each response also
+     * advances the moment up to which a leader has applied all changes of jobs.
+     */
+    private static final int JOBS_WATCH_HOLD_MILLIS = 1000;
 
-    private static final int OTHER_WATCH_MILLIS = 4000;
+    private static final int OTHER_WATCH_HOLD_MILLIS = 4000;
 
-    /** A follower collects the changes of so long in one response. */
-    private static final double FOLLOWER_PAUSE_SECONDS = 0.5;
+    /**
+     * Pause of a follower between two watch requests; the changes made meanwhile arrive in one
+     * response.
+     */
+    private static final double FOLLOWER_WATCH_PAUSE_SECONDS = 0.5;
 
     private static final double NO_PAUSE_SECONDS = 0;
 
@@ -52,7 +58,7 @@
     private final RecordReplica replica = new RecordReplica();
     private final EnumMap<RecordKind, RecordWatcher> watchers = new EnumMap<>(RecordKind.class);
 
-    /** Receives job records while this controller leads; empty while it does not. */
+    /** Receives job records while this controller leads with verified records; otherwise empty. */
     private Optional<TermRecordStore> leaderStore = Optional.empty();
 
     private double jobsCurrentAsOfSeconds = Double.NEGATIVE_INFINITY;
@@ -63,20 +69,22 @@
         this.eventLoop = eventLoop;
         KEY_PREFIXES.forEach(
                 (kind, prefix) -> {
-                    int watchMillis =
-                            kind == RecordKind.JOBS ? JOBS_WATCH_MILLIS : OTHER_WATCH_MILLIS;
+                    int holdMillis =
+                            kind == RecordKind.JOBS
+                                    ? JOBS_WATCH_HOLD_MILLIS
+                                    : OTHER_WATCH_HOLD_MILLIS;
                     watchers.put(
                             kind,
                             new RecordWatcher(
                                     stateStore,
                                     eventLoop,
                                     prefix,
-                                    watchMillis,
+                                    holdMillis,
                                     new KindListener(kind)));
                 });
     }
 
-    /** Applies the records of one kind. */
+    /** Applies the records of one kind to the replica. */
     private final class KindListener implements RecordWatcher.Listener {
         private final RecordKind kind;
 
@@ -85,39 +93,41 @@
         }
 
         @Override
-        public void onSnapshot(StateSnapshot snapshot, double askedAtSeconds) {
+        public void onSnapshot(StateSnapshot snapshot, double requestedAtSeconds) {
             replica.clear(kind);
             for (StoredRecord record : snapshot.records()) {
                 applyRecord(kind, record);
             }
-            onRevisionKnown(
-                    kind, snapshot.revision(), askedAtSeconds, !snapshot.records().isEmpty());
+            onRevisionApplied(
+                    kind, snapshot.revision(), requestedAtSeconds, !snapshot.records().isEmpty());
         }
 
         @Override
-        public void onChanges(List<RecordChange> changes, long revision, double askedAtSeconds) {
+        public void onChanges(
+                List<RecordChange> changes, long revision, double requestedAtSeconds) {
             for (RecordChange change : changes) {
                 if (!change.deleted()) {
                     applyRecord(kind, change.record());
                 }
             }
-            onRevisionKnown(kind, revision, askedAtSeconds, !changes.isEmpty());
+            onRevisionApplied(kind, revision, requestedAtSeconds, !changes.isEmpty());
         }
     }
 
-    /** Begins to follow all records. Called once. */
+    /** Starts following the records of all kinds. Called once. */
     public void start() {
-        watchers.values().forEach(watcher -> watcher.follow(FOLLOWER_PAUSE_SECONDS));
+        watchers.values().forEach(watcher -> watcher.follow(FOLLOWER_WATCH_PAUSE_SECONDS));
     }
 
-    private void onRevisionKnown(
-            RecordKind kind, long revision, double askedAtSeconds, boolean hasChanges) {
+    private void onRevisionApplied(
+            RecordKind kind, long revision, double requestedAtSeconds, boolean hasChanges) {
         replica.advanceRevision(kind, revision);
         if (kind == RecordKind.JOBS) {
-            // A watch that was held during a verification was requested before it.
-            jobsCurrentAsOfSeconds = Math.max(jobsCurrentAsOfSeconds, askedAtSeconds);
+            // The response to a watch request that was held during a verification may arrive after
+            // it, although it was requested earlier.
+            jobsCurrentAsOfSeconds = Math.max(jobsCurrentAsOfSeconds, requestedAtSeconds);
             if (leaderStore.isPresent() && hasChanges) {
-                leaderStore.get().notifyChanged();
+                leaderStore.get().requestTick();
             }
         }
         lastUpdateAtSeconds = eventLoop.nowSeconds();
@@ -145,7 +155,7 @@
             }
         } catch (MalformedMessageException e) {
             LOG.error("malformed record: key={} error={}", record.key(), e.getMessage());
-            keepVersionOnly(kind, record);
+            applyVersionOnly(kind, record);
         }
     }
 
@@ -156,8 +166,11 @@
         }
     }
 
-    /** Whoever writes a malformed page next must know its version. */
-    private void keepVersionOnly(RecordKind kind, StoredRecord record) {
+    /**
+     * Records the version of a malformed page, as an empty page. The next write of the page needs
+     * that version as its condition.
+     */
+    private void applyVersionOnly(RecordKind kind, StoredRecord record) {
         try {
             if (kind == RecordKind.PROGRESS) {
                 replica.applyProgressPage(pageNumber(kind, record), List.of(), record.version());
@@ -176,7 +189,7 @@
 
     /**
      * Brings the replica up to date, and calls back when it is current as of a moment after this
-     * call. Records are not followed any further until a call that starts that.
+     * call. Stops following the records until {@link #startLeading} or {@link #startFollowing}.
      */
     void verifyCurrent(Consumer<RecordReplica> onVerified) {
         int[] remainingKinds = {watchers.size()};
@@ -190,15 +203,18 @@
         }
     }
 
-    /** This controller leads with a verified replica: job records now go to its store, too. */
+    /**
+     * This controller leads with a verified replica: follows only the jobs from now on, and also
+     * passes their records to the store of the term.
+     */
     void startLeading(TermRecordStore store) {
         leaderStore = Optional.of(store);
         watchers.get(RecordKind.JOBS).follow(NO_PAUSE_SECONDS);
     }
 
     /**
-     * This controller does not lead (any more). Kinds that were not followed meanwhile are read
-     * again.
+     * This controller does not lead, or no longer does: follows the records of all kinds. The kinds
+     * that a leader does not follow are read again.
      */
     void startFollowing() {
         leaderStore = Optional.empty();
@@ -207,21 +223,26 @@
                     if (kind != RecordKind.JOBS) {
                         watcher.reset();
                     }
-                    watcher.follow(FOLLOWER_PAUSE_SECONDS);
+                    watcher.follow(FOLLOWER_WATCH_PAUSE_SECONDS);
                 });
     }
 
-    /** All changes of jobs stored before this moment, on the event loop's clock, are applied. */
+    /**
+     * The moment, on the event loop's clock, before which all stored changes of jobs have been
+     * applied to the replica.
+     */
     public double jobsCurrentAsOfSeconds() {
         return jobsCurrentAsOfSeconds;
     }
 
-    /** Seconds since the state store last sent anything of any kind. */
+    /**
+     * Seconds since the last response of the state store to a read or watch of any kind of record.
+     */
     public double lagSeconds() {
         return eventLoop.nowSeconds() - lastUpdateAtSeconds;
     }
 
-    /** The replica, which changes with every update. */
+    /** The replica itself, not a copy: it changes with every update. */
     public RecordReplica replica() {
         return replica;
     }
--- a/src/main/java/io/kelphoist/leadership/TermOutput.java
+++ b/src/main/java/io/kelphoist/leadership/TermOutput.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * Carries out what the scheduler of one term decides: commands go to workers, records to the state
- * store, scaling requests to the cloud. Runs on the event loop.
+ * Executes the decisions of one term's scheduler: sends commands to workers, records to the state
+ * store and scaling requests to the cloud. Runs on the event loop.
  */
 final class TermOutput extends RecordStoringOutput {
     private final Election election;
@@ -37,13 +37,19 @@
         this.cloudGateway = cloudGateway;
     }
 
-    /** Names the receivers of outcomes; called once, before the scheduler decides anything. */
+    /**
+     * Sets the components that receive outcomes. Called once, before the scheduler makes any
+     * decision.
+     */
     void attach(SchedulerState schedulerState, Failover failover) {
         this.schedulerState = schedulerState;
         commandSender.attach(schedulerState, failover);
     }
 
-    /** The term has ended: nothing more is requested or reported. */
+    /**
+     * The term has ended: no further machines are requested, and no outcomes are reported to the
+     * scheduler.
+     */
     void close() {
         closed = true;
         commandSender.close();
@@ -67,16 +73,16 @@
 
     @Override
     public void scaleOut(ScaleOutRequest request) {
-        cloudGateway.scaleOut(request, () -> !closed && mayAct());
+        cloudGateway.scaleOut(request, () -> !closed && isStillLeader());
     }
 
     @Override
     public void scaleIn(List<String> machineNames) {
-        if (mayAct()) {
+        if (isStillLeader()) {
             cloudGateway.scaleIn(machineNames);
             return;
         }
-        // Another leader may already use the machines, so they are not returned.
+        // Another leader may already use the machines, so they must not be terminated.
         context.eventLoop()
                 .schedule(
                         0,
@@ -87,7 +93,7 @@
                         });
     }
 
-    private boolean mayAct() {
+    private boolean isStillLeader() {
         return election.isLeader(context.nowSeconds());
     }
 }
--- a/src/main/java/io/kelphoist/leadership/TermRecordStore.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordStore.java
@@ -28,17 +28,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The records of one term, between the scheduler and the state store: loads them when the term
- * begins, stores what the scheduler decides, and reports the outcomes. {@link TermRecordWriter}
- * makes the writes. Runs on the event loop; nothing is reported after {@link #close}.
+ * Reads and writes the records of one term for its scheduler: loads them when the term starts,
+ * stores the results of the scheduler's decisions, and reports the outcomes. {@link
+ * TermRecordWriter} executes the writes. Runs on the event loop; nothing is reported to the
+ * scheduler after {@link #close}.
  */
 public final class TermRecordStore {
     private static final Logger LOG = LoggerFactory.getLogger(TermRecordStore.class);
     private static final double READ_RETRY_SECONDS = 0.2;
     private static final double MILLIS_PER_SECOND = 1000.0;
 
-    /** More than the machine types take. */
-    private static final int MACHINE_TYPES_BYTES = 1000;
+    /** Estimated size of the machine types in a transaction; they take less. */
+    private static final int MAX_MACHINE_TYPES_BYTES = 1000;
 
     private final StateStoreReader stateReader;
     private final TermRecordWriter writer;
@@ -46,11 +47,11 @@
     private final LongSupplier wallClockMillis;
     private final int maxValueBytes;
 
-    /** Set when the records are loaded, which is before anything is stored. */
+    /** Set when the records are loaded, before anything is stored. */
     private SchedulerState schedulerState;
 
     /**
-     * @param wallClockMillis the wall clock, which records are stamped with
+     * @param wallClockMillis the wall clock, from which records get their timestamps
      * @param maxValueBytes largest value that the state store accepts
      */
     public TermRecordStore(
@@ -66,7 +67,7 @@
         this.maxValueBytes = maxValueBytes;
     }
 
-    /** The term has ended. */
+    /** The term has ended: nothing more is reported to the scheduler. */
     public void close() {
         writer.close();
     }
@@ -74,16 +75,17 @@
     // ---- loading ----
 
     /**
-     * Loads all records into the scheduler of a new term, and the versions of those that only
-     * leaders write.
+     * Loads all records into the scheduler of a new term, and sets the expected versions of those
+     * that only leaders write.
      *
-     * @param delegationLoaded receives each controller with a record of a delegation, and the wall
-     *     clock in milliseconds at which the delegation starts at the latest
+     * @param onDelegationLoaded receives the name of each controller that has a delegation record,
+     *     and the latest start of its delegation by the wall clock in milliseconds; NaN if the
+     *     record is cleared
      */
     public void loadRecords(
             SchedulerState target,
             RecordReplica replica,
-            ObjDoubleConsumer<String> delegationLoaded) {
+            ObjDoubleConsumer<String> onDelegationLoaded) {
         schedulerState = target;
         replica.allJobs().forEach(this::applyJobRecord);
         replica.progressPages().forEach(this::loadProgressPage);
@@ -91,16 +93,16 @@
         replica.delegations()
                 .forEach(
                         (peer, delegation) -> {
-                            writer.setKnownVersion(
+                            writer.setExpectedVersion(
                                     StateStoreKeys.DELEGATIONS_PREFIX + peer, delegation.version());
-                            delegationLoaded.accept(peer, delegation.value());
+                            onDelegationLoaded.accept(peer, delegation.value());
                         });
         loadImageHints();
         target.onLoaded(eventLoop.nowSeconds());
     }
 
     private void loadProgressPage(int page, RecordReplica.Versioned<List<TaskProgress>> stored) {
-        writer.setKnownVersion(
+        writer.setExpectedVersion(
                 StateStoreKeys.pageKey(StateStoreKeys.PROGRESS_PREFIX, page), stored.version());
         for (TaskProgress progress : stored.value()) {
             schedulerState.onProgressLoaded(page, progress);
@@ -108,14 +110,17 @@
     }
 
     private void loadStartPage(int page, RecordReplica.Versioned<List<RecordedStart>> stored) {
-        writer.setKnownVersion(
+        writer.setExpectedVersion(
                 StateStoreKeys.pageKey(StateStoreKeys.STARTS_PREFIX, page), stored.version());
         for (RecordedStart start : stored.value()) {
             schedulerState.onStartLoaded(page, start, eventLoop.nowSeconds());
         }
     }
 
-    /** Reads which images machines cache. Nothing waits for that: it only improves placement. */
+    /**
+     * Reads which images the machines have cached. The term does not wait for them, because they
+     * only improve placement.
+     */
     private void loadImageHints() {
         stateReader.readAll(
                 StateStoreKeys.IMAGES_PREFIX,
@@ -132,7 +137,7 @@
     }
 
     private void loadImagePage(StoredRecord record) {
-        writer.setKnownVersion(record.key(), record.version());
+        writer.setExpectedVersion(record.key(), record.version());
         try {
             int page = StateStoreKeys.pageNumber(StateStoreKeys.IMAGES_PREFIX, record.key());
             RecordCodec.decodeImages(record)
@@ -142,7 +147,7 @@
         }
     }
 
-    /** A job's record was read, or has changed. */
+    /** Passes a job's record that was read or has changed to the scheduler. */
     public void applyJobRecord(JobRecord record) {
         if (!writer.isClosed()) {
             long ageMillis = wallClockMillis.getAsLong() - record.timestampMillis();
@@ -151,14 +156,14 @@
         }
     }
 
-    /** Records have changed in a way that the scheduler may decide upon. */
-    void notifyChanged() {
+    /** Requests a tick, because changed records may allow new decisions. */
+    void requestTick() {
         if (!writer.isClosed()) {
-            writer.notifyChanged();
+            writer.requestTick();
         }
     }
 
-    /** Reads a job's record, and reports it or that there is none. */
+    /** Reads a job's record, and reports to the scheduler either the record or that none exists. */
     public void readJob(String jobId) {
         stateReader.get(
                 StateStoreKeys.jobKey(jobId),
@@ -168,11 +173,11 @@
                             && result.isAnswered()) {
                         schedulerState.onJobNotFound(jobId, eventLoop.nowSeconds());
                     }
-                    writer.notifyChanged();
+                    writer.requestTick();
                 });
     }
 
-    /** Applies what is stored of a job; false if nothing is. */
+    /** Passes a job's record that was read to the scheduler; returns false if none was found. */
     private boolean applyStoredJob(String jobId, StateStoreResult<StoredRecord> result) {
         if (!(result instanceof StateStoreResult.Success<StoredRecord> found)) {
             return false;
@@ -180,7 +185,7 @@
         try {
             applyJobRecord(RecordCodec.decodeJob(found.value()));
         } catch (MalformedMessageException e) {
-            LOG.error("malformed record of a job: job={} error={}", jobId, e.getMessage());
+            LOG.error("malformed job record: job={} error={}", jobId, e.getMessage());
         }
         return true;
     }
@@ -196,8 +201,8 @@
     }
 
     /**
-     * Stores a page of starts. It is urgent since dozens of tasks wait for it; whoever makes the
-     * pages bounds their share of the write limit.
+     * Stores a page of task starts. The write is urgent because dozens of tasks wait for it. The
+     * scheduler, which creates the pages, bounds their share of the write limit.
      */
     public void storeStarts(int page, List<TaskAttempt> starts) {
         writer.writeLeaderRecord(
@@ -228,8 +233,8 @@
     }
 
     /**
-     * Stores that a job is cancelled, unless its record has changed since. It is urgent since users
-     * wait for it.
+     * Stores that a job is cancelled, unless its record has changed since. The write is urgent
+     * because users wait for it.
      */
     public void storeJobCancelled(JobRecord job) {
         JobRecord cancelledJob =
@@ -255,7 +260,7 @@
                     if (outcome == GroupCommitter.Outcome.STORED) {
                         onJobEndStored(endedJob, revision);
                     } else {
-                        readAfterConflict(endedJob.id());
+                        readAfterFailedWrite(endedJob.id());
                     }
                 });
     }
@@ -271,8 +276,11 @@
         schedulerState.onJobRecord(stored, 0, eventLoop.nowSeconds());
     }
 
-    /** The job may have been cancelled, or its end may be stored already. */
-    private void readAfterConflict(String jobId) {
+    /**
+     * Reads the record of a job whose end was not stored or may not be: the job may have been
+     * cancelled, or its end may be stored already. Also checks whether a newer term is the cause.
+     */
+    private void readAfterFailedWrite(String jobId) {
         stateReader.get(
                 StateStoreKeys.jobKey(jobId),
                 result -> {
@@ -286,20 +294,22 @@
     }
 
     /**
-     * Stores from when a controller's delegation counts. Such records are never deleted but
-     * replaced, so that a write that is applied late finds another version.
+     * Stores the latest start of a controller's delegation. Delegation records are never deleted
+     * but only replaced, so that a write that is applied late finds another version and fails.
      *
-     * @param onStored receives whether the record is stored
+     * @param startsAtMillis latest start by the wall clock; NaN clears the record
+     * @param onOutcome receives true if the record is stored, false if the outcome is unknown or it
+     *     is not stored
      */
-    void storeDelegation(String peer, double startsAtMillis, Consumer<Boolean> onStored) {
+    void storeDelegation(String peer, double startsAtMillis, Consumer<Boolean> onOutcome) {
         writer.writeLeaderRecord(
                 RecordCodec.encodeDelegation(peer, startsAtMillis),
                 GroupCommitter.Urgency.URGENT,
-                outcome -> onStored.accept(outcome == PageWriteOutcome.STORED));
+                outcome -> onOutcome.accept(outcome == PageWriteOutcome.STORED));
     }
 
     /** Stores the machine types for the other controllers. */
     public void storeMachineTypes(List<MachineType> types) {
-        writer.overwrite(RecordCodec.encodeMachineTypes(types), MACHINE_TYPES_BYTES);
+        writer.overwrite(RecordCodec.encodeMachineTypes(types), MAX_MACHINE_TYPES_BYTES);
     }
 }
--- a/src/main/java/io/kelphoist/leadership/TermRecordWriter.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordWriter.java
@@ -15,10 +15,11 @@
 import java.util.function.Consumer;
 
 /**
- * Writes records of one term: every write is conditional on the term. Records that only leaders
- * write are also conditional on their last known version, which this class owns: a transaction may
- * be applied late, and must not replace a newer value. Runs on the event loop; no callback runs
- * after {@link #close}.
+ * Writes records of one term. Every write is conditional on the term key, so that none succeeds
+ * once a newer term is stored. Writes of records that only leaders write are also conditional on
+ * the version that the record had when it was last read or written: a transaction may be applied
+ * late, and must not replace a newer value. Owns these expected versions. Runs on the event loop;
+ * no callback runs after {@link #close}.
  */
 public final class TermRecordWriter {
     private static final double WRITE_TIMEOUT_SECONDS = 20;
@@ -28,29 +29,29 @@
     private final GroupCommitter committer;
     private final EventLoop eventLoop;
     private final VersionCondition termCondition;
-    private final Runnable onDeposed;
-    private final Runnable onChange;
-    private final Map<String, Long> knownVersions = new HashMap<>();
+    private final Runnable onNewerTerm;
+    private final Runnable requestTick;
+    private final Map<String, Long> expectedVersions = new HashMap<>();
     private boolean closed;
 
     /**
-     * @param termVersion version of the term key while the term lasts
-     * @param onDeposed runs when a newer term is found
-     * @param onChange runs after each outcome, as there may be something to decide
+     * @param termVersion version that the term key has until a newer term is stored
+     * @param onNewerTerm runs when the term key turns out to have another version
+     * @param requestTick schedules a tick soon, after an outcome that may allow new decisions
      */
     public TermRecordWriter(
             StateStoreReader stateReader,
             GroupCommitter committer,
             EventLoop eventLoop,
             long termVersion,
-            Runnable onDeposed,
-            Runnable onChange) {
+            Runnable onNewerTerm,
+            Runnable requestTick) {
         this.stateReader = stateReader;
         this.committer = committer;
         this.eventLoop = eventLoop;
         this.termCondition = new VersionCondition(StateStoreKeys.TERM, termVersion);
-        this.onDeposed = onDeposed;
-        this.onChange = onChange;
+        this.onNewerTerm = onNewerTerm;
+        this.requestTick = requestTick;
     }
 
     void close() {
@@ -61,36 +62,37 @@
         return closed;
     }
 
-    /** Something has changed that may be decided upon. */
-    void notifyChanged() {
-        onChange.run();
+    /** Requests a tick, after a change that may allow new decisions. */
+    void requestTick() {
+        requestTick.run();
     }
 
-    /** A record that only leaders write was read. */
-    void setKnownVersion(String key, long version) {
-        knownVersions.put(key, version);
+    /** Sets the version that the next write expects a record to have that only leaders write. */
+    void setExpectedVersion(String key, long version) {
+        expectedVersions.put(key, version);
     }
 
     /**
-     * Writes a record that only leaders write. After an unknown outcome or a conflict the record's
-     * version is read again first, so that the caller may write it again at once.
+     * Writes a record that only leaders write. After an unknown outcome or a conflict, reads the
+     * record's version before it calls the handler, so that the caller may write the record again
+     * at once.
      *
-     * @param urgency urgent if users wait for it
+     * @param urgency urgent if users wait for the outcome
      */
     void writeLeaderRecord(
             RecordMutation mutation,
             GroupCommitter.Urgency urgency,
             Consumer<PageWriteOutcome> handler) {
         String key = mutation.key();
-        long knownVersion = knownVersions.getOrDefault(key, VersionCondition.ABSENT);
+        long expectedVersion = expectedVersions.getOrDefault(key, VersionCondition.ABSENT);
         write(
                 mutation,
-                List.of(new VersionCondition(key, knownVersion), termCondition),
+                List.of(new VersionCondition(key, expectedVersion), termCondition),
                 urgency,
                 (outcome, revision) -> {
                     switch (outcome) {
                         case STORED -> {
-                            knownVersions.put(key, revision);
+                            expectedVersions.put(key, revision);
                             handler.accept(PageWriteOutcome.STORED);
                         }
                         case NOT_EXECUTED -> handler.accept(PageWriteOutcome.UNKNOWN);
@@ -101,7 +103,7 @@
                 });
     }
 
-    /** Writes a record that others may write too, if it still has this version. */
+    /** Writes a record that other controllers may write too, if it still has this version. */
     void writeIfUnchanged(
             RecordMutation mutation,
             long version,
@@ -114,7 +116,7 @@
                 handler);
     }
 
-    /** Writes a record whatever its version; nobody waits for the outcome. */
+    /** Writes a record whatever its version, and does not report the outcome. */
     void overwrite(RecordMutation mutation, int sizeBytes) {
         submit(
                 mutation,
@@ -150,12 +152,15 @@
                         (outcome, revision) -> {
                             if (!closed) {
                                 handler.onOutcome(outcome, revision);
-                                onChange.run();
+                                requestTick.run();
                             }
                         }));
     }
 
-    /** After a conflict, finds out whether the cause was the term and not the record. */
+    /**
+     * Reads the term key after a failed write, to determine whether a newer term is the cause and
+     * not the record.
+     */
     void checkTerm() {
         stateReader.get(
                 StateStoreKeys.TERM,
@@ -163,7 +168,7 @@
                     if (!closed
                             && result instanceof StateStoreResult.Success<StoredRecord> found
                             && found.value().version() != termCondition.version()) {
-                        onDeposed.run();
+                        onNewerTerm.run();
                     }
                 });
     }
@@ -177,16 +182,16 @@
                         return;
                     }
                     if (result instanceof StateStoreResult.Success<StoredRecord> found) {
-                        knownVersions.put(key, found.value().version());
+                        expectedVersions.put(key, found.value().version());
                     } else if (result.isRejectedFor(StateStoreResult.Reason.NOT_FOUND)) {
-                        knownVersions.put(key, VersionCondition.ABSENT);
+                        expectedVersions.put(key, VersionCondition.ABSENT);
                     } else {
                         eventLoop.schedule(
                                 READ_RETRY_SECONDS, () -> refreshVersion(key, onRefreshed));
                         return;
                     }
                     onRefreshed.run();
-                    onChange.run();
+                    requestTick.run();
                 });
     }
 }
--- a/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
+++ b/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
@@ -11,16 +11,19 @@
 import java.util.List;
 
 /**
- * Sends commands and status requests of one term straight to workers, all under the term's fencing
- * token, and returns their outcomes to the scheduler. Outcomes that arrive after the end of the
- * term are dropped. Runs on the event loop.
+ * Sends the commands, status requests and reachability probes of one term directly to workers, all
+ * with the term's fencing token, and reports their outcomes to the scheduler. Outcomes that arrive
+ * after the end of the term are discarded. Runs on the event loop.
  */
 final class WorkerCommandSender {
     private static final List<WorkerCommand> STATUS_REQUEST = List.of();
 
     private static final DeliveryOutcome NOT_ATTEMPTED = DeliveryOutcome.NOT_ATTEMPTED;
 
-    /** Least agent epoch that a message may name; the worker answers with its own. */
+    /**
+     * Smallest agent epoch that a message may contain, sent if the worker's agent epoch is not
+     * recorded here. The worker's response contains its own epoch.
+     */
     private static final long MIN_AGENT_EPOCH = 1;
 
     private final long fencingToken;
@@ -42,22 +45,23 @@
         this.workerClient = workerClient;
     }
 
-    /** Names the receivers of outcomes; called once, before anything is sent. */
+    /** Sets the components that receive outcomes. Called once, before anything is sent. */
     void attach(SchedulerState schedulerState, Failover failover) {
         this.schedulerState = schedulerState;
         this.failover = failover;
     }
 
-    /** The term has ended: outcomes are no longer reported. */
+    /** The term has ended: outcomes are no longer reported to the scheduler. */
     void close() {
         closed = true;
     }
 
     /**
-     * Asks a machine for a heartbeat under the token of this term. From then on the machine refuses
-     * the commands of earlier leaders.
+     * Sends a status request with the fencing token of this term to a machine, which responds with
+     * a heartbeat. Once it has received the token, the machine refuses the commands of earlier
+     * leaders.
      */
-    void requestHeartbeat(Machine machine, long agentEpoch) {
+    void requestStatus(Machine machine, long agentEpoch) {
         context.counters().onHeartbeatRequested();
         send(
                 machine,
@@ -73,7 +77,10 @@
                 });
     }
 
-    /** Checks whether a machine can be reached, as {@link SchedulerState#onProbeOutcome}. */
+    /**
+     * Sends a reachability probe to a machine: a status request whose outcome goes to {@link
+     * SchedulerState#onProbeOutcome}.
+     */
     void probe(Machine machine) {
         if (!election.isLeader(context.nowSeconds())) {
             reportLater(() -> onProbeOutcome(machine.name(), NOT_ATTEMPTED, null));
@@ -88,8 +95,9 @@
     }
 
     /**
-     * Sends commands to a machine. Without the right to act, or while starts are withheld and there
-     * is nothing else, nothing is sent: such commands go with the next heartbeat response.
+     * Sends commands to a machine. Nothing is sent if this controller is not the leader at the
+     * moment, if the machine's address is unknown, or if there are only task starts and these are
+     * withheld. Such commands are sent with the next heartbeat response.
      */
     void sendCommands(Machine machine, long agentEpoch, List<WorkerCommand> commands) {
         List<WorkerCommand> permitted = context.renewalGate().permittedCommands(commands);
@@ -121,7 +129,7 @@
                 callback);
     }
 
-    /** Outcomes are never reported from within the call that caused them. */
+    /** Reports an outcome in a separate event, never from within the call that caused it. */
     private void reportLater(Runnable report) {
         context.eventLoop().schedule(0, report);
     }
--- a/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
@@ -33,7 +33,12 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** A leader's renewal gate and the statements of two peers, with the messages that carry them. */
+/**
+ * Runs a leader with its renewal gate against two peers that confirm cancellations to users; grant
+ * requests and responses are encoded and decoded as on the network. A leader that misses a
+ * confirmed cancellation could renew the leases of the cancelled tasks, or start them, after they
+ * must have stopped.
+ */
 class CancellationReplicationTest {
     private static final DelegationTiming TIMING = DelegationTiming.of(42, 22);
     private static final List<WorkerCommand> COMMANDS =
@@ -42,7 +47,7 @@
                     new WorkerCommand.Stop("job-8", 0, 1, 0));
 
     private double nowSeconds = 100;
-    private double recordsReadAtSeconds = 100;
+    private double jobsCurrentAsOfSeconds = 100;
     private final EventLoop loop =
             new EventLoop() {
                 @Override
@@ -66,12 +71,16 @@
     private final List<String> appliedCancellations = new ArrayList<>();
 
     private CancellationReplication newReplication(
-            List<String> others, ControllerCounters itsCounters) {
+            List<String> otherControllers, ControllerCounters replicationCounters) {
         return new CancellationReplication(
-                others, loop, () -> recordsReadAtSeconds, itsCounters, nowSeconds - 50);
+                otherControllers,
+                loop,
+                () -> jobsCurrentAsOfSeconds,
+                replicationCounters,
+                nowSeconds - 50);
     }
 
-    /** Requests a grant of a peer and passes its response to the leader after the round trip. */
+    /** Requests a grant from a peer, and passes its response to the leader after the round trip. */
     private void exchangeGrant(String name, CancellationReplication peer, double roundTripSeconds) {
         ObjectNode request = request(3, leader.acknowledgementFor(name));
         double sentAtSeconds = nowSeconds;
@@ -102,11 +111,11 @@
     }
 
     /**
-     * The records can't be read for far longer than a cancellation may take: confirmed
-     * cancellations come with the peers' statements, each job once.
+     * The leader cannot read the records for much longer than a cancellation may take. It still
+     * applies each confirmed cancellation once, from the peers' statements, and may renew leases.
      */
     @Test
-    void statementsReplaceMissingRecords() {
+    void statementsReplaceUnreadableRecords() {
         leader.onRecordsLoaded(3, appliedCancellations::add);
         for (int i = 0; i < 200; i++) {
             if (i == 40) {
@@ -119,7 +128,7 @@
             exchangeGrant("p", firstPeer, 0.1);
             exchangeGrant("q", secondPeer, 0.2);
             nowSeconds += 0.1;
-            assertTrue(gate.isRenewalAllowed(), "leases are renewed");
+            assertTrue(gate.isRenewalAllowed(), "renewals must be allowed with current statements");
         }
         assertEquals(List.of("job-4", "job-1", "job-2"), appliedCancellations);
         assertEquals(0, firstPeer.unacknowledgedCount());
@@ -127,31 +136,32 @@
     }
 
     /**
-     * A silent peer may confirm any cancellation: beyond the bound no start is permitted, and stops
-     * still are.
+     * A peer that does not respond may have confirmed cancellations. Once the watermark is older
+     * than the renewal window, no lease is renewed and no task is started, but stop commands are
+     * still permitted.
      */
     @Test
-    void nothingStartsBeyondTheWatermarkBound() {
+    void noTaskStartsAfterTheRenewalWindow() {
         leader.onRecordsLoaded(3, appliedCancellations::add);
         exchangeGrant("q", secondPeer, 0.1);
         exchangeGrant("p", firstPeer, 0.1);
-        double known = leader.watermarkSeconds();
-        assertEquals(100, known, 1e-9);
-        nowSeconds = known + 19.3;
+        double initialWatermarkSeconds = leader.watermarkSeconds();
+        assertEquals(100, initialWatermarkSeconds, 1e-9);
+        nowSeconds = initialWatermarkSeconds + 19.3;
         exchangeGrant("q", secondPeer, 0);
-        assertTrue(gate.isRenewalAllowed(), "leases are renewed");
-        nowSeconds = known + 19.5;
+        assertTrue(gate.isRenewalAllowed(), "renewals must be allowed within the window");
+        nowSeconds = initialWatermarkSeconds + 19.5;
         exchangeGrant("q", secondPeer, 0);
-        assertFalse(gate.isRenewalAllowed(), "leases are not renewed");
+        assertFalse(gate.isRenewalAllowed(), "renewals must be blocked after the window");
         assertEquals(List.of(COMMANDS.get(1)), gate.permittedCommands(COMMANDS));
-        assertTrue(counters.withheldResponses() > 0, "withheld responses are counted");
-        recordsReadAtSeconds = nowSeconds - 1;
-        assertTrue(gate.isRenewalAllowed(), "leases are renewed");
+        assertTrue(counters.withheldResponses() > 0, "withheld responses must be counted");
+        jobsCurrentAsOfSeconds = nowSeconds - 1;
+        assertTrue(gate.isRenewalAllowed(), "renewals must be allowed after the records are read");
     }
 
     /**
-     * What this controller confirmed before its term, but after the records were read, is applied
-     * when the term begins.
+     * A cancellation that this controller confirmed before its term, but after the records were
+     * read, is not in these records. It is applied when the term starts.
      */
     @Test
     void cancellationsConfirmedBeforeTheTermAreApplied() {
@@ -161,25 +171,25 @@
         leader.onTermEnded();
         leader.beforeStatusReported(job("job-2", JobStatus.CANCELLED));
         assertEquals(List.of("job-1"), appliedCancellations);
-        // Without a term the records alone say what is known.
+        // Without a term the watermark is the moment as of which the job records are current.
         nowSeconds = 110;
         assertEquals(100, leader.watermarkSeconds());
         assertEquals(Optional.empty(), leader.acknowledgementFor("p"));
     }
 
     /**
-     * A leader of a version that does not request statements gets none, and neither does one of an
-     * older term than the newest seen.
+     * A response contains no statement if the leader's version does not request one, or if the
+     * leader's term is older than the newest term from which a request has arrived.
      */
     @Test
-    void noStatementWithoutRequestOrForAnOlderTerm() {
+    void noStatementWithoutRequestOrForOlderTerm() {
         firstPeer.beforeStatusReported(job("job-1", JobStatus.CANCELLED));
         assertFalse(response(firstPeer, request(3, Optional.empty())).has("told"));
-        Optional<CancellationCodec.Acknowledged> nothing =
+        Optional<CancellationCodec.Acknowledged> noneAcknowledged =
                 Optional.of(new CancellationCodec.Acknowledged(0, 0));
-        ObjectNode response = response(firstPeer, request(3, nothing));
+        ObjectNode response = response(firstPeer, request(3, noneAcknowledged));
         assertEquals("job-1", response.path("told").path("jobs").path(0).asText());
-        assertFalse(response(firstPeer, request(2, nothing)).has("told"));
+        assertFalse(response(firstPeer, request(2, noneAcknowledged)).has("told"));
     }
 
     private static Heartbeat heartbeat(long token, String... jobs) {
@@ -199,11 +209,12 @@
     }
 
     /**
-     * Until the records of a new term are applied no command stops a task: leases of tasks that are
-     * known to be cancelled are not renewed.
+     * Until the records of a new term are loaded, no command can stop a task. So the lease of a
+     * worker is not renewed if it runs a task of a job that is cancelled according to the replica.
+     * It is not renewed either if the worker has the fencing token of a newer term.
      */
     @Test
-    void cancelledTasksAreNotRenewedWhileRecordsAreRead() {
+    void leasesWithCancelledTasksAreNotRenewedWhileRecordsAreRead() {
         RecordReplica records = new RecordReplica();
         JobSpec spec = new JobSpecBuilder("job-1").resourcesPerTask(Resources.NONE).build();
         records.applyJob(new JobRecord("job-1", spec, JobStatus.CANCELLED, 0, 7), 100);
@@ -218,40 +229,43 @@
                 Optional.empty(), LeaderTerm.renewLeaseOnly(heartbeat(4, "job-2"), 3, records));
     }
 
-    /** Missing or malformed statements are ignored as a whole, and malformed ones are counted. */
+    /** Missing and malformed statements are ignored as a whole; malformed ones are counted. */
     @Test
     void malformedStatementsAreIgnored() throws MalformedMessageException {
         leader.onRecordsLoaded(3, appliedCancellations::add);
-        String good = "\"life\":5,\"since_s\":40,\"to\":1,\"whole\":true,\"jobs\":[\"job-7\"]";
-        for (String bad : malformedStatements(good)) {
-            long before = counters.malformedMessages();
-            leader.onGrantResponse("p", decode("{\"told\":" + bad + "}"), nowSeconds);
-            assertEquals(before + 1, counters.malformedMessages(), bad);
+        String validFields =
+                "\"life\":5,\"since_s\":40,\"to\":1,\"whole\":true,\"jobs\":[\"job-7\"]";
+        for (String malformedStatement : malformedStatements(validFields)) {
+            long countBefore = counters.malformedMessages();
+            leader.onGrantResponse(
+                    "p", decode("{\"told\":" + malformedStatement + "}"), nowSeconds);
+            assertEquals(countBefore + 1, counters.malformedMessages(), malformedStatement);
         }
         leader.onGrantResponse("p", decode("{}"), nowSeconds);
-        leader.onGrantResponse("stranger", decode("{\"told\":{" + good + "}}"), nowSeconds);
+        leader.onGrantResponse(
+                "not-a-peer", decode("{\"told\":{" + validFields + "}}"), nowSeconds);
         leader.onGrantResponse("p", decode("{\"told\":null}"), nowSeconds);
         assertEquals(13, counters.malformedMessages());
         assertEquals(List.of("job-7"), appliedCancellations);
         assertEquals(100, leader.watermarkSeconds(), 1e-9);
     }
 
-    private static List<String> malformedStatements(String good) {
+    private static List<String> malformedStatements(String validFields) {
         return List.of(
                 "{}",
                 "7",
                 "[]",
-                "{" + good.replace("\"life\":5", "\"life\":\"x\"") + "}",
-                "{" + good.replace("40", "-1") + "}",
-                "{" + good.replace("40", "\"NaN\"") + "}",
-                "{" + good.replace("\"to\":1", "\"to\":-1") + "}",
-                "{" + good.replace("\"to\":1,", "") + "}",
-                "{" + good.replace("true", "1") + "}",
-                "{" + good.replace("[\"job-7\"]", "\"job-7\"") + "}",
-                "{" + good.replace("[\"job-7\"]", "[7]") + "}",
-                "{" + good.replace("job-7", "x y") + "}",
+                "{" + validFields.replace("\"life\":5", "\"life\":\"x\"") + "}",
+                "{" + validFields.replace("40", "-1") + "}",
+                "{" + validFields.replace("40", "\"NaN\"") + "}",
+                "{" + validFields.replace("\"to\":1", "\"to\":-1") + "}",
+                "{" + validFields.replace("\"to\":1,", "") + "}",
+                "{" + validFields.replace("true", "1") + "}",
+                "{" + validFields.replace("[\"job-7\"]", "\"job-7\"") + "}",
+                "{" + validFields.replace("[\"job-7\"]", "[7]") + "}",
+                "{" + validFields.replace("job-7", "x y") + "}",
                 "{"
-                        + good.replace(
+                        + validFields.replace(
                                 "[\"job-7\"]", "[" + "\"job-7\",".repeat(10_000) + "\"job-7\"]")
                         + "}");
     }
--- a/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
@@ -16,9 +16,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Leases are renewed by the time up to which all changes of jobs are known: whatever the state
- * store compacts, refuses, delays or does not answer, each change that was stored before that time
- * has been applied.
+ * The leader may renew leases only for some time after the moment up to which all stored changes of
+ * jobs have been applied. If a change that was stored before that moment were missing, leases of a
+ * cancelled job's tasks could be renewed. None may be missing, even if the state store compacts
+ * changes, refuses or delays requests, or does not respond.
  */
 class RecordReplicationTest {
     private static final int JOBS = 5;
@@ -28,72 +29,78 @@
     private StateStoreSimulation store;
     private StoredJobs storedJobs;
     private RecordReplication replication;
-    private boolean refused;
+    private boolean requestsRefused;
 
-    /** When each job's last change was stored, and as what. */
-    private Map<String, Double> changedAt;
+    /** When the last change of each job was stored. */
+    private Map<String, Double> lastChangeAtSeconds;
 
-    private Map<String, Long> versions;
+    /** The version that the last change of each job has. */
+    private Map<String, Long> lastChangeVersions;
 
-    private void begin(int salt) {
+    private void startReplication(int salt) {
         store = new StateStoreSimulation(salt, 100);
         storedJobs = new StoredJobs(store);
-        refused = false;
-        changedAt = new HashMap<>();
-        versions = new HashMap<>();
-        replication = new RecordReplication(store.seenBy(() -> refused), store);
+        requestsRefused = false;
+        lastChangeAtSeconds = new HashMap<>();
+        lastChangeVersions = new HashMap<>();
+        replication = new RecordReplication(store.seenBy(() -> requestsRefused), store);
         replication.start();
     }
 
-    private void change(String id, boolean cancelled) {
+    private void storeJob(String id, boolean cancelled) {
         if (store.faults().isDown()) {
             return;
         }
-        versions.put(id, cancelled ? storedJobs.putCancelled(id) : storedJobs.putActive(id));
-        changedAt.put(id, store.nowSeconds());
+        lastChangeVersions.put(
+                id, cancelled ? storedJobs.putCancelled(id) : storedJobs.putActive(id));
+        lastChangeAtSeconds.put(id, store.nowSeconds());
     }
 
-    private void check() {
-        Map<String, Long> known = new HashMap<>();
-        replication.replica().allJobs().forEach(job -> known.put(job.id(), job.version()));
-        changedAt.forEach(
+    private void assertStoredChangesApplied() {
+        Map<String, Long> replicatedVersions = new HashMap<>();
+        replication
+                .replica()
+                .allJobs()
+                .forEach(job -> replicatedVersions.put(job.id(), job.version()));
+        lastChangeAtSeconds.forEach(
                 (id, at) ->
                         assertTrue(
                                 at >= replication.jobsCurrentAsOfSeconds()
-                                        || known.getOrDefault(id, -1L) >= versions.get(id),
+                                        || replicatedVersions.getOrDefault(id, -1L)
+                                                >= lastChangeVersions.get(id),
                                 () ->
                                         id
                                                 + " was changed at "
                                                 + at
-                                                + ", changes are known until "
+                                                + ", the jobs should be current as of "
                                                 + replication.jobsCurrentAsOfSeconds()
-                                                + ", and its known version is "
-                                                + known.get(id)));
+                                                + ", and its replicated version is "
+                                                + replicatedVersions.get(id)));
         assertTrue(
                 replication.jobsCurrentAsOfSeconds() <= store.nowSeconds(),
-                "nothing is known of the future");
+                "the replica must not be current as of a future moment");
     }
 
-    private void step(int step) {
+    private void runStep(int step) {
         int argument = step / 16;
         switch (step % 16) {
-            case 0, 1, 2, 3 -> change("job-" + argument % JOBS, false);
-            case 4, 5 -> change("job-" + argument % JOBS, true);
+            case 0, 1, 2, 3 -> storeJob("job-" + argument % JOBS, false);
+            case 4, 5 -> storeJob("job-" + argument % JOBS, true);
             case 6 -> {
                 store.setOldestRevision(store.revision() + argument % 2);
                 compactions++;
             }
             case 7 -> store.faults().setDown(argument % 2 == 0);
-            case 8 -> refused = argument % 2 == 0;
+            case 8 -> requestsRefused = argument % 2 == 0;
             case 9, 10 -> {
-                double requestedAt = store.nowSeconds();
+                double requestedAtSeconds = store.nowSeconds();
                 replication.verifyCurrent(
                         replica -> {
                             verifications++;
                             assertTrue(
-                                    replication.jobsCurrentAsOfSeconds() >= requestedAt,
-                                    "the verified records are not older than the request");
-                            check();
+                                    replication.jobsCurrentAsOfSeconds() >= requestedAtSeconds,
+                                    "verified records must be current as of the request");
+                            assertStoredChangesApplied();
                             replication.startFollowing();
                         });
             }
@@ -102,51 +109,59 @@
         }
         for (int i = 0; i <= argument % 12; i++) {
             store.pass(0.2);
-            check();
+            assertStoredChangesApplied();
         }
     }
 
     @Property(tries = 2000, seed = "20261207")
-    void allChangesBeforeTheKnownTimeAreApplied(
+    void allChangesBeforeTheReportedMomentAreApplied(
             @ForAll @Size(min = 10, max = 80) List<@IntRange(min = 0, max = 1919) Integer> steps,
             @ForAll @IntRange(min = 0, max = 996) int salt) {
-        begin(salt);
-        steps.forEach(this::step);
+        startReplication(salt);
+        steps.forEach(this::runStep);
         store.faults().setDown(false);
-        refused = false;
+        requestsRefused = false;
         store.setOldestRevision(Math.min(store.oldestRevision(), store.revision()));
         replication.startFollowing();
         store.pass(20);
         assertTrue(
                 replication.jobsCurrentAsOfSeconds() > store.nowSeconds() - 6,
-                "changes are known again after all faults");
-        check();
+                "the replica must become current again after the faults end");
+        assertStoredChangesApplied();
     }
 
     @AfterContainer
-    static void faultsHappenedOftenEnough() {
+    static void faultsOccurredOftenEnough() {
         assertTrue(
                 compactions > 1000 && verifications > 2000,
-                compactions + " compactions, " + verifications + " verifications");
+                compactions
+                        + " compactions, expected more than 1000; "
+                        + verifications
+                        + " verifications, expected more than 2000");
     }
 
-    /** The state store has compacted the changes in between: all records are read again. */
+    /**
+     * While its requests are refused, the replica misses changes, which the state store then
+     * compacts. All records are read again, or the cancellation would be lost.
+     */
     @Test
     void compactedChangesAreReadAgain() {
-        begin(3);
-        change("job-1", false);
+        startReplication(3);
+        storeJob("job-1", false);
         store.pass(6);
-        refused = true;
-        change("job-1", true);
-        change("job-2", false);
+        requestsRefused = true;
+        storeJob("job-1", true);
+        storeJob("job-2", false);
         store.pass(20);
         store.setOldestRevision(store.revision());
-        refused = false;
+        requestsRefused = false;
         store.pass(8);
-        assertTrue(replication.replica().isCancelled("job-1"), "job-1 is cancelled");
+        assertTrue(
+                replication.replica().isCancelled("job-1"),
+                "the cancellation of job-1 must be applied");
         assertEquals(1, replication.replica().unfinishedJobCount());
         assertTrue(
                 replication.jobsCurrentAsOfSeconds() > store.nowSeconds() - 6,
-                "changes are known again");
+                "the replica must become current again");
     }
 }
--- a/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
+++ b/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
@@ -26,27 +26,31 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A page write that gets no response is applied seconds later: after a newer write of the same
- * term, and after the term has ended.
+ * The state store may apply a page write seconds after the leader has given up waiting for its
+ * response. Without a condition on the page's version it would replace a newer write of the same
+ * term, and without a condition on the term it would change records after the term has ended.
  */
 class TermRecordStoreTest {
     private StateStoreSimulation state;
     private TermRecordStore store;
 
     /**
-     * @param salt seeds the delays of the state service
+     * @param salt seeds the random delays of the state store
      */
-    private void begin(int salt) {
+    private void startFirstTerm(int salt) {
         state = new StateStoreSimulation(salt, 0);
         store = electLeader(1);
     }
 
-    /** The store of a leader that is elected for this term and has loaded the records. */
+    /**
+     * Stores the term, and returns the record store of its leader, which has loaded the records.
+     */
     private TermRecordStore electLeader(long term) {
         long version =
                 state.put(StateStoreKeys.TERM, MessageEncoding.newObject().put("term", term));
         TermRecordStore recordStore = newRecordStore(version);
-        recordStore.loadRecords(newSchedulerState(term), new RecordReplica(), (peer, note) -> {});
+        recordStore.loadRecords(
+                newSchedulerState(term), new RecordReplica(), (peer, startsAtMillis) -> {});
         return recordStore;
     }
 
@@ -63,7 +67,7 @@
     }
 
     private static SchedulerState newSchedulerState(long term) {
-        Failover failover = new Failover(term, 2.5, 1, 2, (machine, session) -> {}, 0);
+        Failover failover = new Failover(term, 2.5, 1, 2, (machine, agentEpoch) -> {}, 0);
         return new SchedulerState(
                 newSchedulingPolicy(),
                 newIgnoringOutput(),
@@ -83,13 +87,13 @@
                 Proxy.newProxyInstance(
                         SchedulerOutput.class.getClassLoader(),
                         new Class<?>[] {SchedulerOutput.class},
-                        (self, method, arguments) -> null);
+                        (proxy, method, arguments) -> null);
     }
 
-    private static List<TaskProgress> done(int tasks) {
-        BitSet done = new BitSet();
-        done.set(0, tasks);
-        return List.of(new TaskProgress("job-1", 0, done));
+    private static List<TaskProgress> firstTasksDone(int tasks) {
+        BitSet doneBits = new BitSet();
+        doneBits.set(0, tasks);
+        return List.of(new TaskProgress("job-1", 0, doneBits));
     }
 
     private int storedTaskCount() throws MalformedMessageException {
@@ -104,49 +108,53 @@
                 .cardinality();
     }
 
-    /** The write gets no response and is applied late. */
-    private void storeWithLateWrite(int tasks) {
+    /** Stores a page with a write that gets no response and that the state store applies late. */
+    private void storeProgressWithLateWrite(int tasks) {
         state.faults().setLateWritesPerTen(10);
-        store.storeProgress(0, done(tasks));
+        store.storeProgress(0, firstTasksDone(tasks));
         state.faults().setLateWritesPerTen(0);
         state.pass(1.6);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-    void aLateWriteDoesNotBringBackWhatWasThereBefore(int salt) throws MalformedMessageException {
-        begin(salt);
-        storeWithLateWrite(1);
-        // A page has at most one write in flight.
+    void lateWriteDoesNotReplaceNewerPage(int salt) throws MalformedMessageException {
+        startFirstTerm(salt);
+        storeProgressWithLateWrite(1);
+        // A page has at most one write in flight, so the next one waits for the outcome of this
+        // one.
         state.pass(1);
-        store.storeProgress(0, done(5));
+        store.storeProgress(0, firstTasksDone(5));
         state.pass(1.5);
-        store.storeProgress(0, done(7));
+        store.storeProgress(0, firstTasksDone(7));
         state.pass(20);
         assertEquals(7, storedTaskCount());
     }
 
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
-    void aLateWriteOfAnOldTermChangesNothing(int salt) {
-        begin(salt);
-        storeWithLateWrite(3);
+    void lateWriteOfEndedTermIsRejected(int salt) {
+        startFirstTerm(salt);
+        storeProgressWithLateWrite(3);
         electLeader(2);
         state.pass(20);
         assertNull(state.get(StateStoreKeys.pageKey(StateStoreKeys.PROGRESS_PREFIX, 0)));
         assertEquals(0, state.lateWrites());
     }
 
-    /** Only the response was lost: the next write uses the version that is read back. */
+    /**
+     * A page write is applied, but its response is lost. The leader reads the page's version again;
+     * otherwise its next write would fail on the version.
+     */
     @Test
     void lostResponseDoesNotBlockPageWrites() throws MalformedMessageException {
-        begin(1);
+        startFirstTerm(1);
         state.faults().setLostResponsesPerTen(10);
-        store.storeProgress(0, done(2));
+        store.storeProgress(0, firstTasksDone(2));
         state.faults().setLostResponsesPerTen(0);
         state.pass(5);
         assertEquals(2, storedTaskCount());
-        store.storeProgress(0, done(4));
+        store.storeProgress(0, firstTasksDone(4));
         state.pass(5);
         assertEquals(4, storedTaskCount());
     }
