--- a/src/main/java/io/kelphoist/leadership/GrantExchange.java
+++ b/src/main/java/io/kelphoist/leadership/GrantExchange.java
@@ -22,7 +22,8 @@
 public final class GrantExchange implements LeaderElector.GrantMessages {
     /**
      * A replica of the records whose last update is older is not considered current. The state
-     * store holds a watch request of a follower for up to 4 seconds.
+     * store holds a watch request of a follower for up to 4 seconds, so a current replica may lag
+     * that much.
      */
     private static final double MAX_REPLICA_LAG_SECONDS = 5;
 
@@ -66,8 +67,8 @@
     private Optional<DelegationOffer> delegationOfferTo(
             String peer, SchedulerState schedulerState) {
         // The next leader assumes that every delegation of this term was offered before its own
-        // term began. So none may be offered once neither the leader lease nor the grants are
-        // valid.
+        // term began. So none may be offered once neither the leader lease nor the grants of
+        // all other controllers are valid.
         return elector.election().isLeader(eventLoop.nowSeconds())
                 ? replication
                         .leaseDelegation()
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -173,7 +173,8 @@
 
     /**
      * The leader that the leader key named when it was last read; empty if the key was absent or
-     * has not been read, or if that leader's term has ended since.
+     * has not been read, or if that leader's term has ended since. While this controller leads, its
+     * own name.
      */
     public Optional<String> leader() {
         return Optional.ofNullable(election.leader());
--- a/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
@@ -29,7 +29,10 @@
          */
         void onAcquired(long term, long leaseId, long revision, double sentAtSeconds);
 
-        /** Another controller holds the leader key; followed by {@link #onFailed}. */
+        /**
+         * The leader key is held already, normally by another controller; followed by {@link
+         * #onFailed}.
+         */
         void onHeldByOther(LeaderRecord leader);
 
         /**
--- a/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
+++ b/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
@@ -165,8 +165,8 @@
 
     /**
      * Renews the delegation that this leader gives itself, so that it can still renew the leases of
-     * its own zone once neither its leader lease nor the grants are valid. Called on every tick
-     * while one of them is.
+     * its own zone once neither its leader lease nor the grants of all other controllers are valid.
+     * Called on every tick while one of these is valid.
      *
      * @param cancellationWatermarkSeconds the moment up to which all confirmed cancellations have
      *     been received here
--- a/src/main/java/io/kelphoist/leadership/TermRecordWriter.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordWriter.java
@@ -67,7 +67,7 @@
         requestTick.run();
     }
 
-    /** Sets the version that the next write expects a record to have that only leaders write. */
+    /** Sets the expected version of a record that only leaders write, for its next write. */
     void setExpectedVersion(String key, long version) {
         expectedVersions.put(key, version);
     }
--- a/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
@@ -22,7 +22,7 @@
  * changes, refuses or delays requests, or does not respond.
  */
 class RecordReplicationTest {
-    private static final int JOBS = 5;
+    private static final int JOB_COUNT = 5;
     private static int compactions;
     private static int verifications;
 
@@ -84,8 +84,8 @@
     private void runStep(int step) {
         int argument = step / 16;
         switch (step % 16) {
-            case 0, 1, 2, 3 -> storeJob("job-" + argument % JOBS, false);
-            case 4, 5 -> storeJob("job-" + argument % JOBS, true);
+            case 0, 1, 2, 3 -> storeJob("job-" + argument % JOB_COUNT, false);
+            case 4, 5 -> storeJob("job-" + argument % JOB_COUNT, true);
             case 6 -> {
                 store.setOldestRevision(store.revision() + argument % 2);
                 compactions++;
