--- a/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
@@ -108,7 +108,7 @@
         gangReservations.releaseExpired(nowSeconds);
         Map<TeamUsage, List<Job>> waitingByTeam = findWaitingJobs(nowSeconds);
         unplacedJobs = waitingByTeam.isEmpty() ? List.of() : place(waitingByTeam, nowSeconds);
-        preemptor.makeRoom(unplacedJobs, nowSeconds);
+        preemptor.holdMachinesAndPreempt(unplacedJobs, nowSeconds);
     }
 
     private Map<TeamUsage, List<Job>> findWaitingJobs(double nowSeconds) {
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
@@ -42,7 +42,7 @@
         if (taskMachines.size() == job.spec().tasks()) {
             return startUnlessPreemptionIsSooner(offer, job, taskMachines);
         }
-        if (!job.isSuspect() && !preemptor.canMakeRoom(job, offer.nowSeconds())) {
+        if (!job.isSuspect() && !preemptor.canHoldMachines(job, offer.nowSeconds())) {
             reservations.reserve(job, taskMachines, offer.nowSeconds());
         }
         return false;
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
@@ -80,7 +80,7 @@
         consolidator.consolidate(!unplacedJobs.isEmpty(), headroomMachines, nowSeconds);
         double surplusMachines = plan.addHeadroom(headroomMachines);
         if (promotionGate.mayScaleOut(nowSeconds)) {
-            plan.wantedByPool().forEach(scaleOutRequests::request);
+            plan.newMachinesByPool().forEach(scaleOutRequests::request);
         }
         scaleInController.markMachines(surplusMachines, nowSeconds);
         scaleInController.requestTermination(nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/BootTimeEstimator.java
@@ -63,7 +63,7 @@
     }
 
     /** Whether the machine may still be counted on for pending tasks. */
-    boolean isExpected(Machine machine, double nowSeconds) {
+    boolean isBootExpected(Machine machine, double nowSeconds) {
         double usualSeconds =
                 recentBoots(machine, nowSeconds).stream()
                         .mapToDouble(Boot::durationSeconds)
@@ -80,7 +80,7 @@
     }
 
     /** Whether the machine will not boot, or is not worth waiting for. */
-    boolean isGivenUp(Machine machine, double nowSeconds) {
+    boolean hasBootTimedOut(Machine machine, double nowSeconds) {
         double waitSeconds = nowSeconds - machine.launchedAtSeconds();
         boolean laterMachineBooted =
                 recentBoots(machine, nowSeconds).stream()
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleInController.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleInController.java
@@ -98,7 +98,7 @@
     private void markFaultyMachine(Machine machine, double nowSeconds) {
         switch (machine.state()) {
             case BOOTING -> {
-                if (bootTimes.isGivenUp(machine, nowSeconds)) {
+                if (bootTimes.hasBootTimedOut(machine, nowSeconds)) {
                     markForTermination(machine, "never came up", nowSeconds);
                 }
             }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
@@ -36,7 +36,7 @@
      */
     private final Map<MachinePool, Integer> machineCounts = new HashMap<>();
 
-    private final Map<MachinePool, Integer> wantedByPool = new LinkedHashMap<>();
+    private final Map<MachinePool, Integer> newMachinesByPool = new LinkedHashMap<>();
 
     private ScaleOutPlan(MachineCatalog catalog, ScaleOutRequests requests, double nowSeconds) {
         this.catalog = catalog;
@@ -84,7 +84,7 @@
     /** Whether the machine does not accept work yet, and probably will in a short time. */
     private boolean isExpectedSoon(Machine machine, BootTimeEstimator bootTimes) {
         return switch (machine.state()) {
-            case BOOTING -> bootTimes.isExpected(machine, nowSeconds);
+            case BOOTING -> bootTimes.isBootExpected(machine, nowSeconds);
             case JOINING -> !machine.contact().isPossiblyDisconnected();
             default -> false;
         };
@@ -103,8 +103,8 @@
     }
 
     /** The machines to request, by pool, in the order in which they were found to be needed. */
-    Map<MachinePool, Integer> wantedByPool() {
-        return wantedByPool;
+    Map<MachinePool, Integer> newMachinesByPool() {
+        return newMachinesByPool;
     }
 
     /** Plans room for a job's tasks that found none. */
@@ -169,7 +169,7 @@
         if (pool == null) {
             return false;
         }
-        wantedByPool.merge(pool, 1, Integer::sum);
+        newMachinesByPool.merge(pool, 1, Integer::sum);
         MachineType type = catalog.type(pool.type());
         capacities.add(MachineCapacity.ofNewMachine(type, pool.zone(), pool.spot()));
         return true;
@@ -206,7 +206,7 @@
                 for (int spot = spotOnly ? 1 : 0; spot < 2; spot++) {
                     MachinePool pool = new MachinePool(type.name(), zone, spot == 1);
                     if (!canHost(job, type, zone, pool.spot(), tasksPerZone, commonZone)
-                            || requests.isRefused(pool, nowSeconds)) {
+                            || requests.isInBackoff(pool, nowSeconds)) {
                         continue;
                     }
                     double cost = cost(job, type, pool);
@@ -255,7 +255,7 @@
         for (double planned = readyMachines; planned < headroomMachines; planned++) {
             MachinePool pool = chooseHeadroomPool();
             if (pool != null) {
-                wantedByPool.merge(pool, 1, Integer::sum);
+                newMachinesByPool.merge(pool, 1, Integer::sum);
             }
         }
         return readyMachines - headroomMachines;
@@ -268,7 +268,7 @@
             for (String zone : type.zones()) {
                 MachinePool pool =
                         new MachinePool(type.name(), catalog.zones().getOrAssign(zone), false);
-                if (!requests.isRefused(pool, nowSeconds)
+                if (!requests.isInBackoff(pool, nowSeconds)
                         && (best == null || headroomRank(pool) < headroomRank(best))) {
                     best = pool;
                 }
@@ -279,7 +279,7 @@
 
     private double headroomRank(MachinePool pool) {
         return machineCount(pool)
-                + wantedByPool.getOrDefault(pool, 0)
+                + newMachinesByPool.getOrDefault(pool, 0)
                 + catalog.type(pool.type()).price();
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
@@ -56,7 +56,7 @@
     }
 
     /** Whether the cloud had too few machines of the pool a short while ago. */
-    boolean isRefused(MachinePool pool, double nowSeconds) {
+    boolean isInBackoff(MachinePool pool, double nowSeconds) {
         return nowSeconds < refusedUntilSeconds.getOrDefault(pool, 0.0);
     }
 
--- a/src/main/java/io/kelphoist/scheduler/placement/GangPlacement.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/GangPlacement.java
@@ -29,7 +29,7 @@
         Resources remaining = machine.free();
         while (!isComplete()
                 && job.spec().resourcesPerTask().fitsIn(remaining)
-                && hasRoomInZone(machine.zone())) {
+                && allowsMoreTasksInZone(machine.zone())) {
             taskMachines.add(machine);
             tasksPerZone[machine.zone()]++;
             remaining = remaining.minus(job.spec().resourcesPerTask());
@@ -37,7 +37,7 @@
     }
 
     /** Whether the job allows more tasks in the zone. */
-    boolean hasRoomInZone(int zone) {
+    boolean allowsMoreTasksInZone(int zone) {
         return tasksPerZone[zone] < job.spec().maxTasksPerZone();
     }
 
--- a/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
@@ -255,7 +255,7 @@
                 cheapest = queue.poll()) {
             placement.fill(cheapest.machine);
             EquivalentMachines group = cheapest.group;
-            if (group != null && placement.hasRoomInZone(cheapest.machine.zone())) {
+            if (group != null && placement.allowsMoreTasksInZone(cheapest.machine.zone())) {
                 rankGroup(job, group, group.indexOf(cheapest.position) + 1, queue);
             }
         }
--- a/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
@@ -75,7 +75,7 @@
      *
      * @param unplacedJobs jobs for whose tasks the allocator found no room, most urgent first
      */
-    public void makeRoom(List<Job> unplacedJobs, double nowSeconds) {
+    public void holdMachinesAndPreempt(List<Job> unplacedJobs, double nowSeconds) {
         int holds = 0;
         int searches = 0;
         for (Job job : unplacedJobs) {
@@ -204,7 +204,7 @@
     }
 
     /** Whether machines are held for the job, or can be held. */
-    public boolean canMakeRoom(Job job, double nowSeconds) {
+    public boolean canHoldMachines(Job job, double nowSeconds) {
         if (job.roomSearch().hasHeldMachines()) {
             return true;
         }
