--- a/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
@@ -16,9 +16,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Scales the cluster out for work that found no room, with some headroom, and scales it in where
- * machines are idle, lost or faulty. It decides twice a second; what each decision consists of is
- * with {@link ScaleOutPlan}, {@link MachineConsolidator} and {@link ScaleInController}.
+ * Scales the cluster out for tasks that could not be placed and for headroom, and scales it in by
+ * terminating machines that are idle, drained, lost, unreachable or did not boot. Decides twice a
+ * second; {@link ScaleOutPlan}, {@link MachineConsolidator} and {@link ScaleInController} make the
+ * individual decisions.
  */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
@@ -40,10 +41,11 @@
     private double nextSummaryAtSeconds;
 
     /**
-     * Creates it with its parts.
+     * Creates the autoscaler of one leader's term.
      *
-     * @param context where its collaborators are taken from; not kept
-     * @param promotionGate what must hold before a new leader scales out
+     * @param context provides its collaborators; not kept
+     * @param promotionGate prevents a new leader from scaling out too early
+     * @param bootTimes boot durations, recorded by the handler of heartbeats
      */
     public Autoscaler(
             SchedulerContext context, PromotionGate promotionGate, BootTimeEstimator bootTimes) {
@@ -62,9 +64,11 @@
     }
 
     /**
-     * Scales out and in, if a decision is due; repeats requests in any case.
+     * Decides on scale-out and scale-in, if a decision is due. Sends due retries of scale-out
+     * requests on every call.
      *
-     * @param unplacedJobs jobs with tasks for which the allocator found no room, most urgent first
+     * @param unplacedJobs jobs with pending tasks that the allocator did not start, most urgent
+     *     first
      */
     public void scaleToDemand(List<Job> unplacedJobs, double nowSeconds) {
         scaleOutRequests.retryDueRequests(nowSeconds);
@@ -86,6 +90,7 @@
         scaleInController.requestTermination(nowSeconds);
     }
 
+    /** The headroom to provide, in machines; none while there are no jobs. */
     private double headroomMachines(ScaleOutPlan plan) {
         return jobs.all().isEmpty() || policy.headroom() == 0
                 ? 0
@@ -100,23 +105,26 @@
         }
     }
 
-    /** See {@link ScaleOutRequests#onResponse}. */
+    /** Applies the result of a scale-out request; see {@link ScaleOutRequests#onResponse}. */
     public void onScaleOutResponse(
             ScaleOutRequest request, ScaleOutResult result, double nowSeconds) {
         scaleOutRequests.onResponse(request, result, nowSeconds);
     }
 
-    /** A page of the cloud's instance list arrived. */
+    /** Applies a page of the cloud's instance list; see {@link InstanceListReconciler}. */
     public void onInstanceListPage(InstanceListPage page, double nowSeconds) {
         instanceListReconciler.onPage(page, nowSeconds);
     }
 
-    /** The cloud confirmed the termination request in flight. */
+    /** Called when the cloud has confirmed the termination request in flight. */
     public void onScaleInConfirmed() {
         scaleInController.onConfirmed();
     }
 
-    /** The outcome of the termination request in flight is unknown; it is repeated. */
+    /**
+     * Called when the outcome of the termination request in flight is unknown; machines that are
+     * still to be terminated are requested again.
+     */
     public void onScaleInFailed(double nowSeconds) {
         scaleInController.onFailed(nowSeconds);
     }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/BootTimeEstimator.java
@@ -7,10 +7,13 @@
 import java.util.Map;
 
 /**
- * Estimates how long machines take to boot, by type and zone, from recent boots. The cloud gives
- * only a nominal time: some machines take several times as long, at times all of a zone do, and a
- * few never boot. A machine is given up early if one that was launched after it has booted. If none
- * has, giving up would only launch the next one into the same trouble.
+ * Estimates how long machines take to boot, by type and zone, from recent boots. The cloud reports
+ * only a nominal boot time: some machines take several times as long, sometimes all machines of a
+ * zone do, and a few never boot.
+ *
+ * <p>The boot of a machine times out early if a machine of the same type and zone that was launched
+ * later has booted. If none has, a replacement would probably meet the same problem, and is only
+ * launched after a longer timeout.
  *
  * <p>Owns the recent boots.
  */
@@ -19,26 +22,29 @@
 
     private record Boot(double durationSeconds, double launchedAtSeconds, double bootedAtSeconds) {}
 
-    /** A machine that boots for so many nominal times is not counted on any more. */
+    /**
+     * Scale-out plans include a booting machine for at least this multiple of its nominal boot
+     * time.
+     */
     private static final double SLOW_BOOT_FACTOR = 1.8;
 
-    /** A machine is given up after so many nominal times if a later one has booted. */
-    private static final double GIVE_UP_FACTOR = 3.5;
+    /** Boot timeout, in nominal boot times, if a machine that was launched later has booted. */
+    private static final double BOOT_TIMEOUT_FACTOR_AFTER_LATER_BOOT = 3.5;
 
-    /** A machine is given up after so many nominal times in any case. */
-    private static final double GIVE_UP_FACTOR_WITHOUT_LATER_BOOT = 8;
+    /** Boot timeout, in nominal boot times, in any case. */
+    private static final double BOOT_TIMEOUT_FACTOR = 8;
 
-    /** Older boots say nothing of the present. */
+    /** Older boots no longer indicate how long machines take to boot now. */
     private static final double MAX_SAMPLE_AGE_SECONDS = 240;
 
-    /** A machine is counted on for this many times the longest recent boot. */
-    private static final double USUAL_BOOT_MARGIN = 1.2;
+    /** Scale-out plans include a booting machine for this multiple of the longest recent boot. */
+    private static final double RECENT_BOOT_MARGIN_FACTOR = 1.2;
 
-    private static final int MAX_SAMPLES = 32;
+    private static final int MAX_SAMPLES_PER_POOL = 32;
 
     private final Map<BootPool, Deque<Boot>> bootsByPool = new HashMap<>();
 
-    /** The machine's worker sent its first heartbeat. */
+    /** Records the boot of a machine whose worker sent its first heartbeat. */
     public void onBooted(Machine machine, double nowSeconds) {
         Deque<Boot> boots =
                 bootsByPool.computeIfAbsent(poolOf(machine), pool -> new ArrayDeque<>());
@@ -47,7 +53,7 @@
                         nowSeconds - machine.launchedAtSeconds(),
                         machine.launchedAtSeconds(),
                         nowSeconds));
-        if (boots.size() > MAX_SAMPLES) {
+        if (boots.size() > MAX_SAMPLES_PER_POOL) {
             boots.poll();
         }
     }
@@ -62,9 +68,12 @@
         return boots;
     }
 
-    /** Whether the machine may still be counted on for pending tasks. */
+    /**
+     * Whether the machine is expected to boot soon enough for scale-out plans to place pending
+     * tasks on it.
+     */
     boolean isBootExpected(Machine machine, double nowSeconds) {
-        double usualSeconds =
+        double longestRecentBootSeconds =
                 recentBoots(machine, nowSeconds).stream()
                         .mapToDouble(Boot::durationSeconds)
                         .max()
@@ -72,21 +81,22 @@
         return nowSeconds - machine.launchedAtSeconds()
                 < Math.max(
                         SLOW_BOOT_FACTOR * machine.type().bootSeconds(),
-                        USUAL_BOOT_MARGIN
+                        RECENT_BOOT_MARGIN_FACTOR
                                 * Math.min(
-                                        usualSeconds,
-                                        GIVE_UP_FACTOR_WITHOUT_LATER_BOOT
-                                                * machine.type().bootSeconds()));
+                                        longestRecentBootSeconds,
+                                        BOOT_TIMEOUT_FACTOR * machine.type().bootSeconds()));
     }
 
-    /** Whether the machine will not boot, or is not worth waiting for. */
+    /** Whether the machine is to be terminated because it has not booted in time. */
     boolean hasBootTimedOut(Machine machine, double nowSeconds) {
         double waitSeconds = nowSeconds - machine.launchedAtSeconds();
         boolean laterMachineBooted =
                 recentBoots(machine, nowSeconds).stream()
                         .anyMatch(boot -> boot.launchedAtSeconds > machine.launchedAtSeconds());
-        return waitSeconds > GIVE_UP_FACTOR_WITHOUT_LATER_BOOT * machine.type().bootSeconds()
+        return waitSeconds > BOOT_TIMEOUT_FACTOR * machine.type().bootSeconds()
                 || (laterMachineBooted
-                        && waitSeconds > GIVE_UP_FACTOR * machine.type().bootSeconds());
+                        && waitSeconds
+                                > BOOT_TIMEOUT_FACTOR_AFTER_LATER_BOOT
+                                        * machine.type().bootSeconds());
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/FleetSummary.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/FleetSummary.java
@@ -11,10 +11,13 @@
 import java.util.TreeMap;
 import org.slf4j.Logger;
 
-/** The debug log line that sums up machines and waiting tasks. Amounts are in whole machines. */
+/**
+ * Summary of the machines and of the tasks that are not placed, for a debug log line. Amounts of
+ * resources are given in machines, as the sum of the dominant shares of each machine's capacity.
+ */
 final class FleetSummary {
     private final Map<String, Integer> machinesByState = new TreeMap<>();
-    private final Map<JobKind, Integer> waitingTasksByKind = new TreeMap<>();
+    private final Map<JobKind, Integer> unplacedTasksByKind = new TreeMap<>();
     private double usedMachines;
     private double runningMachines;
     private double heldMachines;
@@ -26,7 +29,7 @@
         machines.forEach(summary::add);
         unplacedJobs.forEach(
                 job ->
-                        summary.waitingTasksByKind.merge(
+                        summary.unplacedTasksByKind.merge(
                                 job.spec().kind(), job.tasks().pendingCount(), Integer::sum));
         return summary;
     }
@@ -57,7 +60,7 @@
                 Math.round(usedMachines),
                 Math.round(runningMachines),
                 Math.round(heldMachines),
-                waitingTasksByKind,
+                unplacedTasksByKind,
                 pendingScaleOutRequests);
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -12,8 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the known machines with the cloud's list of instances: removes machines that the list
- * proves to be gone, adopts instances that are not known, and notices those that failed.
+ * Reconciles the machine registry with the cloud's instance list: removes machines that the list
+ * proves to be terminated, adds instances that are missing in the registry, and ends the attempts
+ * on instances that the list reports as failed.
  */
 final class InstanceListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceListReconciler.class);
@@ -30,6 +31,7 @@
         this.machineLifecycle = machineLifecycle;
     }
 
+    /** Applies a page of the instance list. */
     void onPage(InstanceListPage page, double nowSeconds) {
         for (String name : tracker.findTerminated(page)) {
             removeTerminated(name, nowSeconds);
@@ -46,7 +48,7 @@
         Machine machine = machines.get(name);
         if (machine != null) {
             LOG.info(
-                    "machine terminated by the cloud: machine={} secondsSinceHeartbeat={} tasks={}",
+                    "machine absent from the instance list, terminated: machine={} secondsSinceHeartbeat={} attempts={}",
                     name,
                     Math.round(nowSeconds - machine.contact().lastHeartbeatAtSeconds()),
                     machine.attempts().size());
@@ -54,16 +56,19 @@
         }
     }
 
-    /** The machine of an instance; null if it is gone already or of an unknown type. */
+    /**
+     * The machine of an instance, which is added to the registry if it is missing there; null if
+     * its termination is confirmed already or its machine type is unknown.
+     */
     private Machine findOrAdopt(CloudInstance instance, double nowSeconds) {
-        Machine known = machines.get(instance.name());
+        Machine existing = machines.get(instance.name());
         MachineType type = catalog.type(instance.type());
-        if (known != null || type == null || machines.isTerminated(instance.name())) {
-            return known;
+        if (existing != null || type == null || machines.isTerminated(instance.name())) {
+            return existing;
         }
         LOG.info("machine adopted from the instance list: machine={}", instance.name());
-        // A running instance may send a heartbeat at once; it counts as room only for as long as
-        // its first heartbeat may be due.
+        // A running instance may send a heartbeat at any time. Scale-out plans include its capacity
+        // only until its first heartbeat is overdue.
         boolean running = instance.state() == CloudInstance.InstanceState.RUNNING;
         Machine adopted =
                 new Machine(
@@ -80,15 +85,16 @@
         return adopted;
     }
 
+    /** Takes over the instance's address and failure. */
     private void update(Machine machine, CloudInstance instance, double nowSeconds) {
         if (machine.address() == null) {
             machine.updateAddress(instance.address());
         }
         if (instance.state() == CloudInstance.InstanceState.FAILED
                 && machine.transitionTo(Machine.State.TERMINATING, nowSeconds)) {
-            // A failed instance stopped by itself: none of its tasks runs any more.
+            // A failed instance has stopped by itself, so none of its tasks is running.
             LOG.info(
-                    "machine failed: machine={} tasks={}",
+                    "machine reported as failed by the cloud: machine={} attempts={}",
                     machine.name(),
                     machine.attempts().size());
             machineLifecycle.onStopped(machine, nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
@@ -10,33 +10,36 @@
 import java.util.TreeMap;
 
 /**
- * Proves from the cloud's instance lists that instances are terminated. An instance that was listed
- * stays listed until it is terminated. But lists are delayed, and a list may be older than the one
- * received before it. So a missing instance is terminated if the list describes a later time than a
- * list that had it.
+ * Determines from the cloud's instance lists which instances are terminated. Once an instance has
+ * been listed, it stays listed until it is terminated. Lists are delayed, however, and a list may
+ * be older than the one received before it. An instance that is missing from a list is therefore
+ * terminated only if the list describes a later time than a list that contained the instance.
  *
- * <p>A list does not say which time it describes. That follows from the ages of the instances that
- * it shares with earlier lists. It is measured on the lists' own clock, whose zero is the time that
- * the first page described.
+ * <p>A list does not state which time it describes. That time is computed from the ages of the
+ * instances that the list shares with earlier lists. It is measured on a clock of the lists, which
+ * is zero at the time that the first page described.
  *
- * <p>The cloud terminates spot instances without notice. Waiting for the lease to expire would take
- * several times as long as lists are delayed.
+ * <p>Lists are needed because the cloud terminates spot instances without notice, and a worker
+ * lease takes several times as long to expire as lists are delayed.
  */
 final class InstanceListTracker {
-    /** The precision with which ages are listed. */
+    /** The precision of the ages in instance lists. */
     private static final double AGE_PRECISION_SECONDS = 0.5;
 
     /**
-     * What is known of an instance, on the lists' clock.
+     * An instance that was listed. Times are on the clock of the lists.
      *
-     * @param createdAtSeconds when it was created
-     * @param lastListedAtSeconds the latest time for which it was listed
+     * @param createdAtSeconds when the instance was created
+     * @param lastListedAtSeconds the latest time that a list containing the instance described
      */
     private record ListedInstance(double createdAtSeconds, double lastListedAtSeconds) {}
 
     private final TreeMap<String, ListedInstance> instancesByName = new TreeMap<>();
 
-    /** Takes in a page; returns the names of the instances that it proves to be terminated. */
+    /**
+     * Records the instances of a page, and returns the names of instances that the page proves to
+     * be terminated.
+     */
     List<String> findTerminated(InstanceListPage page) {
         double snapshotAtSeconds = snapshotTime(page);
         if (Double.isNaN(snapshotAtSeconds)) {
@@ -73,7 +76,7 @@
         instancesByName.put(instance.name(), updated);
     }
 
-    /** The known instances that the page would list if they existed at its time. */
+    /** The recorded instances whose names are in the range of names that the page covers. */
     private Map<String, ListedInstance> instancesInRange(InstanceListPage page) {
         if (page.lastPage()) {
             return instancesByName.tailMap(page.afterName(), false);
@@ -82,7 +85,10 @@
         return instancesByName.subMap(page.afterName(), false, lastName, true);
     }
 
-    /** The time that a page describes; NaN if it shares no instance with earlier lists. */
+    /**
+     * The time that a page describes, on the clock of the lists: the earliest of the times implied
+     * by the ages of its instances. NaN if the page shares no instance with earlier lists.
+     */
     private double snapshotTime(InstanceListPage page) {
         if (instancesByName.isEmpty() && !page.instances().isEmpty()) {
             return 0;
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/MachineCapacity.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/MachineCapacity.java
@@ -4,8 +4,8 @@
 import io.kelphoist.model.Resources;
 
 /**
- * The room that one machine has or will have, while a scale-out is planned. Planned tasks are
- * subtracted from it; the machine itself does not change.
+ * The free resources of one existing, booting or requested machine in a scale-out plan. Planned
+ * tasks are subtracted from them; the machine itself is not modified.
  */
 final class MachineCapacity {
     private final MachineType type;
@@ -15,7 +15,9 @@
     private boolean empty;
 
     /**
-     * @param empty whether nothing runs on the machine and nothing is planned for it
+     * Creates the capacity of a machine.
+     *
+     * @param empty whether the machine has no attempts and no planned tasks
      */
     MachineCapacity(MachineType type, int zone, boolean spot, Resources free, boolean empty) {
         this.type = type;
@@ -25,7 +27,7 @@
         this.empty = empty;
     }
 
-    /** The capacity of a machine that is not up yet: all of it is free. */
+    /** The capacity of a machine that is not up yet; all of its resources are free. */
     static MachineCapacity ofNewMachine(MachineType type, int zone, boolean spot) {
         return new MachineCapacity(type, zone, spot, type.capacity(), true);
     }
@@ -50,13 +52,13 @@
         return empty;
     }
 
-    /** Plans a task here. */
+    /** Subtracts the resources of a planned task. */
     void allocate(Resources task) {
         free = free.minus(task);
         empty = false;
     }
 
-    /** The share of the machine that is free, from 0 to 1. */
+    /** The free share of the machine, from 0 to 1, by its most used resource. */
     double freeShare() {
         return 1 - type.capacity().minus(free).dominantShare(type.capacity());
     }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/MachineConsolidator.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/MachineConsolidator.java
@@ -15,26 +15,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Consolidates tasks on fewer machines: while there is more free room than the headroom, it drains
- * the least used machine. Replicas that are all that is left on a drained machine move to machines
- * that cache their images, so that their interruption is short. When work finds no room, the
- * drained machines accept work again.
+ * Consolidates tasks on fewer machines: while more resources are free than the headroom requires,
+ * drains the least used machine. Once only service replicas are left on a draining machine, they
+ * are stopped and restart on machines that have their images cached, which keeps the interruption
+ * short. If tasks cannot be placed, the draining machines accept work again.
  */
 final class MachineConsolidator {
     private static final Logger LOG = LoggerFactory.getLogger(MachineConsolidator.class);
 
-    /** How long there must have been a surplus before a machine is drained. */
+    /** How long a surplus must have existed before a machine is drained. */
     private static final double MIN_SURPLUS_DURATION_SECONDS = 15;
 
     private static final double DRAIN_INTERVAL_SECONDS = 3;
 
-    /** Surplus that is left, in machines, so that draining one does not cause a scale-out. */
+    /** Surplus that must remain, in machines, so that draining one does not cause a scale-out. */
     private static final double SURPLUS_MARGIN_MACHINES = 0.5;
 
     private final MachineRegistry machines;
     private final AttemptLifecycle attempts;
 
-    /** When the surplus began; NaN without one. */
+    /** When the current surplus began; NaN if there is none. */
     private double surplusSinceSeconds = Double.NaN;
 
     private double nextDrainAtSeconds;
@@ -45,15 +45,15 @@
     }
 
     /**
-     * Drains a machine if that is due, and moves replicas from drained ones.
+     * Drains a machine if that is due, and moves replicas away from draining machines.
      *
-     * @param isWorkWaiting whether tasks found no room
-     * @param headroomMachines how much room should be free, in machines
+     * @param hasUnplacedTasks whether tasks could not be placed; if so, draining is cancelled
+     * @param headroomMachines free resources to keep, in machines
      */
-    void consolidate(boolean isWorkWaiting, double headroomMachines, double nowSeconds) {
-        if (isWorkWaiting) {
+    void consolidate(boolean hasUnplacedTasks, double headroomMachines, double nowSeconds) {
+        if (hasUnplacedTasks) {
             surplusSinceSeconds = Double.NaN;
-            acceptWorkAgain(nowSeconds);
+            cancelDrains(nowSeconds);
             return;
         }
         for (Machine machine : machines.all()) {
@@ -62,8 +62,9 @@
             }
         }
         Machine leastUsed = findLeastUsed(nowSeconds);
-        double freeElsewhere = freeMachines(nowSeconds) - 1;
-        if (leastUsed == null || freeElsewhere <= headroomMachines + SURPLUS_MARGIN_MACHINES) {
+        double freeMachinesAfterDrain = freeMachines(nowSeconds) - 1;
+        if (leastUsed == null
+                || freeMachinesAfterDrain <= headroomMachines + SURPLUS_MARGIN_MACHINES) {
             surplusSinceSeconds = Double.NaN;
         } else if (Double.isNaN(surplusSinceSeconds)) {
             surplusSinceSeconds = nowSeconds;
@@ -72,13 +73,14 @@
             nextDrainAtSeconds = nowSeconds + DRAIN_INTERVAL_SECONDS;
             leastUsed.drainForScaleIn(nowSeconds);
             LOG.info(
-                    "machine drained for scale-in: machine={} freeMachinesElsewhere={}",
+                    "machine drained for scale-in: machine={} freeMachinesAfterDrain={}",
                     leastUsed.name(),
-                    AttemptLifecycle.roundToTenths(freeElsewhere));
+                    AttemptLifecycle.roundToTenths(freeMachinesAfterDrain));
         }
     }
 
-    private void acceptWorkAgain(double nowSeconds) {
+    /** Lets machines that are drained for scale-in accept work again. */
+    private void cancelDrains(double nowSeconds) {
         for (Machine machine : machines.all()) {
             if (machine.drainingForScaleIn() && machine.state() == Machine.State.DRAINING) {
                 machine.cancelScaleIn(nowSeconds);
@@ -86,25 +88,28 @@
         }
     }
 
-    /** The free room on on-demand machines, in machines. */
+    /** The free resources on on-demand machines, in machines. */
     private double freeMachines(double nowSeconds) {
         double freeMachines = 0;
         for (Machine machine : machines.all()) {
             if (machine.acceptsWork(nowSeconds) && !machine.spot()) {
-                freeMachines += 1 - usage(machine);
+                freeMachines += 1 - usedShare(machine);
             }
         }
         return freeMachines;
     }
 
-    private static double usage(Machine machine) {
+    private static double usedShare(Machine machine) {
         return machine.used().dominantShare(machine.type().capacity());
     }
 
-    /** The least used of the on-demand machines that run something; null if there is none. */
+    /**
+     * The least used on-demand machine that has attempts and is neither held nor has resources
+     * reserved; null if there is none.
+     */
     private Machine findLeastUsed(double nowSeconds) {
         Machine leastUsed = null;
-        double lowestUsage = Double.POSITIVE_INFINITY;
+        double lowestUsedShare = Double.POSITIVE_INFINITY;
         for (Machine machine : machines.all()) {
             boolean eligible =
                     machine.acceptsWork(nowSeconds)
@@ -112,17 +117,18 @@
                             && machine.hold().job() == null
                             && machine.resources().reserved().equals(Resources.NONE)
                             && !machine.attempts().isEmpty();
-            if (eligible && usage(machine) < lowestUsage) {
+            if (eligible && usedShare(machine) < lowestUsedShare) {
                 leastUsed = machine;
-                lowestUsage = usage(machine);
+                lowestUsedShare = usedShare(machine);
             }
         }
         return leastUsed;
     }
 
     /**
-     * Stops a machine's replicas, to be started elsewhere, if they are all that it runs and each
-     * has room on a machine that caches its image.
+     * Stops a machine's service replicas, so that they restart on other machines. Does nothing
+     * unless all of the machine's attempts are movable replicas and each of them fits on a machine
+     * that has its image cached.
      */
     private void moveReplicas(Machine source, double nowSeconds) {
         List<TaskAttempt> replicas = new ArrayList<>();
@@ -144,7 +150,7 @@
         replicas.forEach(attempt -> attempts.stop(attempt, 0, nowSeconds));
     }
 
-    /** Whether the attempt is a running replica of a service that has no replica pending. */
+    /** Whether the attempt is a running replica of a service without pending replicas. */
     private static boolean isMovable(TaskAttempt attempt) {
         return attempt.job().spec().kind() == JobKind.SERVICE
                 && attempt.state() == TaskAttempt.State.RUNNING
@@ -153,9 +159,10 @@
     }
 
     /**
-     * Finds a machine for a replica and subtracts the replica from the free room there.
+     * Finds a machine for a replica and subtracts the replica from its free resources.
      *
-     * @param freeByMachine room that earlier replicas of the same move have left
+     * @param freeByMachine free resources of machines, after replicas that move at the same time
+     * @return whether a machine was found
      */
     private boolean reserveTarget(
             TaskAttempt attempt, Map<Machine, Resources> freeByMachine, double nowSeconds) {
@@ -183,6 +190,7 @@
                 && satisfiesZoneConstraint(attempt, target);
     }
 
+    /** Whether the job's zone constraints allow the attempt to move to the machine's zone. */
     private static boolean satisfiesZoneConstraint(TaskAttempt attempt, Machine target) {
         if (target.zone() == attempt.machine().zone()) {
             return true;
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/MachinePool.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/MachinePool.java
@@ -1,7 +1,8 @@
 package io.kelphoist.scheduler.autoscaling;
 
 /**
- * A kind of machine that the cloud can be asked for.
+ * The machines of one type, zone and purchasing model (spot or on-demand), which can be requested
+ * from the cloud.
  *
  * @param type name of the machine type
  * @param zone index of the zone
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleInController.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleInController.java
@@ -13,27 +13,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Chooses the machines that go back to the cloud and asks for their termination. Owns the request
- * in flight, of which there is one at a time, and when a failed one is repeated.
+ * Chooses the machines to terminate and requests their termination from the cloud. Owns the request
+ * in flight, of which there is at most one, and the time of its retry.
  */
 final class ScaleInController {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleInController.class);
 
     /**
-     * How long a lost machine is kept. Counted from when it was declared lost: the machines of a
-     * partitioned zone are silent for long and may be back any moment.
+     * How long a lost machine is kept. Measured from when the machine was declared lost, not from
+     * its last heartbeat: machines of a partitioned zone send no heartbeats for a long time and may
+     * reconnect at any moment.
      */
     private static final double LOST_MACHINE_GRACE_SECONDS = 20;
 
     /**
-     * A machine that receives nothing is terminated after so many leases: one has ended what ran
-     * there, and the connection may have recovered during another.
+     * An unreachable machine is terminated after this many lease durations. Within the first one,
+     * the worker's lease expires, which ends the machine's tasks; the rest gives the connection
+     * time to recover.
      */
     private static final double MAX_UNREACHABLE_LEASES = 2.5;
 
     /**
-     * The shortest time between two such terminations: where a whole zone receives nothing, that is
-     * over before replacements of its machines would have booted.
+     * Minimum time between two terminations of unreachable machines. If all machines of a zone are
+     * unreachable, that fault is expected to end before replacements for them could boot.
      */
     private static final double UNREACHABLE_SCALE_IN_INTERVAL_SECONDS = 5;
 
@@ -60,9 +62,10 @@
     }
 
     /**
-     * Marks machines for termination, those that were idle longest first.
+     * Marks machines for termination, those that have been idle longest first.
      *
-     * @param surplusMachines how many on-demand machines' worth of room may go
+     * @param surplusMachines free resources beyond the headroom, in machines: the number of idle
+     *     on-demand machines that may be terminated
      */
     void markMachines(double surplusMachines, double nowSeconds) {
         double remainingSurplus = surplusMachines;
@@ -72,12 +75,15 @@
             if (machine.state() == Machine.State.UP && machine.attempts().isEmpty()) {
                 remainingSurplus -= markIdleMachine(machine, remainingSurplus, nowSeconds);
             } else {
-                markFaultyMachine(machine, nowSeconds);
+                markUnusableMachine(machine, nowSeconds);
             }
         }
     }
 
-    /** Marks an idle machine if it may go; returns the surplus that this takes, in machines. */
+    /**
+     * Marks an idle machine if it is to be terminated; returns by how many machines this reduces
+     * the surplus, which covers on-demand machines only.
+     */
     private int markIdleMachine(Machine machine, double remainingSurplus, double nowSeconds) {
         if (isUnreachableTooLong(machine, nowSeconds)) {
             markUnreachableMachine(machine, nowSeconds);
@@ -95,11 +101,12 @@
         return machine.spot() ? 0 : 1;
     }
 
-    private void markFaultyMachine(Machine machine, double nowSeconds) {
+    /** Marks a machine that did not boot in time, is lost, drained, or unreachable and joining. */
+    private void markUnusableMachine(Machine machine, double nowSeconds) {
         switch (machine.state()) {
             case BOOTING -> {
                 if (bootTimes.hasBootTimedOut(machine, nowSeconds)) {
-                    markForTermination(machine, "never came up", nowSeconds);
+                    markForTermination(machine, "boot timed out", nowSeconds);
                 }
             }
             case LOST -> {
@@ -113,8 +120,9 @@
                 }
             }
             case JOINING -> {
-                // Its heartbeats arrive, but it has received nothing from this term. Tasks on
-                // record there ended with its lease, and termination is the only proof of that.
+                // Its heartbeats arrive, but nothing sent in this term has been delivered to it.
+                // The tasks recorded there ended when its lease expired, but only its termination
+                // proves that.
                 if (isUnreachableTooLong(machine, nowSeconds)) {
                     markUnreachableMachine(machine, nowSeconds);
                 }
@@ -135,13 +143,15 @@
         markForTermination(machine, "unreachable", nowSeconds);
     }
 
+    /** Marks a machine for termination, unless it is marked already. */
     private void markForTermination(Machine machine, String reason, double nowSeconds) {
         if (machine.transitionTo(Machine.State.TERMINATING, nowSeconds)) {
-            LOG.info("machine to be terminated: machine={} reason={}", machine.name(), reason);
+            LOG.info(
+                    "machine marked for termination: machine={} reason={}", machine.name(), reason);
         }
     }
 
-    /** Asks the cloud to terminate the marked machines, unless a request is in flight. */
+    /** Requests the termination of the marked machines, unless a request is in flight. */
     void requestTermination(double nowSeconds) {
         if (requestInFlight || nowSeconds < retryAtSeconds) {
             return;
@@ -159,12 +169,15 @@
         }
     }
 
-    /** The cloud confirmed the request in flight. */
+    /** Called when the cloud has confirmed the request in flight. */
     void onConfirmed() {
         requestInFlight = false;
     }
 
-    /** The outcome of the request in flight is unknown; it is repeated. */
+    /**
+     * Called when the outcome of the request in flight is unknown; a new request for the machines
+     * that are still marked follows after {@link #RETRY_DELAY_SECONDS}.
+     */
     void onFailed(double nowSeconds) {
         requestInFlight = false;
         retryAtSeconds = nowSeconds + RETRY_DELAY_SECONDS;
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
@@ -14,25 +14,30 @@
 import java.util.Map;
 
 /**
- * Which machines to request in one run of the autoscaler. It packs the tasks that found no room
- * onto the machines that exist or were requested, and adds machines for what does not fit and for
- * the headroom.
+ * Plans which machines to request in one run of the autoscaler. Packs the tasks that could not be
+ * placed onto the machines that exist or are requested already, and adds new machines for tasks
+ * that do not fit and for the headroom.
  */
 final class ScaleOutPlan {
-    /** Tasks of one job for which machines are requested at a time. */
+    /** Maximum number of tasks of one job that one plan covers. */
     private static final int MAX_TASKS_PER_JOB = 200;
 
-    /** Weight of a machine that its pool already has: among equal prices the fewest win. */
+    /**
+     * Cost per machine that a pool already has, so that the pool with the fewest machines is chosen
+     * among pools of equal price.
+     */
     private static final double MACHINE_COUNT_WEIGHT = 0.01;
 
     private final MachineCatalog catalog;
     private final ScaleOutRequests requests;
     private final double nowSeconds;
+
+    /** The machines that tasks may be planned on, including planned new machines. */
     private final List<MachineCapacity> capacities = new ArrayList<>();
 
     /**
-     * Machines that exist or were requested. Counted once a run, as each task that finds no room
-     * compares all pools.
+     * Machines that exist or are requested already, by pool. Counted once per run, because all
+     * pools are compared for each task that does not fit.
      */
     private final Map<MachinePool, Integer> machineCounts = new HashMap<>();
 
@@ -44,7 +49,7 @@
         this.nowSeconds = nowSeconds;
     }
 
-    /** A plan without demand yet, with the machines as they are now. */
+    /** Creates a plan with the current machines and pending requests, and without demand. */
     static ScaleOutPlan create(
             MachineRegistry machines,
             MachineCatalog catalog,
@@ -81,7 +86,7 @@
         }
     }
 
-    /** Whether the machine does not accept work yet, and probably will in a short time. */
+    /** Whether the machine does not accept work yet but is expected to do so soon. */
     private boolean isExpectedSoon(Machine machine, BootTimeEstimator bootTimes) {
         return switch (machine.state()) {
             case BOOTING -> bootTimes.isBootExpected(machine, nowSeconds);
@@ -102,12 +107,15 @@
         }
     }
 
-    /** The machines to request, by pool, in the order in which they were found to be needed. */
+    /** The number of machines to request, by pool, in the order in which they were planned. */
     Map<MachinePool, Integer> newMachinesByPool() {
         return newMachinesByPool;
     }
 
-    /** Plans room for a job's tasks that found none. */
+    /**
+     * Plans capacity for a job's pending tasks. Jobs of which a task has run (of a gang: in its
+     * current attempt) and suspect jobs that have an attempt are skipped.
+     */
     void addDemand(Job job) {
         if (job.gangHasRun() || job.isOnTrial(nowSeconds)) {
             return;
@@ -117,13 +125,13 @@
         int allowed = job.team().countTasksWithinLimit(perTask, tasks);
         int[] tasksPerZone = job.tasks().copyOfAttemptsPerZone();
         int commonZone = job.commonZone();
-        // A capacity in which one task of a job does not fit has no room for the next one either:
-        // capacities only shrink here.
+        // If one task of the job does not fit in a capacity, the next one does not fit either,
+        // because capacities only shrink while tasks are added.
         int firstCandidate = 0;
         for (int i = 0; i < allowed; i++) {
             firstCandidate = findCapacity(job, tasksPerZone, commonZone, firstCandidate);
             if (firstCandidate == capacities.size()
-                    && !addWantedMachine(job, tasksPerZone, commonZone, i > 0)) {
+                    && !addNewMachine(job, tasksPerZone, commonZone, i > 0)) {
                 return;
             }
             MachineCapacity capacity = capacities.get(firstCandidate);
@@ -135,7 +143,7 @@
         }
     }
 
-    /** Tasks for which machines are held: they need no others. */
+    /** The number of the job's tasks for which machines are held; they need no other machines. */
     private static int heldTaskCount(Job job) {
         int heldTasks = 0;
         for (Machine machine : job.roomSearch().heldMachines()) {
@@ -144,7 +152,10 @@
         return heldTasks;
     }
 
-    /** The index of the first capacity that has room for a task; their number if none has. */
+    /**
+     * The index of the first capacity, from {@code fromIndex} on, that one task of the job may be
+     * planned on; the size of the list if there is none.
+     */
     private int findCapacity(Job job, int[] tasksPerZone, int commonZone, int fromIndex) {
         for (int i = fromIndex; i < capacities.size(); i++) {
             MachineCapacity candidate = capacities.get(i);
@@ -162,8 +173,8 @@
         return capacities.size();
     }
 
-    /** Plans one more machine for a job; false if no pool can have one. */
-    private boolean addWantedMachine(
+    /** Plans one new machine for a job; returns false if no pool is available for it. */
+    private boolean addNewMachine(
             Job job, int[] tasksPerZone, int commonZone, boolean hasPlannedTasks) {
         MachinePool pool = choosePool(job, tasksPerZone, commonZone, hasPlannedTasks);
         if (pool == null) {
@@ -175,6 +186,7 @@
         return true;
     }
 
+    /** Whether the job's constraints allow another task on an empty machine of this kind. */
     private static boolean canHost(
             Job job, MachineType type, int zone, boolean spot, int[] tasksPerZone, int commonZone) {
         return job.spec().allowsMachineType(type.name())
@@ -186,13 +198,15 @@
     }
 
     /**
-     * The cheapest pool that may have machines; among equal prices the one with the fewest
-     * machines; null if there is none.
+     * The cheapest pool that allows the job's tasks and is not in backoff; among pools of equal
+     * price the one with the fewest machines; null if there is none.
+     *
+     * <p>A guest team (no guarantee) uses machines that are unused, and only spot instances are
+     * requested for it: on-demand machines would be taken from the teams that are guaranteed them,
+     * at twice their worth. On-demand machines may still be requested for a job that does not allow
+     * spot instances, and for the first task of a job, so that the job can start.
      *
-     * <p>A guest team (one without a guarantee) gets unused machines and spot machines only:
-     * on-demand machines would be taken from the teams that are guaranteed them, at twice their
-     * worth. For a job of a guest that has no task yet an on-demand machine may be requested all
-     * the same, so that the job begins.
+     * @param hasPlannedTasks whether this plan already contains a task of the job
      */
     private MachinePool choosePool(
             Job job, int[] tasksPerZone, int commonZone, boolean hasPlannedTasks) {
@@ -220,6 +234,7 @@
         return cheapest;
     }
 
+    /** The price of the share of a machine that a task uses, plus the cost of the pool's size. */
     private double cost(Job job, MachineType type, MachinePool pool) {
         double taskShare = job.spec().resourcesPerTask().dominantShare(type.capacity());
         return type.price(pool.spot()) * taskShare + MACHINE_COUNT_WEIGHT * machineCount(pool);
@@ -230,9 +245,9 @@
     }
 
     /**
-     * How much room should be free, in machines: at least one.
+     * The free resources to provide, in machines; at least one.
      *
-     * @param headroomShare machines to be free for each machine that is in use
+     * @param headroomShare number of machines to keep free per machine in use
      */
     double headroomMachines(double headroomShare) {
         long busyMachines = capacities.stream().filter(capacity -> !capacity.isEmpty()).count();
@@ -240,10 +255,11 @@
     }
 
     /**
-     * Keeps room free on on-demand machines, on whole machines or in pieces.
+     * Plans on-demand machines for the part of the headroom that on-demand machines do not provide
+     * yet. Free shares of partly used machines count towards the headroom.
      *
-     * @return how much free room there is beyond the headroom, in machines; negative if there is
-     *     less
+     * @return free resources beyond the headroom, in machines; negative if the headroom is not
+     *     reached without the new machines
      */
     double addHeadroom(double headroomMachines) {
         double readyMachines = 0;
@@ -261,7 +277,10 @@
         return readyMachines - headroomMachines;
     }
 
-    /** The on-demand pool with the fewest machines and the lowest price; null if none has any. */
+    /**
+     * The on-demand pool with the lowest sum of its machine count and its price; null if all pools
+     * are in backoff.
+     */
     private MachinePool chooseHeadroomPool() {
         MachinePool best = null;
         for (MachineType type : catalog.typesByName().values()) {
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
@@ -16,13 +16,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The scale-out requests of one term: owns the requests without a final answer, and the pools of
- * which the cloud had too few machines. A request without an answer is repeated under its name,
- * which makes it idempotent.
+ * The scale-out requests of one leader's term. Owns the requests without a final result, and the
+ * backoff of pools for which the cloud had insufficient capacity. A request whose result is unknown
+ * is sent again under the same name, which makes it idempotent.
  */
 final class ScaleOutRequests {
     private static final Logger LOG = LoggerFactory.getLogger(ScaleOutRequests.class);
-    private static final double REFUSAL_BACKOFF_SECONDS = 15;
+    private static final double INSUFFICIENT_CAPACITY_BACKOFF_SECONDS = 15;
     private static final double RETRY_DELAY_SECONDS = 1.0;
     private static final int MAX_MACHINES_PER_REQUEST = 50;
 
@@ -30,17 +30,21 @@
     private final MachineCatalog catalog;
     private final MachineRegistry machines;
     private final SchedulerOutput output;
-    private final Map<MachinePool, Double> refusedUntilSeconds = new HashMap<>();
+    private final Map<MachinePool, Double> backoffUntilSecondsByPool = new HashMap<>();
 
-    /** Requests without a final answer, and when to repeat them; infinity: once they failed. */
+    /**
+     * Requests without a final result, and when to send each of them again; infinity while a
+     * request is in flight.
+     */
     private final Map<ScaleOutRequest, Double> retryAtSecondsByRequest = new LinkedHashMap<>();
 
-    private long requestCount;
+    private long lastRequestNumber;
 
     /**
-     * Creates it without requests.
+     * Creates the requests of a term; there are none yet.
      *
-     * @param term the leader's term, which names of requests begin with: no two terms use the same
+     * @param term the leader's term; the names of requests contain it, so that no two terms use the
+     *     same name
      */
     ScaleOutRequests(
             long term, MachineCatalog catalog, MachineRegistry machines, SchedulerOutput output) {
@@ -50,17 +54,17 @@
         this.output = output;
     }
 
-    /** Requests without a final answer, oldest first. */
+    /** Requests without a final result, oldest first. */
     Set<ScaleOutRequest> pending() {
         return retryAtSecondsByRequest.keySet();
     }
 
-    /** Whether the cloud had too few machines of the pool a short while ago. */
+    /** Whether no machines of the pool are requested for now, as the cloud granted too few. */
     boolean isInBackoff(MachinePool pool, double nowSeconds) {
-        return nowSeconds < refusedUntilSeconds.getOrDefault(pool, 0.0);
+        return nowSeconds < backoffUntilSecondsByPool.getOrDefault(pool, 0.0);
     }
 
-    /** Requests machines of a pool, in as many requests as that takes. */
+    /** Requests machines of a pool, in several requests if there are too many for one. */
     void request(MachinePool pool, int machineCount) {
         for (int remaining = machineCount; remaining > 0; remaining -= MAX_MACHINES_PER_REQUEST) {
             sendRequest(pool, Math.min(remaining, MAX_MACHINES_PER_REQUEST));
@@ -70,7 +74,7 @@
     private void sendRequest(MachinePool pool, int machineCount) {
         ScaleOutRequest request =
                 new ScaleOutRequest(
-                        "t" + term + "-" + ++requestCount,
+                        "t" + term + "-" + ++lastRequestNumber,
                         pool.type(),
                         catalog.zones().name(pool.zone()),
                         pool.spot(),
@@ -86,6 +90,7 @@
         output.scaleOut(request);
     }
 
+    /** Sends again the requests with an unknown result whose retry delay has passed. */
     void retryDueRequests(double nowSeconds) {
         for (var pendingRequest : retryAtSecondsByRequest.entrySet()) {
             if (nowSeconds >= pendingRequest.getValue()) {
@@ -95,7 +100,7 @@
         }
     }
 
-    /** Applies the cloud's result; a request with an unknown result is repeated. */
+    /** Applies the result of a request; if the result is unknown, schedules a retry. */
     void onResponse(ScaleOutRequest request, ScaleOutResult result, double nowSeconds) {
         if (!retryAtSecondsByRequest.containsKey(request)) {
             return;
@@ -105,28 +110,31 @@
             return;
         }
         retryAtSecondsByRequest.remove(request);
-        List<String> received =
-                result instanceof ScaleOutResult.Granted granted
-                        ? granted.machineNames()
+        List<String> grantedNames =
+                result instanceof ScaleOutResult.Granted grantedResult
+                        ? grantedResult.machineNames()
                         : List.of();
-        if (received.size() < request.count()) {
-            onIncomplete(request, received.size(), nowSeconds);
+        if (grantedNames.size() < request.count()) {
+            onInsufficientCapacity(request, grantedNames.size(), nowSeconds);
         }
-        received.forEach(name -> addMachine(name, request, nowSeconds));
+        grantedNames.forEach(name -> addMachine(name, request, nowSeconds));
     }
 
-    private void onIncomplete(ScaleOutRequest request, int receivedCount, double nowSeconds) {
+    /** Starts the backoff of the pool after the cloud granted fewer machines than requested. */
+    private void onInsufficientCapacity(
+            ScaleOutRequest request, int grantedCount, double nowSeconds) {
         LOG.info(
-                "scale-out incomplete: request={} received={} requested={}",
+                "scale-out not fully granted: request={} granted={} requested={}",
                 request.name(),
-                receivedCount,
+                grantedCount,
                 request.count());
         int zone = catalog.zones().getOrAssign(request.zone());
-        refusedUntilSeconds.put(
+        backoffUntilSecondsByPool.put(
                 new MachinePool(request.type(), zone, request.spot()),
-                nowSeconds + REFUSAL_BACKOFF_SECONDS);
+                nowSeconds + INSUFFICIENT_CAPACITY_BACKOFF_SECONDS);
     }
 
+    /** Adds a granted machine to the registry, unless it is there or terminated already. */
     private void addMachine(String name, ScaleOutRequest request, double nowSeconds) {
         if (machines.get(name) == null && !machines.isTerminated(name)) {
             machines.add(
--- a/src/test/java/io/kelphoist/scheduler/placement/PlacementCandidatesTest.java
+++ b/src/test/java/io/kelphoist/scheduler/placement/PlacementCandidatesTest.java
@@ -29,12 +29,15 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 
 /**
- * Machines that are alike are considered as one: the choice must be that of a search over all
- * machines.
+ * Guards against choosing another machine than a search over all machines would. {@link
+ * PlacementCandidates} evaluates equivalent machines only once and, between two tasks of a job,
+ * only the machines that changed. If an attribute is missing in the equivalence, or a change does
+ * not update the ranking, it chooses a machine that is not the cheapest or not allowed.
  */
 class PlacementCandidatesTest {
     private static final List<String> ZONES = List.of("a", "b", "c");
 
+    /** Machines with random types, cached images, attempts and holds. */
     private static final class RandomCluster {
         private final MachineType large =
                 new MachineType("large", new Resources(24, 4, 96), 20, 0.5, 8, 3, 25, ZONES);
@@ -99,8 +102,8 @@
 
         RandomCluster(Random random) {
             ZONES.forEach(zones::getOrAssign);
-            int count = 1 + random.nextInt(60);
-            for (int i = 0; i < count; i++) {
+            int machineCount = 1 + random.nextInt(60);
+            for (int i = 0; i < machineCount; i++) {
                 Machine machine =
                         new Machine(
                                 new MachineIdentity(
@@ -118,28 +121,28 @@
                 }
             }
             for (int i = random.nextInt(30); i > 0; i--) {
-                Job other = addJob(random, random.nextInt(6));
-                Machine machine = machines.get(random.nextInt(count));
-                if (other.spec().resourcesPerTask().fitsIn(machine.free())) {
-                    TaskAttempt attempt = place(other, 0, machine);
+                Job otherJob = addJob(random, random.nextInt(6));
+                Machine machine = machines.get(random.nextInt(machineCount));
+                if (otherJob.spec().resourcesPerTask().fitsIn(machine.free())) {
+                    TaskAttempt attempt = place(otherJob, 0, machine);
                     attempt.transitionTo(
                             List.of(TaskAttempt.State.values()).get(random.nextInt(6)),
                             ExitReason.ERROR,
                             0);
                     if (attempt.state() == TaskAttempt.State.EXITED) {
-                        machine.resources().deallocate(other.spec().resourcesPerTask());
+                        machine.resources().deallocate(otherJob.spec().resourcesPerTask());
                     }
                 }
             }
-            reserveMachines(random);
+            holdRandomMachines(random);
         }
 
-        private void reserveMachines(Random random) {
+        private void holdRandomMachines(Random random) {
             for (int i = random.nextInt(4); i > 0; i--) {
-                Machine reserved = machines.get(random.nextInt(machines.size()));
+                Machine heldMachine = machines.get(random.nextInt(machines.size()));
                 Job holder =
                         jobs.isEmpty() ? addJob(random, 0) : jobs.get(random.nextInt(jobs.size()));
-                reserved.hold().addTask(holder, random.nextInt(3));
+                heldMachine.hold().addTask(holder, random.nextInt(3));
             }
         }
 
@@ -201,9 +204,11 @@
 
     private static int chosenMachines;
 
-    /** The property would hold as well if nothing ever fitted. */
+    /** Without this check, the property would also pass if no task ever fitted on a machine. */
     @AfterContainer
-    static void somethingWasChosen() {
-        assertTrue(chosenMachines > 5_000, chosenMachines + " machines chosen");
+    static void checksThatManyMachinesWereChosen() {
+        assertTrue(
+                chosenMachines > 5_000,
+                chosenMachines + " machines were chosen, expected more than 5,000");
     }
 }
