--- a/src/main/java/io/kelphoist/scheduler/autoscaling/MachineConsolidator.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/MachineConsolidator.java
@@ -127,8 +127,8 @@
 
     /**
      * Stops a machine's service replicas, so that they restart on other machines. Does nothing
-     * unless all of the machine's attempts are movable replicas and each of them fits on a machine
-     * that has its image cached.
+     * unless all of the machine's attempts that occupy resources are movable replicas and each of
+     * them fits on a machine that has its image cached.
      */
     private void moveReplicas(Machine source, double nowSeconds) {
         List<TaskAttempt> replicas = new ArrayList<>();
--- a/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
@@ -25,6 +25,9 @@
  * have the same cost for the job. They form an equivalence class, of which only the first machine
  * is ranked. Related machines are ranked individually. Between two tasks of a job, only machines
  * that changed since are evaluated again.
+ *
+ * <p>Exception: failures of the job on individual machines are not part of the equivalence class,
+ * so the result may differ if the job failed on a machine that is not related to its image.
  */
 public final class PlacementCandidates implements Machine.CandidateSet {
     /**
@@ -50,7 +53,10 @@
         }
     }
 
-    /** The machines of one equivalence class, including those related to some job's image. */
+    /**
+     * The machines of one equivalence class. Those that are related to a job's image are included,
+     * and are skipped for that job.
+     */
     private static final class EquivalentMachines {
         private final EquivalenceClass equivalenceClass;
 
--- a/src/main/java/io/kelphoist/scheduler/preemption/PreemptionSearch.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/PreemptionSearch.java
@@ -194,7 +194,8 @@
 
     /**
      * Chooses the cheapest slots in a zone, or in all zones, within the job's limit of tasks per
-     * zone. Empty if no slot, or for a gang not every task's slot, is found.
+     * zone. Empty if there is no slot or, for a gang, if there are slots for only some of its
+     * tasks.
      */
     private Optional<PreemptionPlan> planInZone(int onlyZone) {
         List<TaskSlot> chosenSlots = new ArrayList<>();
--- a/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
@@ -36,7 +36,10 @@
 
     private static final int MAX_HOLDS_PER_RUN = 4;
 
-    /** Bounds the duration of one run, as each search visits every machine. */
+    /**
+     * Bounds the duration of one run, as each search visits every machine. Searches for the
+     * remaining jobs follow in the next run.
+     */
     private static final int MAX_SEARCHES_PER_RUN = 16;
 
     /** No task is preempted to avoid an image fetch shorter than this. */
@@ -127,7 +130,8 @@
 
     /**
      * Stops array tasks of lower priority of the job's own team, as many as needed for the job to
-     * fit in the team's limit. Stops none if stopping all of them would not be enough.
+     * fit in the team's limit, and those that lose the least work first. Stops none if stopping all
+     * of them would not be enough.
      */
     private void preemptWithinTeam(Job job, double nowSeconds) {
         List<TaskAttempt> preemptible = new ArrayList<>();
@@ -242,8 +246,9 @@
 
     /**
      * Whether a job starts sooner by preempting other tasks than by starting on free resources and
-     * fetching its image there; always true while machines are held for the job. Tasks with a
-     * deadline are not preempted if the job meets the start objective of its class without that.
+     * fetching its image there; always true while machines are held for the job, and always false
+     * for suspect jobs and short fetches. Tasks with a deadline are not preempted if the job meets
+     * the start objective of its class without that.
      *
      * @param fetchSeconds expected duration of the image fetch without preemption
      */
