--- a/src/main/java/io/kelphoist/events/TaskEventLog.java
+++ b/src/main/java/io/kelphoist/events/TaskEventLog.java
@@ -85,7 +85,7 @@
             return new JobEventType.Stopped(
                     stopped.taskIndex(), stopped.machineName(), causeText(stopped.cause()));
         }
-        if (taskEvent instanceof TaskEvent.RoomReserved reserved) {
+        if (taskEvent instanceof TaskEvent.CapacityReserved reserved) {
             return new JobEventType.CapacityHeld(reserved.machineCount());
         }
         return taskEvent instanceof TaskEvent.WaitingForDependencies
--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -210,7 +210,7 @@
     }
 
     @Override
-    public boolean mayDecide(double nowSeconds) {
+    public boolean maySchedule(double nowSeconds) {
         return state == State.ACTIVE;
     }
 
@@ -314,7 +314,7 @@
      * the previous leader in flight; then machines with other tasks.
      */
     private static int requestPriority(Machine machine) {
-        if (machine.hasGangOrServiceTask() || machine.hasUnansweredCommandOfPreviousLeader()) {
+        if (machine.hasGangOrServiceTask() || machine.isPreviousLeaderCommandOutcomeUnknown()) {
             return 0;
         }
         return machine.hasAttempts() ? 1 : 2;
--- a/src/main/java/io/kelphoist/leadership/LeaderTerm.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTerm.java
@@ -156,7 +156,7 @@
     public void decide(double nowSeconds) {
         failover.advance(schedulerState.machines(), nowSeconds);
         schedulerState.tick(nowSeconds);
-        if (nowSeconds >= nextReconcileAtSeconds && failover.mayDecide(nowSeconds)) {
+        if (nowSeconds >= nextReconcileAtSeconds && failover.maySchedule(nowSeconds)) {
             nextReconcileAtSeconds = nowSeconds + RECONCILE_INTERVAL_SECONDS;
             RecordReplication records = replication.records();
             schedulerState
--- a/src/main/java/io/kelphoist/scheduler/SchedulerState.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerState.java
@@ -85,7 +85,7 @@
 
     /** Whether decisions are allowed, as the first round of heartbeats after failover is over. */
     public boolean isRecovered() {
-        return promotionGate.mayDecide(Double.NaN);
+        return promotionGate.maySchedule(Double.NaN);
     }
 
     /** Whether commands to some machine were sent and have not ended. */
@@ -196,7 +196,7 @@
      */
     public void onLoaded(double nowSeconds) {
         for (Machine machine : machines.all()) {
-            machine.contact().onPossiblyAnswered(nowSeconds);
+            machine.contact().onResponsePossiblySent(nowSeconds);
         }
         parts.jobRecordHandler.onLoaded();
     }
@@ -310,7 +310,7 @@
     public void tick(double nowSeconds) {
         parts.leaseMonitor.run(nowSeconds);
         parts.jobEndWriter.storeDueEnds();
-        if (promotionGate.mayDecide(nowSeconds)) {
+        if (promotionGate.maySchedule(nowSeconds)) {
             parts.allocator.allocate(nowSeconds);
             parts.autoscaler.scaleToDemand(parts.allocator.unplacedJobs(), nowSeconds);
             parts.queueWaitTracker.run(parts.allocator.unplacedJobs(), nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/allocation/ArrayScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/ArrayScheduler.java
@@ -35,7 +35,7 @@
                 || !shouldWaitForCachedImage(job, offered, nowSeconds)) {
             return false;
         }
-        job.roomSearch().onRoomDeclined(nowSeconds);
+        job.capacityAcquisition().onPlacementDeclined(nowSeconds);
         return true;
     }
 
@@ -50,7 +50,7 @@
         if (nowSeconds - job.waitingSinceSeconds() >= waitSeconds) {
             return false;
         }
-        for (Machine machine : imageLocations.machinesRelatedTo(job.imageIndex()).keySet()) {
+        for (Machine machine : imageLocations.machinesReferencing(job.imageIndex()).keySet()) {
             if (machine != offered
                     && machine.acceptsWork(nowSeconds)
                     && machine.images().isCached(job.imageIndex())
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
@@ -47,13 +47,14 @@
      * @param taskMachines a machine for each task, one by one
      */
     void reserve(Job job, List<Machine> taskMachines, double nowSeconds) {
-        if (nowSeconds < job.roomSearch().noReservationBeforeSeconds() || taskMachines.isEmpty()) {
+        if (nowSeconds < job.capacityAcquisition().noReservationBeforeSeconds()
+                || taskMachines.isEmpty()) {
             return;
         }
-        if (job.roomSearch().reservedUntilSeconds() == 0) {
-            job.roomSearch().beginReservation(nowSeconds + policy.gangHoldSeconds());
-        } else if (nowSeconds >= job.roomSearch().reservedUntilSeconds()) {
-            job.roomSearch().expireReservation(nowSeconds + policy.gangHoldSeconds());
+        if (job.capacityAcquisition().reservedUntilSeconds() == 0) {
+            job.capacityAcquisition().beginReservation(nowSeconds + policy.gangHoldSeconds());
+        } else if (nowSeconds >= job.capacityAcquisition().reservedUntilSeconds()) {
+            job.capacityAcquisition().expireReservation(nowSeconds + policy.gangHoldSeconds());
             return;
         }
         Resources perTask = job.spec().resourcesPerTask();
@@ -65,7 +66,7 @@
                 job.team().reserveForGang(perTask);
             }
         }
-        output.publishEvent(job, new TaskEvent.RoomReserved(reservedMachineCount(job)));
+        output.publishEvent(job, new TaskEvent.CapacityReserved(reservedMachineCount(job)));
     }
 
     private int reservedMachineCount(Job job) {
@@ -89,7 +90,11 @@
                 reservation ->
                         !reservation.job.isActive()
                                 || reservation.job.tasks().hasAttempts()
-                                || nowSeconds >= reservation.job.roomSearch().reservedUntilSeconds()
+                                || nowSeconds
+                                        >= reservation
+                                                .job
+                                                .capacityAcquisition()
+                                                .reservedUntilSeconds()
                                 || !reservation.machine.acceptsWork(nowSeconds));
     }
 
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
@@ -42,7 +42,7 @@
         if (taskMachines.size() == job.spec().tasks()) {
             return startUnlessPreemptionIsSooner(offer, job, taskMachines);
         }
-        if (!job.isSuspect() && !preemptor.canMakeRoom(job, offer.nowSeconds())) {
+        if (!job.isSuspectedFaulty() && !preemptor.canMakeRoom(job, offer.nowSeconds())) {
             reservations.reserve(job, taskMachines, offer.nowSeconds());
         }
         return false;
@@ -69,7 +69,7 @@
     }
 
     private void startGang(Job job, List<Machine> taskMachines, double nowSeconds) {
-        job.roomSearch().endReservation();
+        job.capacityAcquisition().endReservation();
         job.beginGangAttempt(attempts.nextAttemptId());
         for (int task = 0; task < taskMachines.size(); task++) {
             attempts.start(job, task, taskMachines.get(task), job.gangAttemptId(), nowSeconds);
@@ -142,7 +142,7 @@
     /** Places tasks on the machines that are held for the job. */
     private static List<Machine> placeOnHeldMachines(ResourceOffer offer, Job job, int onlyZone) {
         List<Machine> heldMachines = new ArrayList<>();
-        for (Machine machine : job.roomSearch().heldMachines()) {
+        for (Machine machine : job.capacityAcquisition().heldMachines()) {
             if ((onlyZone == GangPlacement.ANY_ZONE || machine.zone() == onlyZone)
                     && offer.allows(job, machine)) {
                 heldMachines.add(machine);
--- a/src/main/java/io/kelphoist/scheduler/allocation/QueueWaitTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/QueueWaitTracker.java
@@ -82,13 +82,13 @@
 
     private String waitReason(Job job, double nowSeconds) {
         Resources required = PreemptionSearch.minimumDemand(job);
-        if (job.isSuspect()) {
+        if (job.isSuspectedFaulty()) {
             return "fails on every machine";
         } else if (!job.team().isWithinLimit(required)) {
             return "team limit, used " + job.team().used();
-        } else if (job.roomSearch().hasHeldMachines()) {
-            return job.roomSearch().heldMachineCount() + " machines held";
-        } else if (job.roomSearch().reservedUntilSeconds() > nowSeconds) {
+        } else if (job.capacityAcquisition().hasHeldMachines()) {
+            return job.capacityAcquisition().heldMachineCount() + " machines held";
+        } else if (job.capacityAcquisition().reservedUntilSeconds() > nowSeconds) {
             return "room reserved";
         }
         return job.team().isWithinGuarantee(required)
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -91,7 +91,7 @@
                     "machine failed: machine={} tasks={}",
                     machine.name(),
                     machine.attempts().size());
-            machineLifecycle.onStopped(machine, nowSeconds);
+            machineLifecycle.onInstanceStopped(machine, nowSeconds);
         }
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
@@ -138,7 +138,7 @@
     /** Tasks for which machines are held: they need no others. */
     private static int heldTaskCount(Job job) {
         int heldTasks = 0;
-        for (Machine machine : job.roomSearch().heldMachines()) {
+        for (Machine machine : job.capacityAcquisition().heldMachines()) {
             heldTasks += machine.hold().taskCount();
         }
         return heldTasks;
--- a/src/main/java/io/kelphoist/scheduler/cluster/RoomSearch.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
@@ -8,7 +8,7 @@
  * machines held for it, and searches for work to preempt. Each has a time before which it is not
  * tried again.
  */
-public final class RoomSearch {
+public final class CapacityAcquisition {
     /** When the job last had room and waited for better. */
     private double declinedAtSeconds = Double.NEGATIVE_INFINITY;
 
@@ -23,12 +23,12 @@
     private double noOwnTeamPreemptionBeforeSeconds;
 
     /** Whether the job had room at this time and waited for better: nothing is stopped for it. */
-    public boolean wasDeclinedAt(double nowSeconds) {
+    public boolean wasPlacementDeclinedAt(double nowSeconds) {
         return declinedAtSeconds == nowSeconds;
     }
 
     /** The job has room now and waits for better. */
-    public void onRoomDeclined(double nowSeconds) {
+    public void onPlacementDeclined(double nowSeconds) {
         declinedAtSeconds = nowSeconds;
     }
 
--- a/src/main/java/io/kelphoist/scheduler/cluster/Job.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Job.java
@@ -10,7 +10,7 @@
 /**
  * A job that the leader works on, from its record until its end is stored and none of its attempts
  * is, or may be, on a machine. Owns its state; parts of it are in {@link JobTasks}, {@link
- * JobUrgency}, {@link JobFailures} and {@link RoomSearch}.
+ * JobUrgency}, {@link JobFailures} and {@link CapacityAcquisition}.
  */
 public final class Job {
     /** The states of a job; {@link #transitionTo} is the only method that changes it. */
@@ -43,7 +43,7 @@
     private final boolean[] allowedZones;
     private final JobTasks tasks;
     private final JobFailures failures = new JobFailures();
-    private final RoomSearch roomSearch = new RoomSearch();
+    private final CapacityAcquisition capacityAcquisition = new CapacityAcquisition();
     private final JobUrgency urgency;
     private State state = State.WAITING;
 
@@ -136,8 +136,8 @@
     }
 
     /** What was done to make room for it. */
-    public RoomSearch roomSearch() {
-        return roomSearch;
+    public CapacityAcquisition capacityAcquisition() {
+        return capacityAcquisition;
     }
 
     // ---- state ----
@@ -289,20 +289,20 @@
         return tasks.hasAttempts() || gangHasRun || tasks.hasDone();
     }
 
-    /** Whether it fails on every machine, see {@link JobFailures#isSuspect}. */
-    public boolean isSuspect() {
-        return failures.isSuspect();
+    /** Whether it fails on every machine, see {@link JobFailures#isSuspectedFaulty}. */
+    public boolean isSuspectedFaulty() {
+        return failures.isSuspectedFaulty();
     }
 
     /** Whether it is suspect and a task of it is tried: no other one starts meanwhile. */
     public boolean isOnTrial(double nowSeconds) {
         failures.endTrialIfPassed(runningTaskCount > 0, nowSeconds);
-        return isSuspect() && tasks.hasAttempts();
+        return isSuspectedFaulty() && tasks.hasAttempts();
     }
 
     /** How many pending tasks may start now. */
     public int startableTaskCount() {
-        return isSuspect() && spec.kind() != JobKind.GANG
+        return isSuspectedFaulty() && spec.kind() != JobKind.GANG
                 ? Math.min(1, tasks.pendingCount())
                 : tasks.pendingCount();
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
@@ -50,7 +50,7 @@
      * Whether the job fails on every machine, so that the fault is its own. Until a task of it
      * works only one task, or one gang, is tried at a time, and no room is made or rented for more.
      */
-    boolean isSuspect() {
+    boolean isSuspectedFaulty() {
         return failedMachineCount >= SUSPECT_AFTER_MACHINES;
     }
 
@@ -60,18 +60,18 @@
      * @param isNewMachine whether no task of the job had failed on that machine
      */
     public void onTaskFailed(boolean isNewMachine, double nowSeconds) {
-        boolean wasSuspect = isSuspect();
+        boolean wasSuspect = isSuspectedFaulty();
         errorCount++;
         failedMachineCount += isNewMachine ? 1 : 0;
         avoidsFailedMachines = true;
-        if (isSuspect() && !wasSuspect) {
+        if (isSuspectedFaulty() && !wasSuspect) {
             // Other tasks may run well: if they go on, the fault was not the job's.
             trialStartedAtSeconds = nowSeconds;
         }
         // If only few machines failed they may be faulty, and the next attempt avoids them.
         retryAtSeconds =
                 nowSeconds
-                        + (isSuspect()
+                        + (isSuspectedFaulty()
                                 ? backoffSeconds()
                                 : failedMachineCount * failedMachineCount);
     }
@@ -89,21 +89,23 @@
     }
 
     void onTaskRunning(double nowSeconds) {
-        if (isSuspect()) {
+        if (isSuspectedFaulty()) {
             trialStartedAtSeconds = nowSeconds;
         }
     }
 
     /** Clears the suspicion if a task has run for long enough. */
     void endTrialIfPassed(boolean isRunning, double nowSeconds) {
-        if (isSuspect() && isRunning && nowSeconds > trialStartedAtSeconds + TRIAL_SECONDS) {
+        if (isSuspectedFaulty()
+                && isRunning
+                && nowSeconds > trialStartedAtSeconds + TRIAL_SECONDS) {
             onTaskSucceeded();
         }
     }
 
     /** Whether the job keeps away from machines where it failed, to tell whose fault that was. */
     public boolean avoidsFailedMachines() {
-        return avoidsFailedMachines && !isSuspect();
+        return avoidsFailedMachines && !isSuspectedFaulty();
     }
 
     /** The job keeps away from such machines only for a while, as there may be no others. */
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobRegistry.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobRegistry.java
@@ -35,7 +35,7 @@
     }
 
     /** Forgets a job whose end is stored once none of its attempts is, or may be, on a machine. */
-    public void removeIfOver(Job job) {
+    public void removeIfEnded(Job job) {
         if (!job.tasks().hasAttempts()
                 && (job.state() == Job.State.DONE || job.state() == Job.State.CANCELLED)) {
             jobsById.remove(job.spec().id());
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
@@ -62,7 +62,7 @@
     }
 
     /** Whether every task is pending, done or attempted. */
-    public boolean isComplete() {
+    public boolean areAllTracked() {
         return pending.cardinality() + attemptsByTask.size() + done.cardinality() >= taskCount;
     }
 
--- a/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
@@ -5,14 +5,14 @@
 import io.kelphoist.model.ReplicatedMachine;
 import io.kelphoist.model.Resources;
 import io.kelphoist.scheduler.images.ImageCache;
-import io.kelphoist.scheduler.reachability.AgentContact;
 import io.kelphoist.scheduler.reachability.MachineReachability;
+import io.kelphoist.scheduler.reachability.WorkerContact;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
  * A machine that was requested from the cloud, from its request until its termination is confirmed.
- * Owns the machine's state and resources; parts of it are in {@link AgentContact}, {@link
+ * Owns the machine's state and resources; parts of it are in {@link WorkerContact}, {@link
  * MachineAttempts}, {@link MachineHold} and {@link ImageCache}.
  */
 public final class Machine {
@@ -46,7 +46,7 @@
     public interface CandidateSet {}
 
     private final MachineIdentity identity;
-    private final AgentContact contact;
+    private final WorkerContact contact;
     private final MachineResources resources;
     private final ImageCache<Machine> images;
     private final MachineHold hold = new MachineHold(this);
@@ -88,7 +88,7 @@
         this.resources = new MachineResources(identity.type().capacity());
         this.launchedAtSeconds = nowSeconds;
         this.idleSinceSeconds = nowSeconds;
-        this.contact = new AgentContact(nowSeconds);
+        this.contact = new WorkerContact(nowSeconds);
         this.images = new ImageCache<>(this, identity.type());
     }
 
@@ -205,7 +205,7 @@
     // ---- contact with its worker ----
 
     /** The contact with its worker. */
-    public AgentContact contact() {
+    public WorkerContact contact() {
         return contact;
     }
 
@@ -236,7 +236,7 @@
 
     /** Takes over the position and the address that a heartbeat names. */
     public void updateFrom(Heartbeat heartbeat) {
-        contact.updateNewest(heartbeat);
+        contact.updateNewestMessage(heartbeat);
         address = heartbeat.address();
     }
 
@@ -253,13 +253,13 @@
     }
 
     /** Whether an earlier leader drained it as faulty: it gets no new work from this one either. */
-    public boolean wasDraining() {
+    public boolean wasDrainedAsFaulty() {
         return previousLeaderDraining && state == State.JOINING;
     }
 
     /** Whether a command of an earlier leader may still be on its way. */
-    public boolean hasUnansweredCommandOfPreviousLeader() {
-        return contact.hasUnansweredCommandOfPreviousLeader();
+    public boolean isPreviousLeaderCommandOutcomeUnknown() {
+        return contact.isPreviousLeaderCommandOutcomeUnknown();
     }
 
     // ---- resources ----
@@ -363,10 +363,10 @@
     }
 
     /** How many jobs failed here that do not fail everywhere. */
-    public int countBlamedFailures() {
+    public int countAttributedFailures() {
         int count = 0;
         for (Job job : failedJobs) {
-            count += job.isSuspect() ? 0 : 1;
+            count += job.isSuspectedFaulty() ? 0 : 1;
         }
         return count;
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineAttempts.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineAttempts.java
@@ -73,7 +73,7 @@
     }
 
     /** Whether a task of a cancelled job may run here. */
-    public boolean hasCancelled() {
+    public boolean hasAttemptOfCancelledJob() {
         for (TaskAttempt attempt : attempts) {
             if (attempt.state().occupiesResources() && attempt.job().isCancelled()) {
                 return true;
@@ -83,9 +83,9 @@
     }
 
     /** Whether a direct command with a start got no response. */
-    boolean hasUnansweredStart() {
+    boolean hasStartWithUnknownOutcome() {
         for (TaskAttempt attempt : attempts) {
-            if (attempt.startUnanswered()) {
+            if (attempt.startOutcomeUnknown()) {
                 return true;
             }
         }
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
@@ -30,7 +30,7 @@
     }
 
     /** Whether the machine is held for another job than the candidate. */
-    public boolean isForOther(Job candidate, double nowSeconds) {
+    public boolean isForOtherJob(Job candidate, double nowSeconds) {
         Job holder = jobAt(nowSeconds);
         return holder != null && holder != candidate;
     }
@@ -49,7 +49,7 @@
         if (job != holder) {
             end();
             job = holder;
-            holder.roomSearch().addHeldMachine(machine);
+            holder.capacityAcquisition().addHeldMachine(machine);
         }
         untilSeconds = endsAtSeconds;
         taskCount++;
@@ -67,14 +67,14 @@
     public void end() {
         if (job != null) {
             version++;
-            job.roomSearch().removeHeldMachine(machine);
+            job.capacityAcquisition().removeHeldMachine(machine);
             job = null;
             taskCount = 0;
         }
     }
 
     /** Whether the hold must end: it lasted too long, is in vain, or is not needed any more. */
-    public boolean isOver(double nowSeconds) {
+    public boolean mustEnd(double nowSeconds) {
         return job != null
                 && (nowSeconds >= untilSeconds
                         || !machine.acceptsWork(nowSeconds)
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineReplication.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineReplication.java
@@ -2,7 +2,7 @@
 
 import io.kelphoist.model.NameIndex;
 import io.kelphoist.model.ReplicatedMachine;
-import io.kelphoist.scheduler.reachability.AgentContact;
+import io.kelphoist.scheduler.reachability.WorkerContact;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -31,7 +31,7 @@
     }
 
     private static ReplicatedMachine describe(Machine machine, String zoneName) {
-        AgentContact contact = machine.contact();
+        WorkerContact contact = machine.contact();
         return new ReplicatedMachine(
                 machine.name(),
                 machine.address(),
@@ -42,7 +42,7 @@
                 machine.state() != Machine.State.BOOTING,
                 machine.state() == Machine.State.DRAINING && !machine.drainingForScaleIn(),
                 contact.isPossiblyDisconnected(),
-                contact.hasCommandsInFlight() || machine.attempts().hasUnansweredStart(),
+                contact.hasCommandsInFlight() || machine.attempts().hasStartWithUnknownOutcome(),
                 machine.launchedAtSeconds(),
                 machine.terminationAtSeconds());
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
@@ -27,11 +27,11 @@
          */
         EXITED,
         /** Proven not to be on the machine. */
-        GONE;
+        REMOVED;
 
         /** Whether an attempt in this state is, or may be, on its machine. */
         public boolean occupiesResources() {
-            return this != EXITED && this != GONE;
+            return this != EXITED && this != REMOVED;
         }
     }
 
@@ -53,13 +53,13 @@
     private ExitReason exitReason;
 
     /** A command with its start had no response, so it may be executed minutes later. */
-    private boolean startUnanswered;
+    private boolean startOutcomeUnknown;
 
     /** A command with its start was sent and has not ended. */
     private boolean startInFlight;
 
     /** Its start is stored at the state service. */
-    private boolean recorded;
+    private boolean startRecorded;
 
     /** Its start was sent at least once, in a command or an answer to a heartbeat. */
     private boolean startSent;
@@ -89,7 +89,7 @@
         this.machine = machine;
         this.agentEpoch = agentEpoch;
         this.createdAtSeconds = nowSeconds;
-        this.recorded = attemptId == PRESUMED_ATTEMPT_ID;
+        this.startRecorded = attemptId == PRESUMED_ATTEMPT_ID;
     }
 
     /** The attempt at a task that a record of an earlier term names. */
@@ -117,7 +117,9 @@
      * whether the state changed.
      */
     public boolean transitionTo(State next, ExitReason reason, double nowSeconds) {
-        if (next == state || state == State.GONE || (state == State.EXITED && next != State.GONE)) {
+        if (next == state
+                || state == State.REMOVED
+                || (state == State.EXITED && next != State.REMOVED)) {
             return false;
         }
         state = next;
@@ -157,7 +159,7 @@
                 + attemptId
                 + " "
                 + state
-                + (startUnanswered ? " dangling" : "")
+                + (startOutcomeUnknown ? " dangling" : "")
                 + (isStopping() ? " stopping" : "");
     }
 
@@ -229,13 +231,13 @@
     // ---- the start ----
 
     /** Whether the state service holds the start, so that it may be sent. */
-    public boolean recorded() {
-        return recorded;
+    public boolean startRecorded() {
+        return startRecorded;
     }
 
     /** The state service holds the start. */
-    public void markRecorded() {
-        recorded = true;
+    public void markStartRecorded() {
+        startRecorded = true;
     }
 
     /** Whether its start was sent at least once. */
@@ -258,24 +260,24 @@
     public void onStartOutcome(boolean answered) {
         if (startInFlight) {
             startInFlight = false;
-            startUnanswered |= !answered;
+            startOutcomeUnknown |= !answered;
         }
     }
 
     /** The worker lists a task that an earlier term started. */
     public void onAdopted() {
-        recorded = true;
+        startRecorded = true;
         startSent = true;
     }
 
     /** Whether a direct command with the start got no answer: it may be executed minutes later. */
-    boolean startUnanswered() {
-        return startUnanswered;
+    boolean startOutcomeUnknown() {
+        return startOutcomeUnknown;
     }
 
     /** Whether a direct command with the start may still reach the worker. */
     public boolean mayStartArrive() {
-        return startUnanswered || startInFlight;
+        return startOutcomeUnknown || startInFlight;
     }
 
     // ---- the stop ----
--- a/src/main/java/io/kelphoist/scheduler/cluster/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/package-info.java
@@ -4,8 +4,8 @@
  *
  * <p>Each piece of state has one owner and is changed by its methods alone: {@link
  * io.kelphoist.scheduler.cluster.Job} and its parts ({@code JobTasks}, {@code JobUrgency}, {@code
- * JobFailures}, {@code RoomSearch}), {@link io.kelphoist.scheduler.cluster.Machine} and its parts
- * ({@code MachineAttempts}, {@code MachineHold}, {@code MachineResources}), {@link
+ * JobFailures}, {@code CapacityAcquisition}), {@link io.kelphoist.scheduler.cluster.Machine} and
+ * its parts ({@code MachineAttempts}, {@code MachineHold}, {@code MachineResources}), {@link
  * io.kelphoist.scheduler.cluster.TaskAttempt}, {@link io.kelphoist.scheduler.cluster.TeamUsage},
  * and the registries that hold them. Jobs, machines and attempts are one package because they refer
  * to one another: an attempt is at a task of a job and on a machine, and both list their attempts.
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/AttemptReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/AttemptReconciler.java
@@ -49,7 +49,7 @@
             // What a record names is presumed until the machine has seen this term: nobody knows in
             // which agent epoch it was started.
             if (attempt.agentEpoch() < newAgentEpoch && !attempt.isPresumed()) {
-                attempts.onGone(attempt, nowSeconds);
+                attempts.remove(attempt, nowSeconds);
             }
         }
         if (machine.agentEpoch() > 0) {
@@ -93,13 +93,13 @@
 
     private void onNotListed(TaskAttempt attempt, double nowSeconds) {
         if (attempt.isPresumed() || attempt.state() == TaskAttempt.State.EXITED) {
-            attempts.onGone(attempt, nowSeconds);
+            attempts.remove(attempt, nowSeconds);
         } else if (attempt.state() == TaskAttempt.State.STARTING) {
             // A start in a response to a heartbeat is executed before the next heartbeat or never.
             // A command without a response may be executed at any time, so that such an attempt
             // stays until it is listed.
             if (attempt.isStopping() && !attempt.mayStartArrive()) {
-                attempts.onGone(attempt, nowSeconds);
+                attempts.remove(attempt, nowSeconds);
             }
         } else if (attempt.state().occupiesResources()) {
             // Within an agent epoch a worker lists a task until it is told to forget it. So it
@@ -151,7 +151,7 @@
         for (TaskAttempt presumed = job.tasks().attemptAt(taskIndex);
                 presumed != null && presumed.isPresumed();
                 presumed = job.tasks().attemptAt(taskIndex)) {
-            attempts.onGone(presumed, nowSeconds);
+            attempts.remove(presumed, nowSeconds);
         }
     }
 
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/DeliveryOutcomeHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/DeliveryOutcomeHandler.java
@@ -44,7 +44,7 @@
         }
         if (machine.contact().isTermConfirmed() && heartbeat.fencingToken() < term) {
             prober.probeIfDue(machine, nowSeconds);
-        } else if (!machine.contact().isEnded(heartbeat.agentEpoch())) {
+        } else if (!machine.contact().isEpochEnded(heartbeat.agentEpoch())) {
             applier.apply(machine, heartbeat, nowSeconds);
             // The worker receives what is sent to it. Whether a controller receives what the worker
             // sends only a heartbeat shows, and only that keeps its lease. So this does not count
@@ -95,7 +95,7 @@
             machineLifecycle.onWorkerRestarted(machine, nowSeconds);
         } else {
             // The messages that were known were copies, and nothing of this term is on the machine.
-            machine.contact().forgetNewest();
+            machine.contact().resetNewestMessage();
             onResponse(heartbeat, nowSeconds);
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatApplier.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatApplier.java
@@ -42,7 +42,7 @@
             // This message may be a response to a command, which renews nothing: counted from the
             // last answered heartbeat the lease would seem to end too early, and tasks that a
             // command starts at once would run twice.
-            machine.contact().onPossiblyAnswered(nowSeconds);
+            machine.contact().onResponsePossiblySent(nowSeconds);
         }
         machine.updateFrom(heartbeat);
         if (heartbeat.fencingToken() < term) {
@@ -70,7 +70,8 @@
                 || machine.state() == Machine.State.JOINING
                 || machine.state() == Machine.State.LOST) {
             machine.transitionTo(
-                    machine.wasDraining() ? Machine.State.DRAINING : Machine.State.UP, nowSeconds);
+                    machine.wasDrainedAsFaulty() ? Machine.State.DRAINING : Machine.State.UP,
+                    nowSeconds);
         }
     }
 
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
@@ -52,7 +52,7 @@
         if (machine == null || machine.reachability().hasRestarted()) {
             return null;
         }
-        if (machine.contact().isEnded(heartbeat.agentEpoch())) {
+        if (machine.contact().isEpochEnded(heartbeat.agentEpoch())) {
             // Or the worker restarted within a moment, and counts from 1 again.
             prober.probeIfDue(machine, nowSeconds);
             return null;
@@ -63,7 +63,7 @@
         }
         if (isNewEpochImplausible(machine, heartbeat, nowSeconds)) {
             machine.reachability().deferImplausibleHeartbeat(heartbeat);
-            machine.contact().onAnswered(nowSeconds);
+            machine.contact().onResponseSent(nowSeconds);
             prober.probeIfDue(machine, nowSeconds);
             return List.of();
         }
@@ -91,7 +91,7 @@
         if (!reachability.isStale(heartbeat)) {
             // It may have been sent just before a command told the worker of this term. Then the
             // worker waits for the answer, which renews its lease.
-            machine.contact().onAnswered(nowSeconds);
+            machine.contact().onResponseSent(nowSeconds);
         }
         if (heartbeat.fencingToken() < term || !reachability.isReordered(heartbeat)) {
             prober.probeIfDue(machine, nowSeconds);
@@ -110,7 +110,7 @@
                 && !machine.reachability().isSuspected()
                 && machine.reachability()
                         .leaseCannotHaveExpired(
-                                machine.contact().lastAnsweredAtSeconds(),
+                                machine.contact().lastPossibleResponseAtSeconds(),
                                 leaseSeconds,
                                 nowSeconds);
     }
@@ -129,7 +129,7 @@
                                 receivingController,
                                 leaseSeconds,
                                 nowSeconds);
-        machine.contact().onAnswered(nowSeconds);
+        machine.contact().onResponseSent(nowSeconds);
         machine.contact().onHeartbeat(nowSeconds);
         if (machine.reachability().isSuspected() || switchedController) {
             prober.probeIfDue(machine, nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatResponder.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatResponder.java
@@ -48,7 +48,7 @@
         // A stop does not end an attempt whose start may arrive later: the worker starts it with
         // this answer, and then stops it.
         boolean startMayArrive = attempt.mayStartArrive();
-        if (isStarting && attempt.recorded() && (!attempt.isStopping() || startMayArrive)) {
+        if (isStarting && attempt.startRecorded() && (!attempt.isStopping() || startMayArrive)) {
             commands.add(new WorkerCommand.Start(jobId, attempt.taskIndex(), attempt.attemptId()));
             attempt.onStartSentInResponse();
         }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/MachineProber.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/MachineProber.java
@@ -21,7 +21,7 @@
     /** Probes the machine unless that was done a moment ago, or is not possible yet. */
     void probeIfDue(Machine machine, double nowSeconds) {
         if (machine.address() != null
-                && promotionGate.mayDecide(nowSeconds)
+                && promotionGate.maySchedule(nowSeconds)
                 && machine.reachability().isProbeDue(nowSeconds)) {
             machine.reachability()
                     .onProbeSent(
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
@@ -219,7 +219,7 @@
     private static void onFailed(TaskAttempt attempt, double nowSeconds) {
         Job job = attempt.job();
         Machine machine = attempt.machine();
-        boolean wasSuspect = job.isSuspect();
+        boolean wasSuspect = job.isSuspectedFaulty();
         job.failures().onTaskFailed(machine.recordFailure(job), nowSeconds);
         LOG.info(
                 "task failed: job={} task={} machine={} jobErrors={} failedMachines={}",
@@ -228,7 +228,7 @@
                 machine.name(),
                 job.failures().errorCount(),
                 job.failures().failedMachineCount());
-        if (job.isSuspect() && !wasSuspect) {
+        if (job.isSuspectedFaulty() && !wasSuspect) {
             LOG.warn(
                     "job fails on every machine, only little of it is tried at a time: job={}",
                     job.spec().id());
@@ -237,7 +237,7 @@
     }
 
     private static void drainIfFaulty(Machine machine, double nowSeconds) {
-        int failedJobCount = machine.countBlamedFailures();
+        int failedJobCount = machine.countAttributedFailures();
         if (failedJobCount >= FAULTY_MACHINE_FAILURES && machine.state() == Machine.State.UP) {
             LOG.warn(
                     "machine is faulty, it is drained and returned: machine={} failedJobs={}",
--- a/src/main/java/io/kelphoist/scheduler/images/ImageLocations.java
+++ b/src/main/java/io/kelphoist/scheduler/images/ImageLocations.java
@@ -21,14 +21,14 @@
             new Int2ObjectOpenHashMap<>();
 
     /** The machines that are related to an image, each with the number of reasons. */
-    public Reference2IntMap<M> machinesRelatedTo(int image) {
+    public Reference2IntMap<M> machinesReferencing(int image) {
         Reference2IntMap<M> machines = referenceCountsByImage.get(image);
         return machines == null ? Reference2IntMaps.emptyMap() : machines;
     }
 
     /** Whether the machine is related to the image. */
-    public boolean isRelated(int image, M machine) {
-        return machinesRelatedTo(image).containsKey(machine);
+    public boolean isReferencedBy(int image, M machine) {
+        return machinesReferencing(image).containsKey(machine);
     }
 
     /** The machine has one more reason to be related to the image. */
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobReconciler.java
@@ -73,7 +73,7 @@
 
     /** Each task of an active job is pending, done or attempted. */
     private void requeueLostTasks(Job job, double nowSeconds) {
-        if (!job.isActive() || job.tasks().isComplete()) {
+        if (!job.isActive() || job.tasks().areAllTracked()) {
             return;
         }
         for (int taskIndex = job.tasks().nextLost(0);
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
@@ -134,7 +134,7 @@
 
     private void releaseEndedJob(Job job, boolean done) {
         progressRecords.onJobEnded(job);
-        jobs.removeIfOver(job);
+        jobs.removeIfEnded(job);
         output.publishEvent(job, new TaskEvent.JobEnded(done));
     }
 
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
@@ -106,7 +106,7 @@
         attempt.machine().resources().deallocate(job.spec().resourcesPerTask());
         job.team().deallocate(job.spec().resourcesPerTask());
         job.removeAttempt(attempt, nowSeconds);
-        jobs.removeIfOver(job);
+        jobs.removeIfEnded(job);
     }
 
     // ---- stop ----
@@ -124,7 +124,7 @@
             return;
         }
         if (attempt.state() == TaskAttempt.State.STARTING && !attempt.startSent()) {
-            onGone(attempt, nowSeconds);
+            remove(attempt, nowSeconds);
             return;
         }
         attempt.requestStop(graceSeconds, nowSeconds);
@@ -141,12 +141,12 @@
     // ---- end ----
 
     /** The attempt is proven not to be on its machine. */
-    public void onGone(TaskAttempt attempt, double nowSeconds) {
-        if (attempt.state() == TaskAttempt.State.GONE) {
+    public void remove(TaskAttempt attempt, double nowSeconds) {
+        if (attempt.state() == TaskAttempt.State.REMOVED) {
             return;
         }
         boolean wasRunning = attempt.isRunningAllocated();
-        attempt.transitionTo(TaskAttempt.State.GONE, attempt.exitReason(), nowSeconds);
+        attempt.transitionTo(TaskAttempt.State.REMOVED, attempt.exitReason(), nowSeconds);
         attempt.machine().removeAttempt(attempt, nowSeconds);
         startIntentLog.onAttemptEnded(attempt);
         deallocate(attempt, nowSeconds);
@@ -163,9 +163,9 @@
     }
 
     /** Nothing runs on the machine any more. */
-    void onAllGone(Machine machine, double nowSeconds) {
+    void removeAll(Machine machine, double nowSeconds) {
         for (TaskAttempt attempt : machine.attempts().copy()) {
-            onGone(attempt, nowSeconds);
+            remove(attempt, nowSeconds);
         }
     }
 
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/CommandDispatcher.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/CommandDispatcher.java
@@ -95,7 +95,7 @@
 
     private static boolean isStartDue(TaskAttempt attempt) {
         return attempt.state() == TaskAttempt.State.STARTING
-                && attempt.recorded()
+                && attempt.startRecorded()
                 && !attempt.startSent()
                 && !attempt.isStopping();
     }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -103,7 +103,7 @@
                         + TIMER_MARGIN_SECONDS;
         double lastRenewedAtSeconds =
                 Math.max(
-                        machine.contact().lastAnsweredAtSeconds(),
+                        machine.contact().lastPossibleResponseAtSeconds(),
                         machine.reachability().possibleRestartAtSeconds());
         return nowSeconds >= lastRenewedAtSeconds + leaseSeconds
                 && nowSeconds >= delegatedRenewalAtSeconds(machine, nowSeconds) + leaseSeconds;
@@ -134,10 +134,11 @@
 
     private void endOverdueHold(Machine machine, double nowSeconds) {
         MachineHold hold = machine.hold();
-        if (hold.isOver(nowSeconds)) {
+        if (hold.mustEnd(nowSeconds)) {
             Job job = hold.job();
             if (job.isActive() && job.tasks().hasPending()) {
-                job.roomSearch().postponeMachineHold(nowSeconds + policy.offerFilterSeconds());
+                job.capacityAcquisition()
+                        .postponeMachineHold(nowSeconds + policy.offerFilterSeconds());
             }
             hold.end();
         }
@@ -156,7 +157,7 @@
             if (machine.zone() == zone
                     && isInUse
                     && (machine.contact().isPossiblyDisconnected()
-                            || machine.attempts().hasCancelled())) {
+                            || machine.attempts().hasAttemptOfCancelledJob())) {
                 names.add(machine.name());
             }
         }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
@@ -31,7 +31,7 @@
     /** The machine's lease has expired: its worker has stopped all tasks. */
     void onLeaseExpired(Machine machine, double nowSeconds) {
         machine.contact().endCurrentEpoch();
-        attempts.onAllGone(machine, nowSeconds);
+        attempts.removeAll(machine, nowSeconds);
         machine.transitionTo(Machine.State.LOST, nowSeconds);
         startIntentLog.onNothingRunning(machine);
     }
@@ -56,9 +56,9 @@
     }
 
     /** The instance stopped for good, though the cloud still lists it: its tasks are gone. */
-    public void onStopped(Machine machine, double nowSeconds) {
+    public void onInstanceStopped(Machine machine, double nowSeconds) {
         machine.contact().endAllEpochs();
-        attempts.onAllGone(machine, nowSeconds);
+        attempts.removeAll(machine, nowSeconds);
     }
 
     /** The cloud confirmed that the instance is terminated. The name need not be known. */
@@ -67,7 +67,7 @@
         if (machine != null) {
             machine.transitionTo(Machine.State.TERMINATED, nowSeconds);
             machine.hold().end();
-            attempts.onAllGone(machine, nowSeconds);
+            attempts.removeAll(machine, nowSeconds);
             startIntentLog.onNothingRunning(machine);
             imageRecords.onMachineGone(machine);
             machine.images().clear();
--- a/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
@@ -193,7 +193,7 @@
                 rankGroup(job, group, 0, queue);
             }
         }
-        for (Machine machine : imageLocations.machinesRelatedTo(job.imageIndex()).keySet()) {
+        for (Machine machine : imageLocations.machinesReferencing(job.imageIndex()).keySet()) {
             if (isInZone(machine.zone(), onlyZone)) {
                 rankMachine(offer, job, machine, queue);
             }
@@ -208,7 +208,7 @@
     private void rankChanged(ResourceOffer offer, Job job, JobRanking ranking) {
         for (int i = ranking.changesSeen; i < changedMachines.size(); i++) {
             Machine machine = changedMachines.get(i);
-            if (imageLocations.isRelated(job.imageIndex(), machine)) {
+            if (imageLocations.isReferencedBy(job.imageIndex(), machine)) {
                 rankMachine(offer, job, machine, ranking.queue);
             } else {
                 rankGroup(job, groupByPosition.get(machine.candidateIndex()), 0, ranking.queue);
@@ -303,7 +303,7 @@
     private Machine findUnrelated(EquivalentMachines group, int fromIndex, Job job) {
         for (int i = fromIndex; i < group.positions.size(); i++) {
             Machine machine = machines.get(group.positions.getInt(i));
-            if (!imageLocations.isRelated(job.imageIndex(), machine)) {
+            if (!imageLocations.isReferencedBy(job.imageIndex(), machine)) {
                 return machine;
             }
         }
--- a/src/main/java/io/kelphoist/scheduler/placement/ResourceOffer.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/ResourceOffer.java
@@ -15,7 +15,7 @@
     /** Whether a task of the job may start on the machine, by its constraints and by its room. */
     public boolean allows(Job job, Machine machine) {
         return job.spec().resourcesPerTask().fitsIn(machine.free())
-                && !machine.hold().isForOther(job, nowSeconds)
+                && !machine.hold().isForOtherJob(job, nowSeconds)
                 && PlacementScorer.isAllowed(job, machine);
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/preemption/PreemptionSearch.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/PreemptionSearch.java
@@ -79,12 +79,12 @@
         double minFetchSeconds = job.spec().imageSizeGb() / maxFetchGbPerSecond;
         Collection<Machine> eligibleMachines =
                 costLimitSeconds <= minFetchSeconds
-                        ? machines.imageLocations().machinesRelatedTo(job.imageIndex()).keySet()
+                        ? machines.imageLocations().machinesReferencing(job.imageIndex()).keySet()
                         : machines.all();
         PreemptionSearch search = new PreemptionSearch(job, costLimitSeconds, nowSeconds);
         for (Machine machine : eligibleMachines) {
             if (machine.acceptsWork(nowSeconds)
-                    && !machine.hold().isForOther(job, nowSeconds)
+                    && !machine.hold().isForOtherJob(job, nowSeconds)
                     && PlacementScorer.isAllowed(job, machine)) {
                 search.addSlots(machine);
             }
--- a/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
@@ -87,7 +87,7 @@
             }
             if (!job.team().isWithinLimit(PreemptionSearch.minimumDemand(job))) {
                 preemptWithinTeamIfDue(job, nowSeconds);
-            } else if (!job.roomSearch().hasHeldMachines()) {
+            } else if (!job.capacityAcquisition().hasHeldMachines()) {
                 searches++;
                 holds += holdMachines(job, nowSeconds) ? 1 : 0;
             }
@@ -100,15 +100,15 @@
         return (job.spec().kind() != JobKind.ARRAY
                         || job.team().isWithinGuarantee(PreemptionSearch.minimumDemand(job)))
                 && nowSeconds - job.waitingSinceSeconds() >= minWaitSeconds
-                && nowSeconds >= job.roomSearch().noMachineHoldBeforeSeconds()
+                && nowSeconds >= job.capacityAcquisition().noMachineHoldBeforeSeconds()
                 && !job.gangHasRun()
-                && !job.roomSearch().wasDeclinedAt(nowSeconds)
-                && !job.isSuspect();
+                && !job.capacityAcquisition().wasPlacementDeclinedAt(nowSeconds)
+                && !job.isSuspectedFaulty();
     }
 
     private void preemptWithinTeamIfDue(Job job, double nowSeconds) {
-        if (nowSeconds >= job.roomSearch().noOwnTeamPreemptionBeforeSeconds()) {
-            job.roomSearch()
+        if (nowSeconds >= job.capacityAcquisition().noOwnTeamPreemptionBeforeSeconds()) {
+            job.capacityAcquisition()
                     .postponeOwnTeamPreemption(nowSeconds + TEAM_PREEMPTION_INTERVAL_SECONDS);
             preemptWithinTeam(job, nowSeconds);
         }
@@ -166,7 +166,7 @@
     private boolean holdMachines(Job job, double nowSeconds) {
         Optional<PreemptionPlan> plan = findCheapestPlan(job, nowSeconds);
         if (plan.isEmpty()) {
-            job.roomSearch().postponeMachineHold(nowSeconds + SEARCH_RETRY_SECONDS);
+            job.capacityAcquisition().postponeMachineHold(nowSeconds + SEARCH_RETRY_SECONDS);
             return false;
         }
         List<TaskSlot> slots = plan.get().slots();
@@ -180,7 +180,7 @@
                     slot.victims().size());
             slot.victims().forEach(victim -> preempt(victim, nowSeconds));
         }
-        output.publishEvent(job, new TaskEvent.RoomReserved(slots.size()));
+        output.publishEvent(job, new TaskEvent.CapacityReserved(slots.size()));
         return true;
     }
 
@@ -205,20 +205,21 @@
 
     /** Whether machines are held for the job, or can be held. */
     public boolean canMakeRoom(Job job, double nowSeconds) {
-        if (job.roomSearch().hasHeldMachines()) {
+        if (job.capacityAcquisition().hasHeldMachines()) {
             return true;
         }
-        if (nowSeconds < job.roomSearch().noMachineHoldBeforeSeconds()
+        if (nowSeconds < job.capacityAcquisition().noMachineHoldBeforeSeconds()
                 || !job.team().isWithinLimit(PreemptionSearch.minimumDemand(job))) {
             return false;
         }
         if (nowSeconds
-                >= job.roomSearch().preemptionCheckedAtSeconds() + FEASIBILITY_VALIDITY_SECONDS) {
-            job.roomSearch()
+                >= job.capacityAcquisition().preemptionCheckedAtSeconds()
+                        + FEASIBILITY_VALIDITY_SECONDS) {
+            job.capacityAcquisition()
                     .recordPreemptionCheck(
                             findCheapestPlan(job, nowSeconds).isPresent(), nowSeconds);
         }
-        return job.roomSearch().isPreemptionFeasible();
+        return job.capacityAcquisition().isPreemptionFeasible();
     }
 
     /**
@@ -227,10 +228,10 @@
      * its job class anyway.
      */
     public boolean isSoonerThanFetch(double fetchSeconds, Job job, double nowSeconds) {
-        if (fetchSeconds < MIN_AVOIDED_FETCH_SECONDS || job.isSuspect()) {
+        if (fetchSeconds < MIN_AVOIDED_FETCH_SECONDS || job.isSuspectedFaulty()) {
             return false;
         }
-        if (job.roomSearch().hasHeldMachines()) {
+        if (job.capacityAcquisition().hasHeldMachines()) {
             return true;
         }
         Optional<PreemptionPlan> plan = findCheapestPlan(job, fetchSeconds, nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
@@ -226,7 +226,7 @@
     }
 
     /** The heartbeats that were known were copies of the time before the worker restarted. */
-    void forgetNewestHeartbeat() {
+    void resetNewestHeartbeat() {
         agentEpoch = 0;
         sequenceNumber = 0;
     }
--- a/src/main/java/io/kelphoist/scheduler/reachability/AgentContact.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
@@ -8,7 +8,7 @@
  * agent epoch and sequence number, when the worker was last heard and last answered, and whether it
  * is reachable. Owns this state; a lease is judged by it, see {@code LeaseMonitor}.
  */
-public final class AgentContact {
+public final class WorkerContact {
     private long agentEpoch;
     private long sequenceNumber;
 
@@ -19,7 +19,7 @@
     private long replicatedAgentEpoch;
 
     /** This leader's last answer, or an earlier leader's last possible one. */
-    private double lastAnsweredAtSeconds;
+    private double lastPossibleResponseAtSeconds;
 
     private double lastHeartbeatAtSeconds;
 
@@ -43,8 +43,8 @@
     private final MachineReachability reachability = new MachineReachability();
 
     /** Creates the contact with the worker of a machine that became known now. */
-    public AgentContact(double nowSeconds) {
-        this.lastAnsweredAtSeconds = nowSeconds;
+    public WorkerContact(double nowSeconds) {
+        this.lastPossibleResponseAtSeconds = nowSeconds;
         this.lastHeartbeatAtSeconds = nowSeconds;
     }
 
@@ -71,20 +71,20 @@
     }
 
     /** The heartbeat is the newest message. */
-    public void updateNewest(Heartbeat heartbeat) {
+    public void updateNewestMessage(Heartbeat heartbeat) {
         agentEpoch = heartbeat.agentEpoch();
         sequenceNumber = heartbeat.sequenceNumber();
     }
 
     /** The messages that were known were copies of the time before the worker restarted. */
-    public void forgetNewest() {
+    public void resetNewestMessage() {
         agentEpoch = 0;
         sequenceNumber = 0;
-        reachability.forgetNewestHeartbeat();
+        reachability.resetNewestHeartbeat();
     }
 
     /** Whether heartbeats of the epoch are ignored. */
-    public boolean isEnded(long epoch) {
+    public boolean isEpochEnded(long epoch) {
         return epoch <= endedAgentEpoch;
     }
 
@@ -112,7 +112,7 @@
 
     /** The machine became known now; an earlier leader may have answered it until now. */
     public void onDiscovered(double nowSeconds) {
-        lastAnsweredAtSeconds = nowSeconds;
+        lastPossibleResponseAtSeconds = nowSeconds;
         lastHeartbeatAtSeconds = nowSeconds;
     }
 
@@ -128,18 +128,18 @@
     }
 
     /** Until when the worker was, or may have been, answered. */
-    public double lastAnsweredAtSeconds() {
-        return lastAnsweredAtSeconds;
+    public double lastPossibleResponseAtSeconds() {
+        return lastPossibleResponseAtSeconds;
     }
 
     /** A heartbeat is answered now, which renews the lease. */
-    public void onAnswered(double nowSeconds) {
-        lastAnsweredAtSeconds = nowSeconds;
+    public void onResponseSent(double nowSeconds) {
+        lastPossibleResponseAtSeconds = nowSeconds;
     }
 
     /** The lease may have begun, or may have been renewed, until now. */
-    public void onPossiblyAnswered(double nowSeconds) {
-        lastAnsweredAtSeconds = Math.max(lastAnsweredAtSeconds, nowSeconds);
+    public void onResponsePossiblySent(double nowSeconds) {
+        lastPossibleResponseAtSeconds = Math.max(lastPossibleResponseAtSeconds, nowSeconds);
     }
 
     // ---- connection ----
@@ -193,7 +193,7 @@
     }
 
     /** Whether a command of an earlier leader may still be on its way. */
-    public boolean hasUnansweredCommandOfPreviousLeader() {
+    public boolean isPreviousLeaderCommandOutcomeUnknown() {
         return previousLeaderCommandUnanswered;
     }
 
@@ -217,7 +217,7 @@
         return "secondsSinceHeartbeat="
                 + Math.round(nowSeconds - lastHeartbeatAtSeconds)
                 + " secondsSinceAnswer="
-                + Math.round(nowSeconds - lastAnsweredAtSeconds)
+                + Math.round(nowSeconds - lastPossibleResponseAtSeconds)
                 + " reachability="
                 + reachability.state();
     }
--- a/src/main/java/io/kelphoist/scheduler/records/StartIntentLog.java
+++ b/src/main/java/io/kelphoist/scheduler/records/StartIntentLog.java
@@ -97,7 +97,7 @@
         Set<Machine> machines = new ReferenceLinkedOpenHashSet<>();
         for (TaskAttempt attempt : pages.onPageWritten(pageNumber, outcome)) {
             if (outcome == PageWriteOutcome.STORED) {
-                attempt.markRecorded();
+                attempt.markStartRecorded();
             }
             machines.add(attempt.machine());
         }
--- a/src/main/java/io/kelphoist/scheduler/spi/PromotionGate.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/PromotionGate.java
@@ -7,7 +7,7 @@
  */
 public interface PromotionGate {
     /** Whether tasks may be started, stopped and placed. */
-    boolean mayDecide(double nowSeconds);
+    boolean maySchedule(double nowSeconds);
 
     /** Whether machines may be requested from the cloud. */
     boolean mayScaleOut(double nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
@@ -13,7 +13,7 @@
      *
      * @param machineCount on how many machines
      */
-    record RoomReserved(int machineCount) implements TaskEvent {}
+    record CapacityReserved(int machineCount) implements TaskEvent {}
 
     /** A task began to run. */
     record TaskRunning(int taskIndex, String machineName) implements TaskEvent {}
--- a/src/main/java/io/kelphoist/trace/JobTracer.java
+++ b/src/main/java/io/kelphoist/trace/JobTracer.java
@@ -123,7 +123,7 @@
         JobSpans spans = spansByJob.computeIfAbsent(jobId, ignored -> new JobSpans());
         if (event instanceof TaskEvent.WaitingForDependencies) {
             startWaiting(spans, jobId, "wait for jobs", atMillis);
-        } else if (event instanceof TaskEvent.RoomReserved) {
+        } else if (event instanceof TaskEvent.CapacityReserved) {
             startWaiting(spans, jobId, "wait for room", atMillis);
         } else if (event instanceof TaskEvent.TaskRunning running) {
             spans.endWaiting(atMillis);
--- a/src/test/java/io/kelphoist/architecture/ArchitectureTest.java
+++ b/src/test/java/io/kelphoist/architecture/ArchitectureTest.java
@@ -78,7 +78,7 @@
                     "Machine.awaitsFirstHeartbeat",
                     "Machine.hasAttempts",
                     "Machine.hasGangOrServiceTask",
-                    "Machine.hasUnansweredCommandOfPreviousLeader",
+                    "Machine.isPreviousLeaderCommandOutcomeUnknown",
                     "Machine.isSuspected",
                     "Machine.name",
                     "Machine.spot",
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -322,7 +322,7 @@
                             job,
                             new TaskEvent.TaskStopped(
                                     0, "m" + step % 5, TaskEvent.Cause.MACHINE_GONE));
-            case 7 -> appendTaskEvent(job, new TaskEvent.RoomReserved(step % 3));
+            case 7 -> appendTaskEvent(job, new TaskEvent.CapacityReserved(step % 3));
             case 8, 9 -> applyChanges(controller);
             case 10 -> applyTaskEvents(controller);
             case 11 -> client.connect(step / 64 % CONTROLLERS);
--- a/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
@@ -125,10 +125,10 @@
         assertFalse(failover.onRecordsLoaded(41, 42, 100.1));
         assertEquals(Failover.State.LOADING_RECORDS, failover.state());
         failover.advance(List.of(), 106);
-        assertFalse(failover.mayDecide(106));
+        assertFalse(failover.maySchedule(106));
         assertTrue(failover.onRecordsLoaded(42, 42, 106.1));
         failover.advance(List.of(), 106.2);
-        assertTrue(failover.mayDecide(106.2));
+        assertTrue(failover.maySchedule(106.2));
         assertEquals(6.1, failover.secondsUntilPassed(PromotionCheck.RECORDS), 1e-9);
     }
 }
--- a/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
+++ b/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
@@ -147,7 +147,7 @@
     /** The gate of a leader whose promotion checks have all passed. */
     private static final class OpenPromotionGate implements PromotionGate {
         @Override
-        public boolean mayDecide(double atSeconds) {
+        public boolean maySchedule(double atSeconds) {
             return true;
         }
 
--- a/src/test/java/io/kelphoist/trace/JobTracerTest.java
+++ b/src/test/java/io/kelphoist/trace/JobTracerTest.java
@@ -55,8 +55,8 @@
     /** The first leader reserves machines and starts a task before its term ends. */
     private static void runFirstTerm(JobTracer leader) {
         leader.onElected(1);
-        leader.onTaskEvent("job-1", new TaskEvent.RoomReserved(2), 1100);
-        leader.onTaskEvent("job-1", new TaskEvent.RoomReserved(3), 1200);
+        leader.onTaskEvent("job-1", new TaskEvent.CapacityReserved(2), 1100);
+        leader.onTaskEvent("job-1", new TaskEvent.CapacityReserved(3), 1200);
         leader.onTaskEvent("job-1", new TaskEvent.TaskRunning(0, "m1"), 1500);
         leader.onTermEnded(2000);
     }
