--- a/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
@@ -239,7 +239,7 @@
      * priority would only be preempted for it again.
      */
     private static void reserveForUrgentJob(Job job) {
-        if (job.spec().kind() != JobKind.ARRAY && !job.gangHasRun()) {
+        if (job.spec().kind() != JobKind.ARRAY && !job.hasRun()) {
             Resources demand = job.spec().resourcesPerTask().times(job.tasks().pendingCount());
             job.team().reserveForUrgentJob(demand);
         }
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
@@ -31,7 +31,7 @@
     @Override
     public boolean tryStart(ResourceOffer offer, Job job) {
         if (job.tasks().hasAttempts()) {
-            return !job.gangHasRun() && startReplacement(offer, job);
+            return !job.hasRun() && startReplacement(offer, job);
         }
         reservations.release(job);
         if (!job.team().isWithinLimit(job.spec().resourcesPerTask().times(job.spec().tasks()))) {
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
@@ -109,7 +109,7 @@
 
     /** Plans room for a job's tasks that found none. */
     void addDemand(Job job) {
-        if (job.gangHasRun() || job.isOnTrial(nowSeconds)) {
+        if (job.hasRun() || job.isOnTrial(nowSeconds)) {
             return;
         }
         Resources perTask = job.spec().resourcesPerTask();
--- a/src/main/java/io/kelphoist/scheduler/cluster/Job.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Job.java
@@ -69,7 +69,7 @@
     private long gangAttemptId;
 
     /** A task of the present gang attempt was seen running. */
-    private boolean gangHasRun;
+    private boolean hasRun;
 
     /**
      * Creates a job that waits for its dependencies and has none yet.
@@ -286,7 +286,7 @@
 
     /** Whether a task of it is, or may be, on a machine, or is done. */
     public boolean hasBegun() {
-        return tasks.hasAttempts() || gangHasRun || tasks.hasDone();
+        return tasks.hasAttempts() || hasRun || tasks.hasDone();
     }
 
     /** Whether it fails on every machine, see {@link JobFailures#isSuspectedFaulty}. */
@@ -347,7 +347,7 @@
         }
         if (spec.kind() == JobKind.GANG && !tasks.hasAttempts()) {
             gangAttemptId = 0;
-            gangHasRun = false;
+            hasRun = false;
         }
         if (runningTaskCount > 0 && attempt.hasRun()) {
             runningTaskCount--;
@@ -357,7 +357,7 @@
     /** A task of it began to run. */
     public void onTaskRunning(double nowSeconds) {
         runningTaskCount++;
-        gangHasRun = true;
+        hasRun = true;
         failures.onTaskRunning(nowSeconds);
     }
 
@@ -378,7 +378,7 @@
     }
 
     /** Whether a task of it, of a gang of the present attempt, was seen running. */
-    public boolean gangHasRun() {
-        return gangHasRun;
+    public boolean hasRun() {
+        return hasRun;
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
@@ -205,9 +205,7 @@
         for (TaskAttempt other : job.tasks().copyOfAttempts()) {
             if (!other.isStopping()) {
                 attempts.stop(
-                        other,
-                        job.gangHasRun() ? job.spec().checkpointSaveSeconds() : 0,
-                        nowSeconds);
+                        other, job.hasRun() ? job.spec().checkpointSaveSeconds() : 0, nowSeconds);
             }
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
@@ -101,7 +101,7 @@
                         || job.team().isWithinGuarantee(PreemptionSearch.minimumDemand(job)))
                 && nowSeconds - job.waitingSinceSeconds() >= minWaitSeconds
                 && nowSeconds >= job.capacityAcquisition().noMachineHoldBeforeSeconds()
-                && !job.gangHasRun()
+                && !job.hasRun()
                 && !job.capacityAcquisition().wasPlacementDeclinedAt(nowSeconds)
                 && !job.isSuspectedFaulty();
     }
