--- a/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * What was done so far to make room for one job that does not fit: room reserved for its gang,
- * machines held for it, and searches for work to preempt. Each has a time before which it is not
- * tried again.
+ * What was done so far to get capacity for one job that does not fit: capacity reserved for its
+ * gang, machines held for it, and checks whether preempting other work would help. Each has a time
+ * before which it is not tried again.
  */
 public final class CapacityAcquisition {
-    /** When the job last had room and waited for better. */
+    /** When the job last declined a possible placement to wait for a better one. */
     private double declinedAtSeconds = Double.NEGATIVE_INFINITY;
 
-    /** When the room reserved for the gang is released; 0: none is reserved. */
+    /** When the capacity reserved for the gang is released; 0: none is reserved. */
     private double reservedUntilSeconds;
 
     private double noReservationBeforeSeconds;
@@ -22,39 +22,42 @@
     private boolean preemptionFeasible;
     private double noOwnTeamPreemptionBeforeSeconds;
 
-    /** Whether the job had room at this time and waited for better: nothing is stopped for it. */
+    /**
+     * Whether the job declined a possible placement at this time to wait for a better one. Then no
+     * other work is preempted for it.
+     */
     public boolean wasPlacementDeclinedAt(double nowSeconds) {
         return declinedAtSeconds == nowSeconds;
     }
 
-    /** The job has room now and waits for better. */
+    /** The job declines a possible placement now, to wait for a better one. */
     public void onPlacementDeclined(double nowSeconds) {
         declinedAtSeconds = nowSeconds;
     }
 
-    // ---- reserved room ----
+    // ---- reserved capacity ----
 
-    /** When the room reserved for the gang is released; 0: none is reserved. */
+    /** When the capacity reserved for the gang is released; 0: none is reserved. */
     public double reservedUntilSeconds() {
         return reservedUntilSeconds;
     }
 
-    /** No room is reserved for the gang before this time. */
+    /** No capacity is reserved for the gang before this time. */
     public double noReservationBeforeSeconds() {
         return noReservationBeforeSeconds;
     }
 
-    /** Room is reserved for the gang. */
+    /** Called when capacity is first reserved for the gang, until the given time. */
     public void beginReservation(double untilSeconds) {
         reservedUntilSeconds = untilSeconds;
     }
 
-    /** The job starts, so that it needs no reserved room. */
+    /** The job starts, so that it needs no reservation. */
     public void endReservation() {
         reservedUntilSeconds = 0;
     }
 
-    /** The reservation expired unused; none follows before {@code notBeforeSeconds}. */
+    /** The reservation expired unused; there is no further one before {@code notBeforeSeconds}. */
     public void expireReservation(double notBeforeSeconds) {
         reservedUntilSeconds = 0;
         noReservationBeforeSeconds = notBeforeSeconds;
@@ -67,7 +70,7 @@
         return heldMachines;
     }
 
-    /** How many machines are held for the job. */
+    /** Number of machines that are held for the job. */
     public int heldMachineCount() {
         return heldMachines.size();
     }
@@ -77,10 +80,12 @@
         return !heldMachines.isEmpty();
     }
 
+    /** A machine is held for the job from now on. */
     void addHeldMachine(Machine machine) {
         heldMachines.add(machine);
     }
 
+    /** A machine is no longer held for the job. */
     void removeHeldMachine(Machine machine) {
         heldMachines.remove(machine);
     }
@@ -90,24 +95,24 @@
         return noMachineHoldBeforeSeconds;
     }
 
-    /** No machine is held for the job before {@code untilSeconds}. */
+    /** Sets the time before which no machine is held for the job. */
     public void postponeMachineHold(double untilSeconds) {
         noMachineHoldBeforeSeconds = untilSeconds;
     }
 
     // ---- preemption ----
 
-    /** When it was last checked whether preempting other work could make room. */
+    /** When it was last checked whether preempting other work would free enough capacity. */
     public double preemptionCheckedAtSeconds() {
         return preemptionCheckedAtSeconds;
     }
 
-    /** The result of the last check. */
+    /** Whether the last check found that preempting other work would free enough capacity. */
     public boolean isPreemptionFeasible() {
         return preemptionFeasible;
     }
 
-    /** Notes the result of a check whether preemption could make room. */
+    /** Records the result of a check whether preempting other work would free enough capacity. */
     public void recordPreemptionCheck(boolean feasible, double nowSeconds) {
         preemptionCheckedAtSeconds = nowSeconds;
         preemptionFeasible = feasible;
@@ -118,7 +123,7 @@
         return noOwnTeamPreemptionBeforeSeconds;
     }
 
-    /** No work of the job's own team is preempted for it before {@code untilSeconds}. */
+    /** Sets the time before which no work of the job's own team is preempted for it. */
     public void postponeOwnTeamPreemption(double untilSeconds) {
         noOwnTeamPreemptionBeforeSeconds = untilSeconds;
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/Job.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Job.java
@@ -8,22 +8,24 @@
 import io.kelphoist.scheduler.images.ImageCatalog;
 
 /**
- * A job that the leader works on, from its record until its end is stored and none of its attempts
- * is, or may be, on a machine. Owns its state; parts of it are in {@link JobTasks}, {@link
- * JobUrgency}, {@link JobFailures} and {@link CapacityAcquisition}.
+ * A job that the leader schedules. It exists from when its record is received until its end (done
+ * or cancelled) is stored and none of its attempts may be on a machine. Owns its state; parts of it
+ * are in {@link JobTasks}, {@link JobUrgency}, {@link JobFailures} and {@link CapacityAcquisition}.
  */
 public final class Job {
     /** The states of a job; {@link #transitionTo} is the only method that changes it. */
     public enum State {
-        /** Waits for dependencies that are not stored as done; gets no room. */
+        /** Waits for dependencies that are not stored as done; none of its tasks is placed. */
         WAITING,
         /** All dependencies are stored as done; tasks may start. */
         ACTIVE,
-        /** All tasks are done, and the state service has not confirmed yet that the job is. */
+        /**
+         * All tasks are done; the state store has not confirmed yet that the job is stored as done.
+         */
         FINISHING,
         /**
-         * A dependency is cancelled, and the state service has not confirmed yet that this job is
-         * cancelled with it.
+         * A dependency is cancelled, and this job with it; the state store has not confirmed yet
+         * that this job is stored as cancelled.
          */
         CANCELLING,
         /** Stored as done. */
@@ -32,7 +34,10 @@
         CANCELLED
     }
 
-    /** A job of which nothing has begun for so long goes before later ones. */
+    /**
+     * A job that has not started a task for this long after it became ready is aged, see {@link
+     * #isAged}.
+     */
     private static final double AGED_AFTER_SECONDS = 90;
 
     private final JobRecord record;
@@ -47,35 +52,35 @@
     private final JobUrgency urgency;
     private State state = State.WAITING;
 
-    /** The version of the newest record that was seen. */
+    /** The version of the newest record that was received. */
     private long recordVersion;
 
-    /** The job's end (done or cancelled) is being stored. */
+    /** A write of the job's end (done or cancelled) is in flight. */
     private boolean endBeingStored;
 
-    /** When the last of its dependencies was done; without dependencies, when it was accepted. */
+    /** When its last dependency was done; without dependencies, when the job was accepted. */
     private double readyAtSeconds;
 
-    /** Dependencies that are not known to be done. */
+    /** Number of dependencies for which no record as done was received. */
     private int unmetDependencyCount;
 
-    /** When its oldest pending task began to wait. */
+    /** When its oldest pending task began to wait for placement. */
     private double waitingSinceSeconds;
 
     private boolean aged;
     private int runningTaskCount;
 
-    /** The id of the gang attempt that is being started or runs; 0: none. */
+    /** The id of the gang attempt that is starting or running; 0: none. */
     private long gangAttemptId;
 
-    /** A task of the present gang attempt was seen running. */
+    /** A task was reported running; for a gang, a task of its current gang attempt. */
     private boolean hasRun;
 
     /**
-     * Creates a job that waits for its dependencies and has none yet.
+     * Creates a job in state {@link State#WAITING}, to which no dependencies have been added.
      *
      * @param imageIndex the index of its image
-     * @param acceptedAtSeconds when it was accepted, on the clock of {@code nowSeconds}
+     * @param acceptedAtSeconds when it was accepted, on the same clock as {@code nowSeconds}
      */
     public Job(
             JobRecord record,
@@ -100,17 +105,17 @@
         this.waitingSinceSeconds = nowSeconds;
     }
 
-    /** The record as it was when the job became known. */
+    /** The record from which this job was created. */
     public JobRecord record() {
         return record;
     }
 
-    /** The job as its user described it. */
+    /** The description that the user submitted. */
     public JobSpec spec() {
         return spec;
     }
 
-    /** The usage of the team that it counts against. */
+    /** The usage of its team, to which its attempts are charged. */
     public TeamUsage team() {
         return team;
     }
@@ -125,17 +130,17 @@
         return acceptedAtSeconds;
     }
 
-    /** Its tasks and the attempts at them. */
+    /** Its tasks and their attempts. */
     public JobTasks tasks() {
         return tasks;
     }
 
-    /** Its failures, and what follows from them. */
+    /** Its failures, and the backoff and avoidance that follow from them. */
     public JobFailures failures() {
         return failures;
     }
 
-    /** What was done to make room for it. */
+    /** Reservations, machine holds and preemption checks that are to get it capacity. */
     public CapacityAcquisition capacityAcquisition() {
         return capacityAcquisition;
     }
@@ -149,14 +154,15 @@
 
     /**
      * The only method that changes the state. DONE and CANCELLED are final, and a job that is being
-     * cancelled cannot become active. Returns whether the state changed.
+     * cancelled cannot become active again. Once the job is no longer open, no task is pending.
+     * Returns whether the state changed.
      */
     public boolean transitionTo(State next) {
-        boolean isFinal =
+        boolean isForbidden =
                 state == State.DONE
                         || state == State.CANCELLED
                         || (state == State.CANCELLING && next == State.ACTIVE);
-        if (state == next || isFinal) {
+        if (state == next || isForbidden) {
             return false;
         }
         state = next;
@@ -171,136 +177,146 @@
         return state == State.ACTIVE;
     }
 
-    /** Whether it has, or will have, tasks to run. */
+    /** Whether its tasks may start, now or once its dependencies are done. */
     public boolean isOpen() {
         return state == State.ACTIVE || state == State.WAITING;
     }
 
-    /** Whether its cancellation is stored, or being stored. */
+    /** Whether its cancellation is stored or is being stored. */
     boolean isCancelled() {
         return state == State.CANCELLED || state == State.CANCELLING;
     }
 
     // ---- record ----
 
-    /** The version of the newest record that was seen. */
+    /** The version of the newest record that was received. */
     public long recordVersion() {
         return recordVersion;
     }
 
-    /** A newer record was seen. */
+    /** Sets the version of a newer record that was received. */
     public void updateRecordVersion(long version) {
         recordVersion = version;
     }
 
-    /** Whether its end was sent to the state service, and the outcome is not known. */
+    /** Whether a write of its end was sent to the state store and has not returned an outcome. */
     public boolean endBeingStored() {
         return endBeingStored;
     }
 
-    /** Its end is sent to the state service now. */
+    /** Called when a write of its end is sent to the state store. */
     public void beginStoringEnd() {
         endBeingStored = true;
     }
 
-    /** The end could not be stored, or nobody knows whether it was: it is to be stored again. */
+    /** The write of its end failed, or its outcome is unknown: it must be sent again. */
     public void onEndNotStored() {
         endBeingStored = false;
     }
 
     // ---- dependencies ----
 
-    /** When it could start at the earliest. */
+    /** When it was, or will at the earliest be, ready to start. */
     public double readyAtSeconds() {
         return readyAtSeconds;
     }
 
-    /** It depends on one more job that is not known to be done. */
+    /** Adds a dependency for which no record as done was received. */
     public void addUnmetDependency() {
         unmetDependencyCount++;
     }
 
-    /** Whether it waits for a dependency. */
+    /** Whether a dependency has not been reported as done. */
     public boolean hasUnmetDependencies() {
         return unmetDependencyCount > 0;
     }
 
-    /** One of the dependencies that {@link #addUnmetDependency} counted is done. */
+    /** A dependency that {@link #addUnmetDependency} added is done. */
     public void onDependencyDone(double doneAtSeconds) {
         unmetDependencyCount--;
         postponeReadyTime(doneAtSeconds);
     }
 
-    /** The job cannot have been ready before this time. */
+    /** Moves the ready time to the end of a dependency, if that is later. */
     public void postponeReadyTime(double doneAtSeconds) {
         readyAtSeconds = Math.max(readyAtSeconds, doneAtSeconds);
     }
 
     // ---- urgency ----
 
-    /** The highest of its own priority and those of its dependents. */
+    /** The highest of its own priority and the priorities of its dependents. */
     public Priority priority() {
         return urgency.priority();
     }
 
-    /** When it should be done, for itself and for its dependents; infinite: no deadline. */
+    /**
+     * When it should be done at the latest, so that it and its dependents meet their deadlines;
+     * infinite: no deadline.
+     */
     public double latestFinishAtSeconds() {
         return urgency.latestFinishAtSeconds();
     }
 
-    /** Becomes at least as urgent as its dependent requires; returns whether that changed it. */
+    /** Raises the urgency to what a dependent requires; returns whether that changed it. */
     public boolean inheritUrgency(Job dependent) {
         return urgency.inherit(dependent.urgency);
     }
 
-    /** Becomes as urgent as its own description says. */
+    /** Sets the urgency to the priority and deadline of its own description. */
     public void resetUrgency() {
         urgency.reset();
     }
 
     // ---- waiting ----
 
-    /** When its oldest pending task began to wait. */
+    /** When its oldest pending task began to wait for placement. */
     public double waitingSinceSeconds() {
         return waitingSinceSeconds;
     }
 
-    /** Its pending tasks begin to wait for room now. */
+    /** Restarts the wait of its pending tasks at the given time. */
     public void restartWait(double nowSeconds) {
         waitingSinceSeconds = nowSeconds;
     }
 
     /**
-     * Whether nothing of it has begun for long: within its team and priority it goes before later
-     * jobs, whatever their deadlines.
+     * Whether it has been ready for {@link #AGED_AFTER_SECONDS} without starting a task. Within its
+     * team and priority an aged job is placed before jobs that are not aged, whatever their
+     * deadlines.
      */
     public boolean isAged() {
         return aged;
     }
 
-    /** Updates what depends on how long it waits for room. */
+    /** Updates aging and the avoidance of machines where it failed, which depend on the time. */
     public void updateWaiting(double nowSeconds) {
         aged = !hasBegun() && nowSeconds > readyAtSeconds + AGED_AFTER_SECONDS;
         failures.updateAvoidance(nowSeconds);
     }
 
-    /** Whether a task of it is, or may be, on a machine, or is done. */
+    /** Whether a task of it may be on a machine, has run or is done. */
     public boolean hasBegun() {
         return tasks.hasAttempts() || hasRun || tasks.hasDone();
     }
 
-    /** Whether it fails on every machine, see {@link JobFailures#isSuspectedFaulty}. */
+    /** Whether the job itself is suspected faulty, see {@link JobFailures#isSuspectedFaulty}. */
     public boolean isSuspectedFaulty() {
         return failures.isSuspectedFaulty();
     }
 
-    /** Whether it is suspect and a task of it is tried: no other one starts meanwhile. */
+    /**
+     * Whether it is suspected faulty and a task, or a gang, is being tried: no other task starts
+     * meanwhile. First ends the suspicion if a task has run for long enough.
+     */
     public boolean isOnTrial(double nowSeconds) {
         failures.endTrialIfPassed(runningTaskCount > 0, nowSeconds);
         return isSuspectedFaulty() && tasks.hasAttempts();
     }
 
-    /** How many pending tasks may start now. */
+    /**
+     * Number of pending tasks that may start now: at most one if the job is suspected faulty,
+     * unless it is a gang, whose tasks start together.
+     */
     public int startableTaskCount() {
         return isSuspectedFaulty() && spec.kind() != JobKind.GANG
                 ? Math.min(1, tasks.pendingCount())
@@ -309,34 +325,40 @@
 
     // ---- placement ----
 
-    /** Whether its tasks may run in the zone. */
+    /** Whether its description allows the zone with this index. */
     public boolean isZoneAllowed(int zone) {
         return zone < allowedZones.length && allowedZones[zone];
     }
 
-    /** The zone of its attempts, if all must share one; -1: any zone may be chosen. */
+    /**
+     * If all its tasks must run in one zone, the zone of its present attempts; -1: there are none,
+     * or its tasks may run in different zones.
+     */
     public int commonZone() {
         return spec.singleZone() ? tasks.firstZoneWithAttempts() : -1;
     }
 
     // ---- attempts ----
 
-    /** How many tasks are done. */
+    /** Number of tasks that are done. */
     public int doneTaskCount() {
         return tasks.doneCount();
     }
 
-    /** How many attempts were seen running and have not ended. */
+    /** Number of attempts that were reported running and have not ended. */
     public int runningTaskCount() {
         return runningTaskCount;
     }
 
-    /** Counts an attempt that is, or may be, on its machine. */
+    /** Adds an attempt that may be on its machine. */
     public void addAttempt(TaskAttempt attempt) {
         tasks.addAttempt(attempt);
     }
 
-    /** The attempt occupies nothing any more; its task becomes pending again if it has to run. */
+    /**
+     * Removes an attempt that no longer occupies resources. Its task becomes pending again if it is
+     * not done, has no other attempt, and the job is open.
+     */
     public void removeAttempt(TaskAttempt attempt, double nowSeconds) {
         boolean isLastOfTask = tasks.removeAttempt(attempt);
         if (isLastOfTask && isOpen() && !tasks.isDone(attempt.taskIndex())) {
@@ -354,30 +376,30 @@
         }
     }
 
-    /** A task of it began to run. */
+    /** A worker reported for the first time that an attempt is running. */
     public void onTaskRunning(double nowSeconds) {
         runningTaskCount++;
         hasRun = true;
         failures.onTaskRunning(nowSeconds);
     }
 
-    /** A task that was neither pending, done nor attempted waits again. */
+    /** Makes a task pending again that was neither pending nor done and had no attempt. */
     public void requeueLostTask(int taskIndex, double nowSeconds) {
         restartWait(nowSeconds);
         tasks.requeue(taskIndex);
     }
 
-    /** All tasks start, or were seen to have been started, under this attempt id. */
+    /** Sets the attempt id under which all tasks start, or were reported as started. */
     public void beginGangAttempt(long attemptId) {
         gangAttemptId = attemptId;
     }
 
-    /** The id of the gang attempt that is being started or runs; 0: none. */
+    /** The id of the gang attempt that is starting or running; 0: none. */
     public long gangAttemptId() {
         return gangAttemptId;
     }
 
-    /** Whether a task of it, of a gang of the present attempt, was seen running. */
+    /** Whether a task was reported running; for a gang, a task of its current gang attempt. */
     public boolean hasRun() {
         return hasRun;
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
@@ -1,17 +1,17 @@
 package io.kelphoist.scheduler.cluster;
 
 /**
- * The failures of one job, and what follows from them: when its tasks may be placed again, and
- * whether the fault is the job's own.
+ * The failures of one job. Decides when its tasks may be placed again, which machines to avoid, and
+ * whether the job itself is suspected faulty rather than the machines.
  */
 public final class JobFailures {
-    /** A job that failed on so many machines has a mistake of its own. */
-    private static final int SUSPECT_AFTER_MACHINES = 3;
+    /** A job whose tasks failed on this many machines is suspected faulty itself. */
+    private static final int SUSPECTED_FAULTY_AFTER_MACHINES = 3;
 
-    /** For so long after a failure the job keeps away from machines where it failed. */
+    /** The job avoids machines where it failed until this long after its retry time. */
     private static final double AVOIDANCE_SECONDS = 10;
 
-    /** A task that runs for so long works. */
+    /** A task that runs for this long without a failure passes the trial of a suspected job. */
     private static final double TRIAL_SECONDS = 20;
 
     private static final double BASE_BACKOFF_SECONDS = 0.5;
@@ -23,15 +23,18 @@
     private boolean avoidsFailedMachines;
     private double retryAtSeconds;
 
-    /** When a task last began to run while the job was suspect, or when it became suspect. */
+    /** When a task of the suspected job last began to run, or when the job became suspected. */
     private double trialStartedAtSeconds = Double.POSITIVE_INFINITY;
 
-    /** Failures since a task last worked. */
+    /** Number of task failures since a task last succeeded or passed a trial. */
     public int errorCount() {
         return errorCount;
     }
 
-    /** Machines with a failure since a task last worked. */
+    /**
+     * Number of machines on which a task of the job failed for the first time since a task last
+     * succeeded or passed a trial.
+     */
     public int failedMachineCount() {
         return failedMachineCount;
     }
@@ -41,23 +44,24 @@
         return retryAtSeconds;
     }
 
-    /** No task is placed before {@code untilSeconds}; never brings a retry forward. */
+    /** Postpones the retry time to {@code untilSeconds}; never makes it earlier. */
     public void postponeRetry(double untilSeconds) {
         retryAtSeconds = Math.max(retryAtSeconds, untilSeconds);
     }
 
     /**
-     * Whether the job fails on every machine, so that the fault is its own. Until a task of it
-     * works only one task, or one gang, is tried at a time, and no room is made or rented for more.
+     * Whether the job has failed on so many machines that the fault is assumed to be its own. Until
+     * a task succeeds or passes a trial, only one task, or one gang, is tried at a time, no other
+     * work is preempted for the job, and no machines are requested for more of its tasks.
      */
     boolean isSuspectedFaulty() {
-        return failedMachineCount >= SUSPECT_AFTER_MACHINES;
+        return failedMachineCount >= SUSPECTED_FAULTY_AFTER_MACHINES;
     }
 
     /**
-     * A task failed.
+     * Records that a task failed, and sets the time of the next attempt.
      *
-     * @param isNewMachine whether no task of the job had failed on that machine
+     * @param isNewMachine whether no task of the job had failed on that machine before
      */
     public void onTaskFailed(boolean isNewMachine, double nowSeconds) {
         boolean wasSuspect = isSuspectedFaulty();
@@ -65,10 +69,13 @@
         failedMachineCount += isNewMachine ? 1 : 0;
         avoidsFailedMachines = true;
         if (isSuspectedFaulty() && !wasSuspect) {
-            // Other tasks may run well: if they go on, the fault was not the job's.
+            // Other tasks of the job may be running. If one of them runs on for the trial's
+            // duration,
+            // the suspicion is withdrawn.
             trialStartedAtSeconds = nowSeconds;
         }
-        // If only few machines failed they may be faulty, and the next attempt avoids them.
+        // After failures on few machines those may be faulty: the delay is short, as the next
+        // attempt avoids them.
         retryAtSeconds =
                 nowSeconds
                         + (isSuspectedFaulty()
@@ -81,20 +88,21 @@
         return Math.min(MAX_BACKOFF_SECONDS, BASE_BACKOFF_SECONDS * Math.pow(2, doublings));
     }
 
-    /** A task works: earlier failures were not the job's fault. */
+    /** A task succeeded or passed a trial: earlier failures are not held against the job. */
     public void onTaskSucceeded() {
         errorCount = 0;
         failedMachineCount = 0;
         avoidsFailedMachines = false;
     }
 
+    /** A task began to run; restarts the trial if the job is suspected faulty. */
     void onTaskRunning(double nowSeconds) {
         if (isSuspectedFaulty()) {
             trialStartedAtSeconds = nowSeconds;
         }
     }
 
-    /** Clears the suspicion if a task has run for long enough. */
+    /** Withdraws the suspicion if a task is running and the trial has lasted long enough. */
     void endTrialIfPassed(boolean isRunning, double nowSeconds) {
         if (isSuspectedFaulty()
                 && isRunning
@@ -103,12 +111,18 @@
         }
     }
 
-    /** Whether the job keeps away from machines where it failed, to tell whose fault that was. */
+    /**
+     * Whether the job avoids machines where it failed: its next attempt on another machine shows
+     * whether the job or the machine is faulty.
+     */
     public boolean avoidsFailedMachines() {
         return avoidsFailedMachines && !isSuspectedFaulty();
     }
 
-    /** The job keeps away from such machines only for a while, as there may be no others. */
+    /**
+     * Ends the avoidance of machines where the job failed once it has lasted long enough, as no
+     * other machine may be available.
+     */
     void updateAvoidance(double nowSeconds) {
         if (avoidsFailedMachines && nowSeconds > retryAtSeconds + AVOIDANCE_SECONDS) {
             avoidsFailedMachines = false;
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobRegistry.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobRegistry.java
@@ -5,36 +5,36 @@
 import java.util.Collections;
 import java.util.Map;
 
-/** The jobs that this term works on: unfinished ones, and ended ones that still have attempts. */
+/** The jobs of one term: unfinished jobs, and ended jobs that still have attempts. */
 public final class JobRegistry {
     private final Object2ObjectOpenHashMap<String, Job> jobsById = new Object2ObjectOpenHashMap<>();
 
-    /** The job of an id; null if it is not known. */
+    /** The job with this id; null: the registry does not contain it. */
     public Job get(String jobId) {
         return jobsById.get(jobId);
     }
 
-    /** Whether the job is known. */
+    /** Whether the registry contains a job with this id. */
     public boolean contains(String jobId) {
         return jobsById.containsKey(jobId);
     }
 
-    /** All jobs, in no particular order; not to be changed. */
+    /** All jobs, in no particular order; callers must not change the collection. */
     public Collection<Job> all() {
         return jobsById.values();
     }
 
-    /** A read-only view by job id. */
+    /** A read-only view of all jobs by id. */
     Map<String, Job> byId() {
         return Collections.unmodifiableMap(jobsById);
     }
 
-    /** Adds a job, or replaces that of the same id. */
+    /** Adds a job, or replaces the job with the same id. */
     public void add(Job job) {
         jobsById.put(job.spec().id(), job);
     }
 
-    /** Forgets a job whose end is stored once none of its attempts is, or may be, on a machine. */
+    /** Removes a job if its end is stored and none of its attempts may be on a machine. */
     public void removeIfEnded(Job job) {
         if (!job.tasks().hasAttempts()
                 && (job.state() == Job.State.DONE || job.state() == Job.State.CANCELLED)) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Forgets all cancelled jobs of which nothing is, or may be, on a machine. */
+    /** Removes all cancelled jobs without attempts that may be on a machine. */
     public void removeCancelledWithoutAttempts() {
         jobsById.values()
                 .removeIf(job -> job.state() == Job.State.CANCELLED && !job.tasks().hasAttempts());
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
@@ -6,29 +6,30 @@
 import java.util.List;
 
 /**
- * The tasks of one job: which are pending, which are done, which are recorded as done, and the
- * attempts that occupy resources. Owns all of these; every task of an open job is pending, done or
- * has an attempt.
+ * The tasks of one job: which are pending, which are done, which are stored as done, and the
+ * attempts that occupy resources. Owns this state. Each task of an open job must be pending, be
+ * done, or have an attempt.
  */
 public final class JobTasks {
     private final int taskCount;
     private final BitSet pending = new BitSet();
     private final BitSet done = new BitSet();
 
-    /** Done tasks whose completion is stored at the state service. */
+    /** Done tasks whose completion is stored at the state store. */
     private final BitSet storedDone = new BitSet();
 
-    /** The attempt at each task that is, or may be, on a machine. */
+    /** One attempt for each task that may be on a machine. */
     private final Int2ObjectOpenHashMap<TaskAttempt> attemptsByTask = new Int2ObjectOpenHashMap<>();
 
     /**
      * Further attempts at tasks that have an entry in {@link #attemptsByTask}. All attempts at a
-     * task must be gone before it is started again.
+     * task must be removed before the task is started again.
      */
     private final List<TaskAttempt> duplicateAttempts = new ArrayList<>();
 
     private final int[] attemptsPerZone;
 
+    /** Creates the tasks of a job, all pending. */
     JobTasks(int taskCount, int zoneCount) {
         this.taskCount = taskCount;
         this.attemptsPerZone = new int[zoneCount];
@@ -37,12 +38,12 @@
 
     // ---- pending tasks ----
 
-    /** Whether a task waits for its start. */
+    /** Whether a task is waiting to be started. */
     public boolean hasPending() {
         return !pending.isEmpty();
     }
 
-    /** How many tasks wait for their start. */
+    /** Number of tasks that are waiting to be started. */
     public int pendingCount() {
         return pending.cardinality();
     }
@@ -52,23 +53,24 @@
         return pending.nextSetBit(0);
     }
 
+    /** Makes a task pending again. */
     void requeue(int taskIndex) {
         pending.set(taskIndex);
     }
 
-    /** No task is to be started any more. */
+    /** Makes no task pending, so that none is started any more. */
     public void clearPending() {
         pending.clear();
     }
 
-    /** Whether every task is pending, done or attempted. */
+    /** Whether each task is pending, is done or has an attempt. */
     public boolean areAllTracked() {
         return pending.cardinality() + attemptsByTask.size() + done.cardinality() >= taskCount;
     }
 
     /**
-     * The first task at or after {@code from} that is neither pending, done nor attempted; -1 if
-     * there is none.
+     * The first task at or after index {@code from} that is neither pending nor done and has no
+     * attempt, so that it would never start; -1: there is no such task.
      */
     public int nextLost(int from) {
         for (int taskIndex = pending.nextClearBit(from);
@@ -88,10 +90,12 @@
         return done.get(taskIndex);
     }
 
+    /** Whether a task is done. */
     boolean hasDone() {
         return !done.isEmpty();
     }
 
+    /** Number of tasks that are done. */
     int doneCount() {
         return done.cardinality();
     }
@@ -101,13 +105,13 @@
         return done.cardinality() == taskCount;
     }
 
-    /** The task is done and need not start again. */
+    /** Marks a task as done, so that it is not started again. */
     public void markDone(int taskIndex) {
         done.set(taskIndex);
         pending.clear(taskIndex);
     }
 
-    /** All tasks are done. */
+    /** Marks all tasks as done. */
     public void markAllDone() {
         done.set(0, taskCount);
         pending.clear();
@@ -118,12 +122,14 @@
         return done.get(from, to);
     }
 
-    /** Whether the task's completion is stored. */
+    /** Whether the task's completion is stored at the state store. */
     public boolean isDoneStored(int taskIndex) {
         return storedDone.get(taskIndex);
     }
 
-    /** The completion of tasks is stored; {@code tasks} are offsets from {@code firstTask}. */
+    /**
+     * The completion of these tasks was stored; {@code tasks} are offsets from {@code firstTask}.
+     */
     public void onDoneStored(int firstTask, BitSet tasks) {
         tasks.stream().forEach(offset -> storedDone.set(firstTask + offset));
     }
@@ -140,12 +146,12 @@
 
     // ---- attempts ----
 
-    /** Whether an attempt at any task is, or may be, on a machine. */
+    /** Whether an attempt at any task may be on a machine. */
     public boolean hasAttempts() {
         return !attemptsByTask.isEmpty();
     }
 
-    /** How many tasks have an attempt. */
+    /** Number of tasks that have an attempt. */
     public int attemptCount() {
         return attemptsByTask.size();
     }
@@ -155,37 +161,37 @@
         return attemptsByTask.containsKey(taskIndex);
     }
 
-    /** The attempt at a task; null if there is none. */
+    /** One attempt at the task; null: it has none. */
     public TaskAttempt attemptAt(int taskIndex) {
         return attemptsByTask.get(taskIndex);
     }
 
-    /** One attempt for each task that has any. */
+    /** One attempt for each task that has attempts. */
     public Iterable<TaskAttempt> attempts() {
         return attemptsByTask.values();
     }
 
-    /** As {@link #attempts}, for loops that end attempts. */
+    /** A copy of {@link #attempts}, for loops that remove attempts. */
     public List<TaskAttempt> copyOfAttempts() {
         return new ArrayList<>(attemptsByTask.values());
     }
 
-    /** How many attempts are in the zone. */
+    /** Number of attempts in the zone with this index. */
     public int attemptsInZone(int zone) {
         return attemptsPerZone[zone];
     }
 
-    /** How many attempts are in each zone, by its index. */
+    /** Number of attempts in each zone, by zone index. */
     public int[] copyOfAttemptsPerZone() {
         return attemptsPerZone.clone();
     }
 
-    /** How many zones were known when the job became known. */
+    /** Number of zones that had an index when this job was created. */
     public int zoneCount() {
         return attemptsPerZone.length;
     }
 
-    /** The lowest zone with an attempt; -1 if there is none. */
+    /** The lowest index of a zone with an attempt; -1: no zone has one. */
     int firstZoneWithAttempts() {
         for (int zone = 0; zone < attemptsPerZone.length; zone++) {
             if (attemptsPerZone[zone] > 0) {
@@ -195,6 +201,7 @@
         return -1;
     }
 
+    /** Adds an attempt that may be on its machine; its task is no longer pending. */
     void addAttempt(TaskAttempt attempt) {
         attemptsPerZone[attempt.machine().zone()]++;
         if (!attemptsByTask.containsKey(attempt.taskIndex())) {
@@ -205,7 +212,7 @@
         }
     }
 
-    /** Returns whether the task has no other attempt left. */
+    /** Removes an attempt; returns whether it was the last attempt at its task. */
     boolean removeAttempt(TaskAttempt attempt) {
         attemptsPerZone[attempt.machine().zone()]--;
         if (attemptsByTask.get(attempt.taskIndex()) != attempt) {
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobUrgency.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobUrgency.java
@@ -4,17 +4,20 @@
 import io.kelphoist.model.Priority;
 
 /**
- * How urgent one job is: its priority and when it should be done, for itself and for the jobs that
- * depend on it. Owns both.
+ * The urgency of one job: its priority and the time by which it should be done, which also take the
+ * jobs into account that depend on it. Owns both.
  */
 final class JobUrgency {
     private final JobSpec spec;
     private final double acceptedAtSeconds;
 
-    /** The highest of its own priority and those of its dependents. */
+    /** The highest of its own priority and the priorities of its dependents. */
     private Priority priority;
 
-    /** The earliest of its own deadline and those that its dependents imply. */
+    /**
+     * The earliest of its own deadline and, for each dependent, the dependent's latest finish minus
+     * its estimated run time; infinite: no deadline.
+     */
     private double latestFinishAtSeconds;
 
     JobUrgency(JobSpec spec, double acceptedAtSeconds) {
@@ -23,16 +26,20 @@
         reset();
     }
 
+    /** The highest of its own priority and the priorities of its dependents. */
     Priority priority() {
         return priority;
     }
 
-    /** Infinite: no deadline. */
+    /**
+     * When the job should be done at the latest, so that it and its dependents meet their
+     * deadlines; infinite: no deadline.
+     */
     double latestFinishAtSeconds() {
         return latestFinishAtSeconds;
     }
 
-    /** Becomes at least as urgent as a dependent requires; returns whether that changed it. */
+    /** Raises the urgency to what a dependent requires; returns whether that changed it. */
     boolean inherit(JobUrgency dependent) {
         Priority previousPriority = priority;
         double previousLatestFinishAtSeconds = latestFinishAtSeconds;
@@ -47,7 +54,7 @@
                 || latestFinishAtSeconds != previousLatestFinishAtSeconds;
     }
 
-    /** Becomes as urgent as the job's own description says. */
+    /** Sets the urgency to the priority and deadline of the job's own description. */
     void reset() {
         priority = spec.priority();
         latestFinishAtSeconds =
--- a/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
@@ -11,37 +11,40 @@
 import java.util.List;
 
 /**
- * A machine that was requested from the cloud, from its request until its termination is confirmed.
- * Owns the machine's state and resources; parts of it are in {@link WorkerContact}, {@link
- * MachineAttempts}, {@link MachineHold} and {@link ImageCache}.
+ * A machine of the cloud, from its request until its termination is confirmed. Owns the machine's
+ * state and resources; parts of it are in {@link WorkerContact}, {@link MachineAttempts}, {@link
+ * MachineHold} and {@link ImageCache}.
  */
 public final class Machine {
     /** The states of a machine; {@link #transitionTo} is the only method that changes it. */
     public enum State {
         /** Requested from the cloud; its worker has not sent a heartbeat yet. */
         BOOTING,
-        /** Known from a record or a heartbeat; has not acknowledged this term. */
+        /**
+         * Adopted from a stored start, a replica, an instance list or a heartbeat; its worker has
+         * not acknowledged this term yet.
+         */
         JOINING,
-        /** Its worker has sent a heartbeat under this term. */
+        /** Its worker has sent a message with the fencing token of this term. */
         UP,
-        /** As UP, but gets no new work. */
+        /** As {@link #UP}, but no tasks are started on it. */
         DRAINING,
-        /** Its lease has expired, so that nothing runs on it. */
+        /** Its lease has expired, so that its worker has stopped all tasks. */
         LOST,
-        /** Its termination is requested and not confirmed. */
+        /** Its termination is requested, or about to be, and not confirmed. */
         TERMINATING,
         /** Its termination is confirmed. */
         TERMINATED;
 
-        /** Whether heartbeats renew the lease and commands are sent. */
+        /** Whether its heartbeats renew its lease and commands are sent to its worker. */
         public boolean isReporting() {
             return this == UP || this == DRAINING;
         }
     }
 
     /**
-     * The machines among which one run of the allocator chooses. A machine only remembers to which
-     * of them it belongs.
+     * The set of machines among which one run of the allocator chooses. A machine refers to the set
+     * that it entered last and uses nothing else of it.
      */
     public interface CandidateSet {}
 
@@ -52,7 +55,7 @@
     private final MachineHold hold = new MachineHold(this);
     private final MachineAttempts attempts = new MachineAttempts();
 
-    /** Host and port of the worker; null: not known yet. */
+    /** Host and port of its worker; null: not received yet. */
     private String address;
 
     private State state;
@@ -60,26 +63,31 @@
     private double idleSinceSeconds;
     private double lostAtSeconds;
 
-    /** When the cloud takes the machine; infinite: no notice was given. */
+    /** When the cloud terminates the machine; infinite: no termination notice was received. */
     private double terminationAtSeconds = Double.POSITIVE_INFINITY;
 
-    /** Gets no new work so that it can be returned; takes work again when some waits. */
+    /**
+     * It is drained to be returned to the cloud; the drain is cancelled if its capacity is needed.
+     */
     private boolean drainingForScaleIn;
 
-    /** An earlier leader was draining it, for a reason other than scale-in. */
+    /** An earlier leader drained it because it was faulty. */
     private boolean previousLeaderDraining;
 
-    /** Jobs of which a task failed here. */
+    /** Jobs with a task that failed on this machine. */
     private final List<Job> failedJobs = new ArrayList<>();
 
-    /** The candidates that it was last part of, and its index there. */
+    /** The candidate set that it entered last. */
     private CandidateSet candidateSet;
 
+    /** Its index in {@link #candidateSet}. */
     private int candidateIndex;
 
     /**
-     * @param address host and port of its worker; null: not known yet
-     * @param nowSeconds when it was requested or, if that is not known, became known
+     * Creates a machine without attempts.
+     *
+     * @param address host and port of its worker; null: not received yet
+     * @param nowSeconds when it was requested or, if that is unknown, adopted by this leader
      */
     public Machine(MachineIdentity identity, String address, State state, double nowSeconds) {
         this.identity = identity;
@@ -92,7 +100,7 @@
         this.images = new ImageCache<>(this, identity.type());
     }
 
-    /** Its name, unique and never used again by the cloud. */
+    /** Its name, which is unique and never reused by the cloud. */
     public String name() {
         return identity.name();
     }
@@ -107,17 +115,17 @@
         return identity.zone();
     }
 
-    /** Whether it is a spot machine, which the cloud may take at short notice. */
+    /** Whether it is a spot instance, which the cloud may terminate at short notice. */
     public boolean spot() {
         return identity.spot();
     }
 
-    /** Host and port of its worker; null: not known yet. */
+    /** Host and port of its worker; null: not received yet. */
     public String address() {
         return address;
     }
 
-    /** Its worker is at this host and port now. */
+    /** Sets the host and port of its worker. */
     public void updateAddress(String newAddress) {
         address = newAddress;
     }
@@ -130,8 +138,8 @@
     }
 
     /**
-     * The only method that changes the state. A machine that is being terminated does nothing else,
-     * and TERMINATED is final. Returns whether the state changed.
+     * The only method that changes the state. From TERMINATING only TERMINATED can follow, and
+     * TERMINATED is final. Returns whether the state changed.
      */
     public boolean transitionTo(State next, double nowSeconds) {
         if (state == next
@@ -148,19 +156,22 @@
         return true;
     }
 
-    /** Whether tasks may start on it. */
+    /**
+     * Whether tasks may start on it: it is up, has no termination notice, and is not possibly
+     * disconnected.
+     */
     public boolean acceptsWork(double nowSeconds) {
         return state == State.UP
                 && terminationAtSeconds == Double.POSITIVE_INFINITY
                 && !contact.isPossiblyDisconnected();
     }
 
-    /** When it was requested or, if that is not known, became known. */
+    /** When it was requested or, if that is unknown, adopted by this leader. */
     public double launchedAtSeconds() {
         return launchedAtSeconds;
     }
 
-    /** When it last came up, or its last attempt ended. */
+    /** When it last became {@link State#UP}, or its last attempt was removed. */
     public double idleSinceSeconds() {
         return idleSinceSeconds;
     }
@@ -170,33 +181,33 @@
         return lostAtSeconds;
     }
 
-    /** When the cloud takes the machine; infinite: no notice was given. */
+    /** When the cloud terminates the machine; infinite: no termination notice was received. */
     public double terminationAtSeconds() {
         return terminationAtSeconds;
     }
 
-    /** Whether the cloud gave notice that it takes the machine. */
+    /** Whether a termination notice was received. */
     public boolean hasTerminationNotice() {
         return terminationAtSeconds != Double.POSITIVE_INFINITY;
     }
 
-    /** The cloud takes the machine at this time. */
+    /** Called for a termination notice: the cloud terminates the machine at this time. */
     public void onTerminationNotice(double atSeconds) {
         terminationAtSeconds = atSeconds;
     }
 
-    /** Whether it is drained to be returned, not because it is faulty. */
+    /** Whether it is drained to be returned to the cloud, not because it is faulty. */
     public boolean drainingForScaleIn() {
         return drainingForScaleIn;
     }
 
-    /** Gets no new work, so that it can be returned. */
+    /** Drains the machine, so that it can be returned to the cloud. */
     public void drainForScaleIn(double nowSeconds) {
         drainingForScaleIn = true;
         transitionTo(State.DRAINING, nowSeconds);
     }
 
-    /** Takes work again, as some waits. */
+    /** Ends {@link #drainForScaleIn}: tasks may start on the machine again. */
     public void cancelScaleIn(double nowSeconds) {
         drainingForScaleIn = false;
         transitionTo(State.UP, nowSeconds);
@@ -204,37 +215,37 @@
 
     // ---- contact with its worker ----
 
-    /** The contact with its worker. */
+    /** The messages that were exchanged with its worker. */
     public WorkerContact contact() {
         return contact;
     }
 
-    /** Whether its worker receives what is sent to it. */
+    /** Whether its worker receives what the leader sends. */
     public MachineReachability reachability() {
         return contact.reachability();
     }
 
-    /** The agent epoch of the newest message of its worker; 0: none is known. */
+    /** The agent epoch of the newest message of its worker; 0: none was received. */
     public long agentEpoch() {
         return contact.agentEpoch();
     }
 
-    /** The newest agent epoch that this leader or an earlier one has seen; 0: none. */
+    /** The newest agent epoch that this leader received or an earlier one replicated; 0: none. */
     public long agentEpochHint() {
         return contact.agentEpochHint();
     }
 
-    /** Whether it is known and has sent no heartbeat under this term. */
+    /** Whether it was adopted, but its worker has not acknowledged this term. */
     public boolean awaitsFirstHeartbeat() {
         return state == State.JOINING;
     }
 
-    /** Whether its heartbeats may come, but not what is sent to it. */
+    /** Whether messages to its worker may be lost, although its heartbeats may arrive. */
     public boolean isSuspected() {
         return contact.reachability().isSuspected() && state.isReporting();
     }
 
-    /** Takes over the position and the address that a heartbeat names. */
+    /** Applies the agent epoch, sequence number and address of the newest message. */
     public void updateFrom(Heartbeat heartbeat) {
         contact.updateNewestMessage(heartbeat);
         address = heartbeat.address();
@@ -242,7 +253,10 @@
 
     // ---- earlier leaders ----
 
-    /** What an earlier leader replicated of it, as far as nothing better is known. */
+    /**
+     * Applies what an earlier leader replicated of this machine. An address that is already set is
+     * kept, and so is an earlier termination time.
+     */
     public void applyReplicated(ReplicatedMachine replicated) {
         if (address == null) {
             address = replicated.address();
@@ -252,19 +266,22 @@
         terminationAtSeconds = Math.min(terminationAtSeconds, replicated.terminationAtSeconds());
     }
 
-    /** Whether an earlier leader drained it as faulty: it gets no new work from this one either. */
+    /**
+     * Whether an earlier leader drained it as faulty, and it has not acknowledged this term yet:
+     * this leader starts no tasks on it either.
+     */
     public boolean wasDrainedAsFaulty() {
         return previousLeaderDraining && state == State.JOINING;
     }
 
-    /** Whether a command of an earlier leader may still be on its way. */
+    /** Whether a command of an earlier leader may still be delivered. */
     public boolean isPreviousLeaderCommandOutcomeUnknown() {
         return contact.isPreviousLeaderCommandOutcomeUnknown();
     }
 
     // ---- resources ----
 
-    /** What of its capacity is used, reserved and free. */
+    /** How much of its capacity is used, reserved and free. */
     public MachineResources resources() {
         return resources;
     }
@@ -274,73 +291,79 @@
         return resources.free();
     }
 
-    /** What its attempts occupy. */
+    /** Capacity that its attempts occupy. */
     public Resources used() {
         return resources.used();
     }
 
-    /** The free room once the attempts that are being stopped have ended. */
+    /** Free capacity once the attempts that are being stopped have ended. */
     public Resources freeAfterStops() {
         return attempts.addStopping(resources.free());
     }
 
     // ---- choice of machines ----
 
-    /** Increases whenever a change may affect the choice of this machine for a task. */
+    /**
+     * Increases with each change of its resources and each hold that ends: a placement cost that
+     * was computed at a lower version may be out of date.
+     */
     public int placementVersion() {
         return resources.version() + hold.version();
     }
 
-    /** Becomes part of the machines among which the allocator chooses, and of no others. */
+    /** Enters a candidate set at an index, and leaves the one that it entered before. */
     public void enterCandidates(CandidateSet newCandidates, int index) {
         candidateSet = newCandidates;
         candidateIndex = index;
     }
 
-    /** Whether these are the candidates that it entered last. */
+    /** Whether this is the candidate set that it entered last. */
     public boolean isCandidateIn(CandidateSet candidates) {
         return candidateSet == candidates;
     }
 
-    /** Its index in the candidates that it entered last. */
+    /** Its index in the candidate set that it entered last. */
     public int candidateIndex() {
         return candidateIndex;
     }
 
-    /** For which job, if any, it is held. */
+    /** Its hold for a job, which may be for none. */
     public MachineHold hold() {
         return hold;
     }
 
-    /** What it should have cached. */
+    /** The images that should be cached on it. */
     public ImageCache<Machine> images() {
         return images;
     }
 
     // ---- attempts ----
 
-    /** Attempts that are, or may be, here, and those whose end its worker still reports. */
+    /** Attempts that may be on this machine, and exited ones that its worker still lists. */
     public MachineAttempts attempts() {
         return attempts;
     }
 
-    /** Whether an attempt is, or may be, here. */
+    /** Whether {@link #attempts} is not empty. */
     public boolean hasAttempts() {
         return !attempts.isEmpty();
     }
 
-    /** Whether a task of a service or a gang is, or may be, here. */
+    /** Whether {@link #attempts} contains a task of a service or a gang. */
     public boolean hasGangOrServiceTask() {
         return attempts.hasGangOrService();
     }
 
-    /** The attempt is, or may be, here from now on. */
+    /** Adds an attempt that may be on this machine from now on. */
     public void addAttempt(TaskAttempt attempt) {
         attempts.add(attempt);
         images.addReference(attempt.job().imageIndex());
     }
 
-    /** An attempt is proven not to be here any more, or its end was taken over. */
+    /**
+     * Removes an attempt that is proven not to be on this machine, or that exited and is no longer
+     * listed by its worker.
+     */
     public void removeAttempt(TaskAttempt attempt, double nowSeconds) {
         if (attempts.remove(attempt)) {
             images.removeReference(attempt.job().imageIndex());
@@ -352,17 +375,20 @@
 
     // ---- failures ----
 
-    /** Whether a task of the job failed here. */
+    /** Whether a task of the job failed on this machine. */
     public boolean hasFailed(Job job) {
         return failedJobs.contains(job);
     }
 
-    /** A task of the job failed here; returns whether it is the first of that job. */
+    /** Records that a task of the job failed on this machine; returns whether it is the first. */
     public boolean recordFailure(Job job) {
         return !failedJobs.contains(job) && failedJobs.add(job);
     }
 
-    /** How many jobs failed here that do not fail everywhere. */
+    /**
+     * Number of jobs that failed on this machine and are not suspected faulty themselves, so that
+     * their failures are attributed to the machine.
+     */
     public int countAttributedFailures() {
         int count = 0;
         for (Job job : failedJobs) {
@@ -371,7 +397,7 @@
         return count;
     }
 
-    /** For diagnosis. */
+    /** A description for logs and debugging. */
     @Override
     public String toString() {
         return identity.name()
@@ -381,7 +407,7 @@
                 + contact.sequenceNumber()
                 + " "
                 + state
-                + (contact.isPossiblyDisconnected() ? " quiet " : " ")
+                + (contact.isPossiblyDisconnected() ? " possiblyDisconnected " : " ")
                 + contact.reachability().state()
                 + " "
                 + attempts;
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineAttempts.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineAttempts.java
@@ -8,8 +8,8 @@
 import java.util.List;
 
 /**
- * The attempts that are, or may be, on one machine, and those whose end its worker still reports.
- * Only {@link Machine} adds and removes attempts.
+ * The attempts that may be on one machine, and exited ones that its worker still lists. Only {@link
+ * Machine} adds and removes attempts.
  */
 public final class MachineAttempts implements Iterable<TaskAttempt> {
     private final List<TaskAttempt> attempts = new ArrayList<>();
@@ -19,30 +19,32 @@
         return attempts.iterator();
     }
 
-    /** For loops that end attempts. */
+    /** A copy, for loops that remove attempts. */
     public List<TaskAttempt> copy() {
         return new ArrayList<>(attempts);
     }
 
-    /** How many attempts there are. */
+    /** Number of attempts. */
     public int size() {
         return attempts.size();
     }
 
-    /** Whether there are none. */
+    /** Whether there are no attempts. */
     public boolean isEmpty() {
         return attempts.isEmpty();
     }
 
+    /** Adds an attempt. */
     void add(TaskAttempt attempt) {
         attempts.add(attempt);
     }
 
+    /** Removes an attempt; returns whether it was contained. */
     boolean remove(TaskAttempt attempt) {
         return attempts.remove(attempt);
     }
 
-    /** The attempt that a heartbeat lists; null: it is not known on this machine. */
+    /** The attempt that a heartbeat lists; null: it is not among the attempts of this machine. */
     public TaskAttempt find(TaskStatus taskStatus) {
         for (TaskAttempt attempt : attempts) {
             if (attempt.matches(taskStatus)) {
@@ -52,7 +54,10 @@
         return null;
     }
 
-    /** The attempt at a task that only a record of an earlier term names; null: there is none. */
+    /**
+     * The presumed attempt at a task, see {@link TaskAttempt#isPresumed}; null: this machine has
+     * none.
+     */
     public TaskAttempt findPresumed(Job job, int taskIndex) {
         for (TaskAttempt attempt : attempts) {
             if (attempt.isPresumed() && attempt.job() == job && attempt.taskIndex() == taskIndex) {
@@ -62,7 +67,7 @@
         return null;
     }
 
-    /** Whether any is of a service or a gang. */
+    /** Whether an attempt is at a task of a service or a gang. */
     boolean hasGangOrService() {
         for (TaskAttempt attempt : attempts) {
             if (attempt.job().spec().kind() != JobKind.ARRAY) {
@@ -72,7 +77,7 @@
         return false;
     }
 
-    /** Whether a task of a cancelled job may run here. */
+    /** Whether a task of a cancelled job may be running on the machine. */
     public boolean hasAttemptOfCancelledJob() {
         for (TaskAttempt attempt : attempts) {
             if (attempt.state().occupiesResources() && attempt.job().isCancelled()) {
@@ -82,7 +87,7 @@
         return false;
     }
 
-    /** Whether a direct command with a start got no response. */
+    /** Whether a direct command with the start of an attempt got no response. */
     boolean hasStartWithUnknownOutcome() {
         for (TaskAttempt attempt : attempts) {
             if (attempt.startOutcomeUnknown()) {
@@ -92,7 +97,7 @@
         return false;
     }
 
-    /** What the attempts that are being stopped occupy, added to {@code free}. */
+    /** Returns {@code free} plus the resources of the attempts that are being stopped. */
     Resources addStopping(Resources free) {
         Resources sum = free;
         for (TaskAttempt attempt : attempts) {
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineCatalog.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineCatalog.java
@@ -8,20 +8,20 @@
 import java.util.Map;
 
 /**
- * The zones and machine types that machines can be of. Owns both; names are added and never
- * removed.
+ * The zones and machine types in which the cloud offers machines. Owns both; entries are added and
+ * never removed.
  */
 public final class MachineCatalog {
     private final NameIndex zones = new NameIndex();
     private final Map<String, MachineType> typesByName = new LinkedHashMap<>();
     private double maxFetchGbPerSecond;
 
-    /** Creates a catalog of these zones, without machine types. */
+    /** Creates a catalog with these zones and without machine types. */
     public MachineCatalog(Collection<String> zoneNames) {
         zoneNames.forEach(zones::getOrAssign);
     }
 
-    /** Adds types, or replaces those of the same name, and the zones that they are offered in. */
+    /** Adds machine types, or replaces those of the same name, and adds their zones. */
     public void addTypes(Collection<MachineType> machineTypes) {
         for (MachineType machineType : machineTypes) {
             typesByName.put(machineType.name(), machineType);
@@ -30,7 +30,7 @@
         }
     }
 
-    /** The machine type of a name; null if it is not known. */
+    /** The machine type with this name; null: the catalog does not contain it. */
     public MachineType type(String name) {
         return typesByName.get(name);
     }
@@ -45,7 +45,7 @@
         return zones;
     }
 
-    /** The highest rate at which machines of any type fetch images, in GB per second. */
+    /** The highest image fetch rate of all machine types added so far, in GB per second. */
     public double maxFetchGbPerSecond() {
         return maxFetchGbPerSecond;
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
@@ -1,50 +1,52 @@
 package io.kelphoist.scheduler.cluster;
 
 /**
- * The hold of one machine: while it is held for a job it is offered to no other one, so that room
- * for a task that fits nowhere can come together.
+ * The hold of one machine for a job. While it lasts, the machine is offered to no other job, so
+ * that capacity can be freed there for a task that does not fit on any machine yet.
  */
 public final class MachineHold {
     private final Machine machine;
     private Job job;
     private double untilSeconds;
 
-    /** How many tasks of the job the machine is held for. */
+    /** Number of tasks of the job that the machine is held for. */
     private int taskCount;
 
-    /** Increases whenever a hold ends. */
+    /** Increases with each hold that ends. */
     private int version;
 
+    /** Creates the hold of a machine, for no job. */
     MachineHold(Machine machine) {
         this.machine = machine;
     }
 
-    /** The job that the machine is held for; null: none. */
+    /** The job that the machine is held for, even if the hold has expired; null: none. */
     public Job job() {
         return job;
     }
 
-    /** As {@link #job}, null also if the time of the hold is over. */
+    /** The job that the machine is held for at this time; null: none, or the hold has expired. */
     public Job jobAt(double nowSeconds) {
         return nowSeconds < untilSeconds ? job : null;
     }
 
-    /** Whether the machine is held for another job than the candidate. */
+    /** Whether the machine is held for a job other than the candidate. */
     public boolean isForOtherJob(Job candidate, double nowSeconds) {
         Job holder = jobAt(nowSeconds);
         return holder != null && holder != candidate;
     }
 
-    /** How many tasks of the job the machine is held for. */
+    /** Number of tasks of the job that the machine is held for. */
     public int taskCount() {
         return taskCount;
     }
 
+    /** Increases with each hold that ends. */
     int version() {
         return version;
     }
 
-    /** Holds the machine for one more task of the job; a hold for another job ends. */
+    /** Holds the machine for one more task of the job; ends a hold for another job. */
     public void addTask(Job holder, double endsAtSeconds) {
         if (job != holder) {
             end();
@@ -55,7 +57,10 @@
         taskCount++;
     }
 
-    /** A task of the job that the machine is held for starts on it. */
+    /**
+     * Called when a task of the job that the machine is held for starts on it. The hold ends with
+     * the last of these tasks.
+     */
     public void onTaskStarted() {
         taskCount--;
         if (taskCount <= 0) {
@@ -63,7 +68,7 @@
         }
     }
 
-    /** The machine is held for no job any more. */
+    /** Ends the hold, if there is one. */
     public void end() {
         if (job != null) {
             version++;
@@ -73,7 +78,10 @@
         }
     }
 
-    /** Whether the hold must end: it lasted too long, is in vain, or is not needed any more. */
+    /**
+     * Whether the hold must end: it has expired, no task may start on the machine, or the job is
+     * not active or has no pending task.
+     */
     public boolean mustEnd(double nowSeconds) {
         return job != null
                 && (nowSeconds >= untilSeconds
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineRegistry.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineRegistry.java
@@ -8,15 +8,15 @@
 import java.util.function.Consumer;
 
 /**
- * The machines that this term knows, and the names of those whose termination is confirmed. Owns
- * both, and the index of image locations.
+ * The machines of one term, and the names of those whose termination is confirmed. Owns both, and
+ * the index of image locations.
  */
 public final class MachineRegistry {
     private final Object2ObjectOpenHashMap<String, Machine> machinesByName =
             new Object2ObjectOpenHashMap<>();
 
     /**
-     * Names of machines whose termination is confirmed. The cloud never uses a name twice, so late
+     * Names of machines whose termination is confirmed. The cloud never reuses a name, so delayed
      * messages of these machines are ignored.
      */
     private final Set<String> terminatedNames = new ObjectOpenHashSet<>();
@@ -25,46 +25,55 @@
     private final Consumer<Machine> cachedImagesRestorer;
 
     /**
-     * @param cachedImagesRestorer gives a machine that is added the images that an earlier term
-     *     recorded as cached on it
+     * Creates a registry without machines.
+     *
+     * @param cachedImagesRestorer called with each machine that is added; restores the images that
+     *     an earlier term stored as cached on it
      */
     public MachineRegistry(Consumer<Machine> cachedImagesRestorer) {
         this.cachedImagesRestorer = cachedImagesRestorer;
     }
 
-    /** The machine of a name; null if it is not known. */
+    /** The machine with this name; null: the registry does not contain it. */
     public Machine get(String name) {
         return machinesByName.get(name);
     }
 
-    /** All machines that are not terminated, in no particular order; not to be changed. */
+    /**
+     * All machines whose termination is not confirmed, in no particular order; callers must not
+     * change the collection.
+     */
     public Collection<Machine> all() {
         return machinesByName.values();
     }
 
-    /** How many machines are known. */
+    /** Number of machines whose termination is not confirmed. */
     int size() {
         return machinesByName.size();
     }
 
-    /** Whether the machine's termination is confirmed. */
+    /** Whether the termination of the machine with this name is confirmed. */
     public boolean isTerminated(String name) {
         return terminatedNames.contains(name);
     }
 
-    /** Which machines are related to which images. */
+    /** Index of the machines that reference each image. */
     public ImageLocations<Machine> imageLocations() {
         return imageLocations;
     }
 
-    /** Adds a machine, and restores what an earlier term recorded of its image cache. */
+    /** Adds a machine, and restores what an earlier term stored of its image cache. */
     public void add(Machine machine) {
         machinesByName.put(machine.name(), machine);
         machine.images().trackIn(imageLocations);
         cachedImagesRestorer.accept(machine);
     }
 
-    /** The machine's termination is confirmed; returns it, or null if it was not known. */
+    /**
+     * Removes a machine whose termination is confirmed.
+     *
+     * @return the machine; null: the registry did not contain it
+     */
     public Machine remove(String name) {
         terminatedNames.add(name);
         return machinesByName.remove(name);
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineReplication.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineReplication.java
@@ -7,12 +7,13 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What the leader replicates of its machines to followers. */
+/** Creates the descriptions of machines that the leader replicates to followers. */
 public final class MachineReplication {
     private MachineReplication() {}
 
     /**
-     * Describes the machines that followers should know: those that are, or are about to be, up.
+     * Describes the machines that are up, draining, joining or booting; others need not be
+     * replicated.
      */
     public static List<ReplicatedMachine> describe(Collection<Machine> machines, NameIndex zones) {
         List<ReplicatedMachine> replicated = new ArrayList<>(machines.size());
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineResources.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineResources.java
@@ -2,39 +2,43 @@
 
 import io.kelphoist.model.Resources;
 
-/** What of one machine's capacity is used by attempts, reserved for gangs, and free. */
+/** How much of one machine's capacity is used by attempts, reserved for gangs, and free. */
 public final class MachineResources {
-    /** Less than this many CPUs and GPUs in use count as none: amounts are rounded. */
+    /** Up to this many CPUs and GPUs in use are taken as zero, because of rounding errors. */
     private static final double UNALLOCATED_TOLERANCE = 1e-6;
 
     private final Resources capacity;
     private Resources used = Resources.NONE;
     private Resources reserved = Resources.NONE;
 
-    /** Kept, as it is read far more often than it changes. */
+    /** Capacity minus used and reserved; stored, as it is read far more often than it changes. */
     private Resources free;
 
     /** Increases with each change. */
     private int version;
 
+    /** Creates the resources of a machine with nothing used or reserved. */
     MachineResources(Resources capacity) {
         this.capacity = capacity;
         this.free = capacity;
     }
 
+    /** Resources that attempts occupy. */
     Resources used() {
         return used;
     }
 
-    /** What is reserved for tasks of gangs. */
+    /** Resources that are reserved for tasks of gangs. */
     public Resources reserved() {
         return reserved;
     }
 
+    /** Capacity that is neither used nor reserved. */
     Resources free() {
         return free;
     }
 
+    /** Increases with each change. */
     int version() {
         return version;
     }
@@ -44,22 +48,22 @@
         return used.gpus() + used.cpus() <= UNALLOCATED_TOLERANCE;
     }
 
-    /** An attempt occupies these resources from now on. */
+    /** Adds the resources of an attempt to what is used. */
     public void allocate(Resources resources) {
         update(used.plus(resources), reserved);
     }
 
-    /** An attempt occupies these resources no longer. */
+    /** Subtracts the resources of an attempt from what is used. */
     public void deallocate(Resources resources) {
         update(used.minus(resources), reserved);
     }
 
-    /** Reserves room for a task of a gang. */
+    /** Reserves resources for one task of a gang. */
     public void reserve(Resources perTask) {
         update(used, reserved.plus(perTask));
     }
 
-    /** Releases the room of {@link #reserve}. */
+    /** Releases resources that {@link #reserve} reserved. */
     public void releaseReservation(Resources perTask) {
         update(used, reserved.minus(perTask));
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
@@ -4,43 +4,44 @@
 import io.kelphoist.model.TaskStatus;
 
 /**
- * One attempt at a task on one machine. It counts against the machine's room, the team's quota and
- * the job's zones from before its start is sent until a heartbeat proves that it is not there, or
- * the machine's lease has expired. Owns its state, and what of its start and stop was sent.
+ * One attempt at a task on one machine. It is charged to the machine's capacity, the team's quota
+ * and the job's zones from before its start is sent until a heartbeat proves that it is not on the
+ * machine, or the machine's lease has expired. Owns its state, and whether its start and stop were
+ * sent.
  */
 public final class TaskAttempt {
     /** The states of an attempt; {@link #transitionTo} is the only method that changes it. */
     public enum State {
-        /** Its start is decided and perhaps sent; no heartbeat has listed it yet. */
+        /** Its start was decided and may have been sent; its worker has not listed it yet. */
         STARTING,
-        /** Waits for its image. */
+        /** Its image is not on the machine yet. */
         FETCHING,
-        /** Of a gang: waits for the other tasks of its attempt. */
+        /** Of a gang: waits for the other tasks of the gang attempt. */
         WAITING,
-        /** Runs. */
+        /** The task is running. */
         RUNNING,
-        /** Was told to stop and saves a checkpoint. */
+        /** It received a stop and is saving a checkpoint. */
         SAVING,
         /**
-         * Its worker says that it ended: occupies nothing, and stays until the worker may forget
-         * it.
+         * Its worker listed it as exited: it occupies no resources, and is kept until the worker
+         * may stop listing it.
          */
         EXITED,
-        /** Proven not to be on the machine. */
+        /** Proven not to be on the machine, and removed from it. */
         REMOVED;
 
-        /** Whether an attempt in this state is, or may be, on its machine. */
+        /** Whether an attempt in this state may be on its machine. */
         public boolean occupiesResources() {
             return this != EXITED && this != REMOVED;
         }
     }
 
-    /** The value of {@link #stopGraceSeconds} while the task is not to be stopped. */
+    /** The value of {@link #stopGraceSeconds} while no stop is requested. */
     static final double NOT_STOPPING = -1;
 
     /**
-     * The id of an attempt that only a record of an earlier term names, as long as its machine has
-     * not sent a heartbeat.
+     * The id of all attempts that are known only from starts that earlier terms stored. Such an
+     * attempt is removed when its machine sends a list of tasks under this term.
      */
     static final long PRESUMED_ATTEMPT_ID = -1;
 
@@ -52,27 +53,31 @@
     private State state = State.STARTING;
     private ExitReason exitReason;
 
-    /** A command with its start had no response, so it may be executed minutes later. */
+    /** A direct command with its start got no response: it may be executed minutes later. */
     private boolean startOutcomeUnknown;
 
-    /** A command with its start was sent and has not ended. */
+    /** A direct command with its start was sent and its outcome is not reported yet. */
     private boolean startInFlight;
 
-    /** Its start is stored at the state service. */
+    /** Its start is stored at the state store. */
     private boolean startRecorded;
 
-    /** Its start was sent at least once, in a command or an answer to a heartbeat. */
+    /** Its start was sent at least once, in a direct command or a response to a heartbeat. */
     private boolean startSent;
 
+    /** Its stop was sent since it was last requested. */
     private boolean stopSent;
+
     private double stopGraceSeconds = NOT_STOPPING;
     private double stopRequestedAtSeconds;
     private final double createdAtSeconds;
     private double runningSinceSeconds = Double.NaN;
+
+    /** It is charged to the machine, the team's quota and the job's zones. */
     private boolean allocated;
 
     /**
-     * Creates an attempt whose start is decided now.
+     * Creates an attempt in state {@link State#STARTING}.
      *
      * @param agentEpoch the agent epoch of the worker that is to start it
      */
@@ -92,12 +97,15 @@
         this.startRecorded = attemptId == PRESUMED_ATTEMPT_ID;
     }
 
-    /** The attempt at a task that a record of an earlier term names. */
+    /** Creates the attempt of a start that an earlier term stored, see {@link #isPresumed}. */
     public static TaskAttempt presumed(Job job, int taskIndex, Machine machine, double nowSeconds) {
         return new TaskAttempt(job, taskIndex, PRESUMED_ATTEMPT_ID, machine, 0, nowSeconds);
     }
 
-    /** Whether only a record of an earlier term names it. */
+    /**
+     * Whether it is known only from a start that an earlier term stored: until the machine sends a
+     * list of tasks or its lease expires, the task is presumed to be there.
+     */
     public boolean isPresumed() {
         return attemptId == PRESUMED_ATTEMPT_ID;
     }
@@ -107,14 +115,14 @@
         return state;
     }
 
-    /** Why it exited; null: it has not. */
+    /** Why it exited; null: it has not exited. */
     public ExitReason exitReason() {
         return exitReason;
     }
 
     /**
-     * The only method that changes the state. An attempt that ended does not come back. Returns
-     * whether the state changed.
+     * The only method that changes the state. From EXITED only REMOVED can follow, and REMOVED is
+     * final. Returns whether the state changed.
      */
     public boolean transitionTo(State next, ExitReason reason, double nowSeconds) {
         if (next == state
@@ -130,7 +138,7 @@
         return true;
     }
 
-    /** Whether the task is to be stopped. */
+    /** Whether a stop was requested. */
     public boolean isStopping() {
         return stopGraceSeconds != NOT_STOPPING;
     }
@@ -145,7 +153,7 @@
         return taskIndex;
     }
 
-    /** The machine that it is, or may be, on. */
+    /** The machine that it was started on. */
     public Machine machine() {
         return machine;
     }
@@ -159,18 +167,21 @@
                 + attemptId
                 + " "
                 + state
-                + (startOutcomeUnknown ? " dangling" : "")
+                + (startOutcomeUnknown ? " startOutcomeUnknown" : "")
                 + (isStopping() ? " stopping" : "");
     }
 
-    /** Whether this is the attempt that a worker lists. */
+    /** Whether a worker's task status is about this attempt. */
     public boolean matches(TaskStatus taskStatus) {
         return attemptId == taskStatus.attemptId()
                 && taskIndex == taskStatus.taskIndex()
                 && job.spec().id().equals(taskStatus.jobId());
     }
 
-    /** Run time that would be lost if it were stopped now, in seconds. */
+    /**
+     * Run time that would be lost if it were stopped now, in seconds; with checkpoints, at most the
+     * time that saving one takes.
+     */
     public double workAtRiskSeconds(double nowSeconds) {
         if (Double.isNaN(runningSinceSeconds)) {
             return 0;
@@ -181,61 +192,64 @@
                 : runSeconds;
     }
 
-    /** Its id, which no other term uses; {@link #isPresumed} attempts share one. */
+    /** Its id, which no other attempt of any term has, except that presumed attempts share one. */
     public long attemptId() {
         return attemptId;
     }
 
-    /** The agent epoch of the worker that its start was decided for. */
+    /** The agent epoch of the worker when the start was decided. */
     public long agentEpoch() {
         return agentEpoch;
     }
 
-    /** When its start was decided or, if an earlier term did that, it became known. */
+    /**
+     * When its start was decided or, if an earlier term decided it, when this leader created the
+     * attempt.
+     */
     public double createdAtSeconds() {
         return createdAtSeconds;
     }
 
-    /** When the task was first seen running; NaN: it was not. */
+    /** When the task was first reported running; NaN: it was not. */
     double runningSinceSeconds() {
         return runningSinceSeconds;
     }
 
-    /** Whether the task was ever seen running. */
+    /** Whether the task was ever reported running. */
     public boolean hasRun() {
         return !Double.isNaN(runningSinceSeconds);
     }
 
     // ---- accounting ----
 
-    /** Whether it counts against the machine, the team's quota and the zone. */
+    /** Whether it is charged to the machine, the team's quota and the job's zones. */
     public boolean allocated() {
         return allocated;
     }
 
-    /** It counts from now on. */
+    /** Marks it as charged to the machine, the team's quota and the job's zones. */
     public void markAllocated() {
         allocated = true;
     }
 
-    /** It counts no longer. */
+    /** Marks it as charged no longer. */
     public void markDeallocated() {
         allocated = false;
     }
 
-    /** Whether the attempt is counted and its task was seen running. */
+    /** Whether it is allocated and its task was reported running. */
     public boolean isRunningAllocated() {
         return allocated && hasRun();
     }
 
     // ---- the start ----
 
-    /** Whether the state service holds the start, so that it may be sent. */
+    /** Whether its start is stored at the state store, so that it may be sent. */
     public boolean startRecorded() {
         return startRecorded;
     }
 
-    /** The state service holds the start. */
+    /** Called when its start is stored at the state store. */
     public void markStartRecorded() {
         startRecorded = true;
     }
@@ -245,66 +259,75 @@
         return startSent;
     }
 
-    /** The start goes out in the response to a heartbeat. */
+    /** Called when the start is sent in the response to a heartbeat. */
     public void onStartSentInResponse() {
         startSent = true;
     }
 
-    /** The start goes out in a direct command, whose outcome {@link #onStartOutcome} reports. */
+    /**
+     * Called when the start is sent in a direct command, whose outcome {@link #onStartOutcome}
+     * reports.
+     */
     public void onStartDispatched() {
         startSent = true;
         startInFlight = true;
     }
 
-    /** A direct command that may have had the start in it was answered, or got no response. */
-    public void onStartOutcome(boolean answered) {
+    /**
+     * Called for the outcome of a direct command that may have contained the start.
+     *
+     * @param responded false: the outcome is unknown, as there was no response
+     */
+    public void onStartOutcome(boolean responded) {
         if (startInFlight) {
             startInFlight = false;
-            startOutcomeUnknown |= !answered;
+            startOutcomeUnknown |= !responded;
         }
     }
 
-    /** The worker lists a task that an earlier term started. */
+    /** Called when a worker lists the attempt and an earlier term started it. */
     public void onAdopted() {
         startRecorded = true;
         startSent = true;
     }
 
-    /** Whether a direct command with the start got no answer: it may be executed minutes later. */
+    /**
+     * Whether a direct command with the start got no response: it may be executed minutes later.
+     */
     boolean startOutcomeUnknown() {
         return startOutcomeUnknown;
     }
 
-    /** Whether a direct command with the start may still reach the worker. */
+    /** Whether a direct command with the start may still be delivered to the worker. */
     public boolean mayStartArrive() {
         return startOutcomeUnknown || startInFlight;
     }
 
     // ---- the stop ----
 
-    /** Wants the task stopped; it gets {@code graceSeconds} to save a checkpoint. */
+    /** Requests a stop, with {@code graceSeconds} to save a checkpoint. */
     public void requestStop(double graceSeconds, double nowSeconds) {
         stopGraceSeconds = graceSeconds;
         stopRequestedAtSeconds = nowSeconds;
         stopSent = false;
     }
 
-    /** How long the task may save a checkpoint; negative if it is not to be stopped. */
+    /** The time that the task gets to save a checkpoint; negative: no stop is requested. */
     public double stopGraceSeconds() {
         return stopGraceSeconds;
     }
 
-    /** When its stop was requested last. */
+    /** When its stop was last requested. */
     public double stopRequestedAtSeconds() {
         return stopRequestedAtSeconds;
     }
 
-    /** Whether its stop was sent since it was requested last. */
+    /** Whether its stop was sent since it was last requested. */
     public boolean stopSent() {
         return stopSent;
     }
 
-    /** Its stop is sent now. */
+    /** Called when its stop is sent. */
     public void onStopSent() {
         stopSent = true;
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/TeamUsage.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/TeamUsage.java
@@ -4,26 +4,28 @@
 import io.kelphoist.model.Team;
 
 /**
- * A team's quota and what counts against it: resources allocated to its task attempts, room
- * reserved for its gangs, and room kept for its urgent jobs. Owns these three amounts.
+ * A team's quota and what is charged to it: resources allocated to its task attempts, resources
+ * reserved for its gangs, and resources reserved for its urgent jobs. Owns these three amounts.
  */
 public final class TeamUsage {
-    /** Keeps the weight of a team without a guarantee above zero. */
+    /** Keeps the weight of a guest team, which has no guarantee, above zero. */
     private static final double MIN_WEIGHT = 1e-3;
 
     private final Team team;
+
+    /** Resources of all attempts that may be on machines. */
     private Resources used = Resources.NONE;
 
-    /** Room reserved for tasks of gangs; counts against the quota up to the guarantee. */
+    /** Resources reserved for tasks of gangs: charged to the limit, and at most the guarantee. */
     private Resources reservedForGangs = Resources.NONE;
 
     /**
-     * Kept free under the limit, during one run of the allocator, for urgent jobs that found no
-     * room.
+     * Reserved under the limit, during one run of the allocator, for urgent jobs that could not be
+     * placed.
      */
     private Resources reservedForUrgentJobs = Resources.NONE;
 
-    /** Creates the usage of a team that uses nothing yet. */
+    /** Creates the usage of a team, with nothing charged to it. */
     public TeamUsage(Team team) {
         this.team = team;
     }
@@ -33,47 +35,49 @@
         return team;
     }
 
-    /** Resources of all attempts that are, or may be, on machines. */
+    /** Resources of all attempts that may be on machines. */
     public Resources used() {
         return used;
     }
 
-    /** An attempt counts from now on. */
+    /** Adds the resources of an attempt. */
     public void allocate(Resources resources) {
         used = used.plus(resources);
     }
 
-    /** An attempt counts no longer. */
+    /** Subtracts the resources of an attempt. */
     public void deallocate(Resources resources) {
         used = used.minus(resources);
     }
 
-    /** Room that is reserved for the team's gangs. */
+    /** Resources that are reserved for the team's gangs. */
     public Resources reservedForGangs() {
         return reservedForGangs;
     }
 
-    /** Room is reserved for a task of a gang. */
+    /** Adds the resources that are reserved for a task of a gang. */
     public void reserveForGang(Resources resources) {
         reservedForGangs = reservedForGangs.plus(resources);
     }
 
-    /** Releases the room of {@link #reserveForGang}. */
+    /** Releases resources that {@link #reserveForGang} reserved. */
     public void releaseGangReservation(Resources resources) {
         reservedForGangs = reservedForGangs.minus(resources);
     }
 
-    /** Keeps room under the limit for an urgent job until {@link #clearUrgentReservations}. */
+    /**
+     * Reserves resources under the limit for an urgent job, see {@link #clearUrgentReservations}.
+     */
     public void reserveForUrgentJob(Resources resources) {
         reservedForUrgentJobs = reservedForUrgentJobs.plus(resources);
     }
 
-    /** Keeps no room for urgent jobs any more. */
+    /** Releases everything that {@link #reserveForUrgentJob} reserved. */
     public void clearUrgentReservations() {
         reservedForUrgentJobs = Resources.NONE;
     }
 
-    /** Whether the limit leaves room for this much more. */
+    /** Whether the limit allows these resources in addition to all that is used and reserved. */
     public boolean isWithinLimit(Resources additional) {
         return used.plus(reservedForGangs)
                 .plus(reservedForUrgentJobs)
@@ -81,7 +85,7 @@
                 .fitsIn(team.limit());
     }
 
-    /** How many tasks of this size the limit leaves room for, {@code maxTasks} at the most. */
+    /** Number of tasks of this size that the limit allows in addition, at most {@code maxTasks}. */
     public int countTasksWithinLimit(Resources perTask, int maxTasks) {
         int tasks = 0;
         while (tasks < maxTasks && isWithinLimit(perTask.times(tasks + 1))) {
@@ -90,14 +94,14 @@
         return tasks;
     }
 
-    /** Whether the guarantee covers this much more. */
+    /** Whether the guarantee covers these resources in addition to what is used. */
     public boolean isWithinGuarantee(Resources additional) {
         return used.plus(additional).fitsIn(team.guarantee());
     }
 
     /**
-     * The team's dominant share of {@code total}, weighted by its guarantee: the lower it is, the
-     * sooner the team is offered resources.
+     * The team's dominant share of {@code total}, including gang reservations, divided by the
+     * dominant share of its guarantee. The team with the lowest value is offered resources first.
      */
     public double weightedShare(Resources total) {
         double weight = Math.max(team.guarantee().dominantShare(total), MIN_WEIGHT);
