--- a/src/main/java/io/kelphoist/scheduler/images/ImageCache.java
+++ b/src/main/java/io/kelphoist/scheduler/images/ImageCache.java
@@ -4,56 +4,59 @@
 import it.unimi.dsi.fastutil.ints.IntArrayList;
 
 /**
- * The images that one machine should have cached, as its worker evicts the least recently used
- * ones. Keeps {@link ImageLocations} up to date with the cached images and those that attempts
- * need.
+ * The images that should be cached on one machine, given that its worker evicts the least recently
+ * used ones. Also maintains the machine's references in {@link ImageLocations}: one for each cached
+ * image, and one for each attempt that needs an image.
  *
- * @param <M> the machines of {@link ImageLocations}
+ * @param <M> the type of machines in {@link ImageLocations}
  */
 public final class ImageCache<M> {
     private final M machine;
     private final double capacityGb;
     private ImageLocations<M> locations;
 
-    /** Least recently used first. */
+    /** The indices of the cached images, least recently used first. */
     private final IntArrayList cached = new IntArrayList();
 
     private double cachedGb;
 
-    /** Creates the empty cache of a machine. */
+    /** Creates the cache of a machine, with no images. */
     public ImageCache(M machine, MachineType type) {
         this.machine = machine;
         this.capacityGb = type.cacheGb();
     }
 
-    /** Must be called once, before any other method. */
+    /** Sets the index in which references are kept; must be called once, before other methods. */
     public void trackIn(ImageLocations<M> imageLocations) {
         locations = imageLocations;
     }
 
-    /** An attempt that needs the image is, or may be, on the machine. */
+    /** Adds the reference of an attempt that needs the image and may be on the machine. */
     public void addReference(int image) {
         locations.addReference(image, machine);
     }
 
-    /** An attempt that needs the image is not on the machine any more. */
+    /** Removes the reference of an attempt that is not on the machine any more. */
     public void removeReference(int image) {
         locations.removeReference(image, machine);
     }
 
-    /** Whether the machine should have the image. */
+    /** Whether the image should be cached on the machine. */
     public boolean isCached(int image) {
         return cached.contains(image);
     }
 
-    /** The indices of the cached images, least recently used first; not to be changed. */
+    /**
+     * The indices of the cached images, least recently used first; callers must not change the
+     * list.
+     */
     public IntArrayList cached() {
         return cached;
     }
 
     /**
-     * Notes that an image was used, and evicts what the cache no longer holds. Returns whether the
-     * image was not known to be cached.
+     * Records that an image was used, and removes the least recently used images that no longer fit
+     * in the cache. Returns whether the image was not recorded as cached before.
      */
     public boolean recordUse(int image, double sizeGb, ImageSizes sizes) {
         int position = cached.indexOf(image);
@@ -72,7 +75,7 @@
         return position < 0;
     }
 
-    /** The machine is terminated, and its cache with it. */
+    /** Removes all images, as the machine and its cache are terminated. */
     public void clear() {
         cached.forEach(this::removeReference);
         cached.clear();
--- a/src/main/java/io/kelphoist/scheduler/images/ImageSizes.java
+++ b/src/main/java/io/kelphoist/scheduler/images/ImageSizes.java
@@ -1,8 +1,8 @@
 package io.kelphoist.scheduler.images;
 
-/** Sizes of images by index. */
+/** Looks up the sizes of images by their index. */
 @FunctionalInterface
 public interface ImageSizes {
-    /** The size of an image. */
+    /** The size of an image, in GB. */
     double sizeGb(int image);
 }
--- a/src/main/java/io/kelphoist/scheduler/images/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/images/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Container images: their indices and sizes, which of them each machine should have cached, and
- * which machines are related to an image.
+ * Container images: their indices and sizes, the images that should be cached on each machine, and
+ * the machines that reference an image.
  *
- * <p>Each class owns its state. The package depends on {@code model} alone: machines are a type
- * parameter, so that it knows nothing of the other parts of the scheduler.
+ * <p>Each class owns its state. The package depends only on {@code model}: machines are a type
+ * parameter, so that it does not depend on other packages of the scheduler.
  */
 package io.kelphoist.scheduler.images;
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
@@ -14,15 +14,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts, stops and ends task attempts, and accounts for them: from its start until it is proven
- * not to be on its machine, an attempt counts against the machine's room, the team's quota and the
- * job's zones.
+ * Starts, stops and removes task attempts, and does the accounting: from the decision to start it
+ * until it is proven not to be on its machine, an attempt is charged to the machine's capacity, the
+ * team's quota and the job's zones.
  */
 public final class AttemptLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
 
-    /** Attempt ids hold the term above this bit, so that no two terms use the same id. */
-    private static final int TERM_SHIFT = 24;
+    /** An attempt id contains the term, shifted by this many bits, so that terms share no ids. */
+    private static final int TERM_SHIFT_BITS = 24;
 
     private final long term;
     private final JobRegistry jobs;
@@ -32,7 +32,7 @@
     private final ActiveCandidates activeCandidates;
     private long lastAttemptNumber;
 
-    /** Creates the lifecycle of all attempts of a term. */
+    /** Creates the lifecycle of the attempts of a term. */
     public AttemptLifecycle(
             long term,
             JobRegistry jobs,
@@ -48,21 +48,21 @@
         this.activeCandidates = activeCandidates;
     }
 
-    /** An id that no other attempt of any term has. */
+    /** Returns an id that no other attempt of any term has. */
     public long nextAttemptId() {
-        return (term << TERM_SHIFT) + ++lastAttemptNumber;
+        return (term << TERM_SHIFT_BITS) + ++lastAttemptNumber;
     }
 
     // ---- start ----
 
     /**
-     * Starts a task of an active job. The attempt counts from here on; the command goes out once
-     * the start is recorded.
+     * Starts a task of an active job. Charges the attempt at once; the command is sent once the
+     * start is stored.
      */
     public void start(Job job, int taskIndex, Machine machine, long attemptId, double nowSeconds) {
         Preconditions.checkState(
                 job.isActive(),
-                "%s may not start anything, it is %s",
+                "job %s cannot start a task: its state is %s, expected ACTIVE",
                 job.spec().id(),
                 job.state());
         TaskAttempt attempt =
@@ -72,7 +72,9 @@
         allocate(attempt);
         startIntentLog.add(attempt);
         if (machine.hold().job() == job) {
-            // For the next task another machine may be nearer to fitting, or the only one allowed.
+            // Ends the hold for this task: for the next task another machine may be closer to
+            // having
+            // enough free capacity, or be the only one allowed.
             machine.hold().onTaskStarted();
         }
         activeCandidates.onMachineChanged(machine);
@@ -87,7 +89,7 @@
                 machine.used());
     }
 
-    /** Counts an attempt that is, or may be, on its machine. */
+    /** Charges an attempt that may be on its machine to the machine, the team and the job. */
     public void allocate(TaskAttempt attempt) {
         Job job = attempt.job();
         attempt.markAllocated();
@@ -96,7 +98,9 @@
         job.addAttempt(attempt);
     }
 
-    /** The attempt occupies nothing any more. Does nothing if it was not counted. */
+    /**
+     * Ends the charge of an attempt that no longer occupies resources. No effect if not allocated.
+     */
     public void deallocate(TaskAttempt attempt, double nowSeconds) {
         if (!attempt.allocated()) {
             return;
@@ -112,10 +116,10 @@
     // ---- stop ----
 
     /**
-     * Stops an attempt. One whose start was not sent yet ends at once. A later call can only
-     * shorten the grace.
+     * Requests that an attempt be stopped. An attempt whose start was not sent yet is removed at
+     * once. A further call can only shorten the grace.
      *
-     * @param graceSeconds the time that the task gets to save a checkpoint; 0: none
+     * @param graceSeconds the time that the task gets to save a checkpoint; 0: it saves none
      */
     public void stop(TaskAttempt attempt, double graceSeconds, double nowSeconds) {
         if (!attempt.state().occupiesResources()
@@ -131,7 +135,7 @@
         commandDispatcher.enqueue(attempt.machine());
     }
 
-    /** Stops all attempts of a job, see {@link #stop}. */
+    /** Requests that all attempts of a job be stopped, see {@link #stop}. */
     public void stopAll(Job job, double graceSeconds, double nowSeconds) {
         for (TaskAttempt attempt : job.tasks().copyOfAttempts()) {
             stop(attempt, graceSeconds, nowSeconds);
@@ -140,7 +144,10 @@
 
     // ---- end ----
 
-    /** The attempt is proven not to be on its machine. */
+    /**
+     * Removes an attempt that is proven not to be on its machine, and ends its charge. No effect if
+     * it was removed before.
+     */
     public void remove(TaskAttempt attempt, double nowSeconds) {
         if (attempt.state() == TaskAttempt.State.REMOVED) {
             return;
@@ -162,14 +169,14 @@
         }
     }
 
-    /** Nothing runs on the machine any more. */
+    /** Removes all attempts of a machine on which no task runs any more. */
     void removeAll(Machine machine, double nowSeconds) {
         for (TaskAttempt attempt : machine.attempts().copy()) {
             remove(attempt, nowSeconds);
         }
     }
 
-    /** Rounds a duration for a log line. */
+    /** Rounds a duration to tenths of a second, for a log line. */
     public static double roundToTenths(double seconds) {
         return Math.round(seconds * 10) / 10.0;
     }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/CommandDispatcher.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/CommandDispatcher.java
@@ -13,37 +13,37 @@
 import java.util.Set;
 
 /**
- * Sends starts and stops straight to the workers, so that they need not wait for the next
- * heartbeat. Each machine has one batch of commands under way at a time. Responses to heartbeats
- * repeat the commands, so that a batch without an answer is not sent again.
+ * Sends starts and stops directly to the workers, so that they need not wait for the next
+ * heartbeat. At most one batch of commands per machine is in flight. Responses to heartbeats repeat
+ * the commands, so a batch without a response is not sent again.
  */
 public final class CommandDispatcher {
-    /** A machine that did not answer gets no commands for so many heartbeat intervals. */
-    private static final int RETRY_DELAY_INTERVALS = 2;
+    /** A machine that did not respond is sent no commands for this many heartbeat intervals. */
+    private static final int RETRY_DELAY_HEARTBEAT_INTERVALS = 2;
 
     private final SchedulerOutput output;
     private final double heartbeatIntervalSeconds;
 
-    /** Machines that may have commands to send. */
+    /** Machines for which commands may be due. */
     private final Set<Machine> pendingMachines = new ReferenceLinkedOpenHashSet<>();
 
-    /** Creates a dispatcher without commands to send. */
+    /** Creates a dispatcher that has no machines with due commands. */
     public CommandDispatcher(SchedulerOutput output, double heartbeatIntervalSeconds) {
         this.output = output;
         this.heartbeatIntervalSeconds = heartbeatIntervalSeconds;
     }
 
-    /** The machine may have commands to send from now on. */
+    /** Commands may be due for this machine. */
     void enqueue(Machine machine) {
         pendingMachines.add(machine);
     }
 
-    /** There may be commands for these machines. */
+    /** Commands may be due for these machines. */
     public void enqueueAll(Collection<Machine> machines) {
         pendingMachines.addAll(machines);
     }
 
-    /** Sends what is due to each machine that has no commands under way. */
+    /** Sends the due commands to each machine that can receive them and has none in flight. */
     public void sendPending(double nowSeconds) {
         for (Iterator<Machine> machines = pendingMachines.iterator(); machines.hasNext(); ) {
             Machine machine = machines.next();
@@ -65,7 +65,7 @@
         return machine.state().isReporting() && machine.contact().canReceiveCommands(nowSeconds);
     }
 
-    /** The commands that are due, marked as sent. */
+    /** Returns the due commands of a machine, and marks them as sent. */
     private static List<WorkerCommand> takeCommands(Machine machine) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (TaskAttempt attempt : machine.attempts()) {
@@ -100,7 +100,7 @@
                 && !attempt.isStopping();
     }
 
-    /** How the batch of commands to a machine ended. */
+    /** Handles the outcome of the batch of commands that was sent to a machine. */
     public void onOutcome(Machine machine, DeliveryOutcome outcome, double nowSeconds) {
         machine.contact().onCommandsEnded();
         for (TaskAttempt attempt : machine.attempts()) {
@@ -109,7 +109,8 @@
         if (outcome != DeliveryOutcome.EXECUTED && outcome != DeliveryOutcome.REFUSED) {
             machine.contact()
                     .postponeCommands(
-                            nowSeconds + heartbeatIntervalSeconds * RETRY_DELAY_INTERVALS);
+                            nowSeconds
+                                    + heartbeatIntervalSeconds * RETRY_DELAY_HEARTBEAT_INTERVALS);
             machine.reachability().onUndelivered(outcome, nowSeconds);
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -14,19 +14,22 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Watches the machines: whether they are connected, whether their leases have expired, and whether
- * holds and stops are overdue.
+ * Checks the machines periodically: whether they are connected, whether their leases have expired,
+ * and whether holds and stops are overdue.
  */
 public final class LeaseMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseMonitor.class);
 
-    /** Added to a lease, as a worker's timers fire in steps. */
+    /** Added to a lease, as a worker's timers fire in discrete steps. */
     private static final double TIMER_MARGIN_SECONDS = 0.25;
 
-    /** A heartbeat that is late by more than this was missed. */
+    /** A heartbeat that is overdue by more than this is taken as missed. */
     private static final double MAX_HEARTBEAT_DELAY_SECONDS = 1.5;
 
-    /** Ticks come far more often than any of this changes, and each run looks at every machine. */
+    /**
+     * Time between two runs. Ticks are far more frequent than changes of what is checked, and each
+     * run checks every machine.
+     */
     private static final double RUN_INTERVAL_SECONDS = 0.1;
 
     private final SchedulingPolicy policy;
@@ -38,7 +41,7 @@
     private final StopEnforcer stopEnforcer;
     private double nextRunAtSeconds;
 
-    /** Creates the monitor of a term's machines. */
+    /** Creates the monitor of the machines of a term. */
     public LeaseMonitor(SchedulerContext context, DelegatedRenewals delegatedRenewals) {
         this.policy = context.policy();
         this.machines = context.machines();
@@ -49,7 +52,7 @@
         this.stopEnforcer = new StopEnforcer(policy, attempts);
     }
 
-    /** Looks at every machine, if the last time was long enough ago. */
+    /** Checks every machine, if {@link #RUN_INTERVAL_SECONDS} have passed since the last run. */
     public void run(double nowSeconds) {
         if (nowSeconds < nextRunAtSeconds) {
             return;
@@ -79,7 +82,8 @@
     }
 
     /**
-     * Withdraws starts that wait for their record: they would be sent only to end with the lease.
+     * Withdraws starts that were not sent yet, as they wait to be stored: tasks that they start
+     * later would only end again with the lease of the disconnected machine.
      */
     private void withdrawUnsentStarts(Machine machine, double nowSeconds) {
         for (TaskAttempt attempt : machine.attempts().copy()) {
@@ -90,9 +94,10 @@
     }
 
     /**
-     * Whether the worker has surely stopped its tasks. A worker's lease runs from when the last
-     * answered heartbeat was sent, which is before it was answered by this leader, or by a
-     * controller that the renewal was delegated to.
+     * Whether the machine's lease has expired on any clock within the drift limit, so that the
+     * worker has stopped its tasks. A worker counts its lease from when it sent the last heartbeat
+     * that got a response. That is before this leader, or a delegate that renews leases in its
+     * place, sent the response.
      */
     private boolean hasLeaseExpired(Machine machine, double nowSeconds) {
         if (!hasLease(machine)) {
@@ -145,9 +150,9 @@
     }
 
     /**
-     * Machines of a zone whose leases only the leader may renew: those that missed a heartbeat, as
-     * this leader counts their leases by its own answers, and those where a task of a cancelled job
-     * may run.
+     * Names of the machines of a zone whose leases only the leader may renew: machines that are
+     * possibly disconnected, as this leader counts their leases from its own responses, and
+     * machines on which a task of a cancelled job may be running.
      */
     public List<String> machinesExcludedFromDelegation(int zone) {
         List<String> names = new ArrayList<>();
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
@@ -7,7 +7,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Ends of machines and of their leases, with what follows for the attempts on them. */
+/**
+ * Handles expired leases, restarted workers and terminated machines, including the attempts on
+ * them.
+ */
 public final class MachineLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(MachineLifecycle.class);
 
@@ -16,7 +19,7 @@
     private final StartIntentLog startIntentLog;
     private final ImageCacheRecords imageRecords;
 
-    /** Creates the lifecycle of a term's machines. */
+    /** Creates the lifecycle of the machines of a term. */
     public MachineLifecycle(
             MachineRegistry machines,
             AttemptLifecycle attempts,
@@ -28,7 +31,7 @@
         this.imageRecords = imageRecords;
     }
 
-    /** The machine's lease has expired: its worker has stopped all tasks. */
+    /** Handles an expired lease: the worker has stopped all tasks. */
     void onLeaseExpired(Machine machine, double nowSeconds) {
         machine.contact().endCurrentEpoch();
         attempts.removeAll(machine, nowSeconds);
@@ -37,17 +40,18 @@
     }
 
     /**
-     * The worker restarted and numbers its messages anew. Its former tasks are gone, but commands
-     * that were sent before, or copies of them, may still be executed by the restarted worker. So
-     * the attempts count until the machine is terminated, which is requested, and its heartbeats
-     * are not answered any more.
+     * Handles a restart of the worker, which then numbers its messages from 1 again. Its previous
+     * tasks have ended, but the restarted worker may still execute commands that were sent before,
+     * or copies of them. So its attempts stay charged until the machine is terminated, or a lease
+     * counted from now has expired. The termination is requested, and heartbeats get no response
+     * any more.
      */
     public void onWorkerRestarted(Machine machine, double nowSeconds) {
         if (machine.reachability().hasRestarted()) {
             return;
         }
         LOG.warn(
-                "worker restarted, machine is terminated: machine={} attempts={}",
+                "worker restarted, machine will be terminated: machine={} attempts={}",
                 machine.name(),
                 machine.attempts().size());
         machine.reachability().markRestarted();
@@ -55,13 +59,16 @@
         machine.transitionTo(Machine.State.TERMINATING, nowSeconds);
     }
 
-    /** The instance stopped for good, though the cloud still lists it: its tasks are gone. */
+    /** Handles an instance that failed and will not run again, though the cloud still lists it. */
     public void onInstanceStopped(Machine machine, double nowSeconds) {
         machine.contact().endAllEpochs();
         attempts.removeAll(machine, nowSeconds);
     }
 
-    /** The cloud confirmed that the instance is terminated. The name need not be known. */
+    /**
+     * Handles the cloud's confirmation that an instance is terminated. The registry need not
+     * contain a machine with this name.
+     */
     public void onTerminated(String machineName, double nowSeconds) {
         Machine machine = machines.remove(machineName);
         if (machine != null) {
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/SchedulerContext.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/SchedulerContext.java
@@ -8,17 +8,17 @@
 import io.kelphoist.scheduler.spi.SchedulerOutput;
 
 /**
- * What the parts of one term's scheduler share.
+ * The objects that the parts of one term's scheduler share.
  *
  * @param policy the settings
- * @param output where requests and events go
+ * @param output receives requests to other systems, and events
  * @param term the leader's term
- * @param catalog zones and machine types
- * @param machines the machines that are known
- * @param jobs the jobs that are worked on
- * @param attempts starts, stops and ends attempts
- * @param machineLifecycle ends machines
- * @param activeCandidates the candidates of the allocator's run under way
+ * @param catalog the zones and machine types
+ * @param machines the machines of the term
+ * @param jobs the jobs of the term
+ * @param attempts starts, stops and removes attempts
+ * @param machineLifecycle handles expired leases and terminated machines
+ * @param activeCandidates the candidates of the allocator's present run
  */
 public record SchedulerContext(
         SchedulingPolicy policy,
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/StopEnforcer.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/StopEnforcer.java
@@ -7,25 +7,30 @@
 import io.kelphoist.scheduler.cluster.TaskAttempt;
 
 /**
- * Stops what must stop as time passes: tasks on machines that the cloud is about to take, and tasks
- * that did not end within the grace that they got.
+ * Stops tasks on machines that the cloud is about to terminate, and tasks that did not end within
+ * their grace.
  */
 final class StopEnforcer {
-    /** A stop that takes this much longer than its grace and the gang's timeout is overdue. */
+    /** A stop that takes this much longer than its grace plus the gang peer timeout is overdue. */
     private static final double OVERDUE_MARGIN_SECONDS = 5;
 
-    /** Before the last moment to save, a stop needs so many heartbeats to arrive. */
-    private static final int HEARTBEATS_TO_STOP = 2;
+    /** Heartbeat intervals that are allowed for the delivery of a stop before the save begins. */
+    private static final int STOP_DELIVERY_HEARTBEAT_INTERVALS = 2;
 
     private final SchedulingPolicy policy;
     private final AttemptLifecycle attempts;
 
+    /** Creates the enforcer of the stops of a term. */
     StopEnforcer(SchedulingPolicy policy, AttemptLifecycle attempts) {
         this.policy = policy;
         this.attempts = attempts;
     }
 
-    /** Stops tasks that can save before the cloud takes the machine, as late as is safe. */
+    /**
+     * Stops tasks on a machine with a termination notice, as late as a checkpoint can still be
+     * saved before the cloud terminates the machine. A checkpointed task that is not of a gang and
+     * has too little time left to save is not stopped.
+     */
     void applyTerminationNotice(Machine machine, double nowSeconds) {
         if (!machine.hasTerminationNotice()) {
             return;
@@ -39,13 +44,16 @@
         }
     }
 
-    /** Services stop at once, as their replicas should move; others at the last moment. */
+    /**
+     * Whether to stop a task now: tasks of services at once, as their replicas should move to other
+     * machines, and others at the last moment at which they can save.
+     */
     private boolean isStopDue(JobSpec spec, Machine machine, double nowSeconds) {
-        double lastMomentAtSeconds =
+        double latestStopAtSeconds =
                 machine.terminationAtSeconds()
                         - spec.checkpointSaveSeconds()
-                        - HEARTBEATS_TO_STOP * policy.heartbeatIntervalSeconds();
-        return nowSeconds > lastMomentAtSeconds || spec.kind() == JobKind.SERVICE;
+                        - STOP_DELIVERY_HEARTBEAT_INTERVALS * policy.heartbeatIntervalSeconds();
+        return nowSeconds > latestStopAtSeconds || spec.kind() == JobKind.SERVICE;
     }
 
     private void stopBeforeTermination(TaskAttempt attempt, Machine machine, double nowSeconds) {
@@ -62,14 +70,15 @@
         }
     }
 
-    /** Stops tasks without grace that should have saved long ago. */
+    /** Requests a stop without grace for tasks whose stop with a grace is overdue. */
     void escalateOverdueStops(Machine machine, double nowSeconds) {
         for (TaskAttempt attempt : machine.attempts()) {
             if (attempt.isStopping()
                     && attempt.stopGraceSeconds() > 0
                     && attempt.state().occupiesResources()
                     && nowSeconds > overdueAtSeconds(attempt)) {
-                // Its start was sent, so the attempt is not removed while this loop runs.
+                // A stop was requested, so the start was sent: stop() does not remove the attempt
+                // from the list that this loop iterates over.
                 attempts.stop(attempt, 0, nowSeconds);
             }
         }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/package-info.java
@@ -1,11 +1,12 @@
 /**
- * The beginning and the end of attempts and machines: {@link
- * io.kelphoist.scheduler.lifecycle.AttemptLifecycle} alone starts, stops and ends attempts, {@link
- * io.kelphoist.scheduler.lifecycle.MachineLifecycle} ends machines and their leases, and {@link
- * io.kelphoist.scheduler.lifecycle.LeaseMonitor} finds out which leases and stops are overdue.
+ * The lifecycles of attempts and machines: only {@link
+ * io.kelphoist.scheduler.lifecycle.AttemptLifecycle} starts, stops and removes attempts, {@link
+ * io.kelphoist.scheduler.lifecycle.MachineLifecycle} handles expired leases, restarted workers and
+ * terminated machines, and {@link io.kelphoist.scheduler.lifecycle.LeaseMonitor} finds leases that
+ * have expired, and holds and stops that are overdue.
  *
- * <p>Owns the commands that wait to be sent ({@code CommandDispatcher}). What starts where is
- * decided in {@code allocation} and {@code preemption}, and what workers say is handled in {@code
- * heartbeats}; the package must not depend on these.
+ * <p>Owns the set of machines for which commands may be due ({@code CommandDispatcher}). The
+ * packages {@code allocation} and {@code preemption} decide which task starts on which machine, and
+ * {@code heartbeats} handles the messages of workers; this package must not depend on them.
  */
 package io.kelphoist.scheduler.lifecycle;
--- a/src/main/java/io/kelphoist/scheduler/reachability/DeliveryOutcome.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/DeliveryOutcome.java
@@ -1,15 +1,18 @@
 package io.kelphoist.scheduler.reachability;
 
-/** How a request straight to a worker ended: commands, a probe, or a request for a heartbeat. */
+/**
+ * The outcome of a request that was sent directly to a worker: commands, a reachability probe, or a
+ * status request.
+ */
 public enum DeliveryOutcome {
     /** The worker executed the commands (HTTP 200). */
     EXECUTED,
     /** The worker executed none of the commands (HTTP 409). */
     REFUSED,
-    /** No connection was established, so that the request cannot arrive late. */
+    /** No connection was established, so the request cannot be delivered later. */
     NOT_SENT,
-    /** Nothing was sent: this controller is not the leader, or has no connection to spare. */
+    /** Nothing was sent: this controller is not the leader, or all its connections are in use. */
     NOT_ATTEMPTED,
-    /** No response: the commands may be executed minutes later. */
+    /** There was no response, so the outcome is unknown: commands may be executed minutes later. */
     NO_RESPONSE
 }
--- a/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
@@ -3,75 +3,88 @@
 import io.kelphoist.model.Heartbeat;
 
 /**
- * Whether one machine's worker receives what is sent to it, and what is known of the order of its
- * messages. Owns both.
+ * Whether one machine's worker receives what is sent to it, and the order of its heartbeats. Owns
+ * both.
  *
- * <p>That heartbeats arrive says nothing of the way back. A worker without an answer gives up after
- * 4 s, tries the next controller, and loses its lease although each of its heartbeats was received
- * and answered. What shows that it receives is a response to a command or a probe, or a heartbeat
- * to the controller that answered the last one, with no message in between.
+ * <p>Heartbeats that arrive do not prove that responses arrive. A worker that gets no response
+ * within 4 s sends its next heartbeat to the next controller, and its lease expires although each
+ * of its heartbeats was received and got a response. The worker is proven to receive messages by a
+ * response to a command or a probe, or if its next heartbeat, with no message in between, goes to
+ * the controller that responded to the last one.
  *
- * <p>A heartbeat that is no newer than the newest one seen is a copy that comes late, or the worker
- * restarted within a moment and counts from 1 again. Both are possible until a probe tells them
- * apart: a probe is answered after it was sent, so its response is newer than all that was known
- * then, unless the worker restarted.
+ * <p>A heartbeat that is no newer than the newest one received is a delayed copy, or the worker
+ * restarted within a short time and numbers its messages from 1 again. A probe distinguishes the
+ * two: the worker creates its response after the probe was sent, so the response is newer than all
+ * messages that had been received by then, unless the worker restarted.
  */
 public final class MachineReachability {
     /** The states; {@link #transitionTo} is the only method that changes it. */
     public enum State {
-        /** Nothing speaks against it. */
+        /** There is no sign that the worker does not receive what is sent to it. */
         REACHABLE,
-        /** Something was not delivered: it gets no new work until it is known to receive. */
+        /**
+         * A request or response was not delivered, or its outcome is unknown: no tasks are started
+         * on the machine until the worker is proven to receive messages.
+         */
         SUSPECTED,
-        /** Suspected for longer than a lease, while its heartbeats came. */
+        /** Suspected for longer than a lease, while its heartbeats arrived. */
         UNREACHABLE
     }
 
-    /** Least time between two probes of a machine: it sends heartbeats about as often. */
+    /** Minimum time between two probes of a machine, which is about its heartbeat interval. */
     private static final double PROBE_INTERVAL_SECONDS = 1.0;
 
     /**
-     * A heartbeat that is this much older than the newest one took a slower path; it is no copy.
+     * A heartbeat whose sequence number is behind the newest one by at most this many was delayed
+     * on a slower path; it is no copy.
      */
     private static final int REORDERING_WINDOW = 3;
 
-    /** How long a worker waits for an answer, and a little for its way. */
+    /** The 4 s for which a worker waits for a response, plus the time that the response takes. */
     private static final double RESPONSE_TIMEOUT_SECONDS = 4.5;
 
     private State state = State.REACHABLE;
+
+    /** When the state last changed from REACHABLE to another one. */
     private double suspectedAtSeconds;
 
-    /** The newest heartbeat, by agent epoch and sequence number. */
+    /** The agent epoch of the newest heartbeat; 0: none was received. */
     private long agentEpoch;
 
+    /** The sequence number of the newest heartbeat. */
     private long sequenceNumber;
 
     /** The controller that the newest heartbeat was sent to; empty: this one. */
     private String receivingController = "";
 
-    /** The newest heartbeat was answered. */
-    private boolean answered;
+    /** A response to the newest heartbeat was sent. */
+    private boolean responseSent;
 
     private boolean probeInFlight;
     private double nextProbeAtSeconds = Double.NEGATIVE_INFINITY;
     private double probeSentAtSeconds;
 
-    /** The newest message that was known when the last probe was sent. */
+    /** The agent epoch of the newest message when the last probe was sent. */
     private long probeAgentEpoch;
 
+    /** The sequence number of the newest message when the last probe was sent. */
     private long probeSequenceNumber;
 
-    /** The worker was known then to hold the term's fencing token. */
+    /** A message with the term's fencing token had been received when the last probe was sent. */
     private boolean probeTermConfirmed;
 
-    /** When a message last came that a restarted worker may have sent. */
+    /**
+     * When a message was last received that a restarted worker may have sent; negative infinity:
+     * none was, or a probe has ruled the restart out.
+     */
     private double possibleRestartAtSeconds = Double.NEGATIVE_INFINITY;
 
+    /** The worker is known to have restarted. */
     private boolean restarted;
 
     /**
-     * A heartbeat of an agent epoch that can hardly have begun, kept until a probe tells; null:
-     * none.
+     * A heartbeat of a new agent epoch that was received before the previous lease can have
+     * expired. Kept until the outcome of a probe shows whether to apply it; null: none.
      */
     private Heartbeat implausibleHeartbeat;
 
@@ -88,44 +101,44 @@
         return state;
     }
 
-    /** Whether something speaks against its being reachable. */
+    /** Whether the state is not {@link State#REACHABLE}. */
     public boolean isSuspected() {
         return state != State.REACHABLE;
     }
 
-    /** For how long it has been suspected, in seconds; 0: it is not. */
+    /** For how long the worker has been suspected, in seconds; 0: it is not suspected. */
     public double suspectedForSeconds(double nowSeconds) {
         return isSuspected() ? nowSeconds - suspectedAtSeconds : 0;
     }
 
-    /** Something sent to it did not arrive, or had no response. */
+    /** A request to the worker was not delivered, or got no response. */
     public void onDeliveryFailed(double nowSeconds) {
         if (state == State.REACHABLE) {
             transitionTo(State.SUSPECTED, nowSeconds);
         }
     }
 
-    /** How something ended that had no response; what was not attempted says nothing. */
+    /** Handles the outcome of a request without response; one that was not attempted is ignored. */
     public void onUndelivered(DeliveryOutcome outcome, double nowSeconds) {
         if (outcome != DeliveryOutcome.NOT_ATTEMPTED) {
             onDeliveryFailed(nowSeconds);
         }
     }
 
-    /** It acted on what was sent to it. */
+    /** The worker is proven to receive what is sent to it. */
     public void onAcknowledged(double nowSeconds) {
         transitionTo(State.REACHABLE, nowSeconds);
     }
 
-    /** Whether a heartbeat is no newer than the newest one seen. */
+    /** Whether a heartbeat is no newer than the newest one received. */
     public boolean isStale(Heartbeat heartbeat) {
         return agentEpoch > 0 && !heartbeat.isNewerThan(agentEpoch, sequenceNumber);
     }
 
     /**
-     * Whether an old heartbeat was only held up on its way while the next ones came, as by a
-     * controller that is behind: no reason to probe. A worker that restarted and counted that far
-     * is detected by its next heartbeat.
+     * Whether an old heartbeat was only delayed and overtaken by newer ones, for example at an
+     * overloaded controller, so that no probe is needed. A worker that restarted and reached such a
+     * sequence number again is detected by its next heartbeat.
      */
     public boolean isReordered(Heartbeat heartbeat) {
         return heartbeat.agentEpoch() == agentEpoch
@@ -133,13 +146,14 @@
     }
 
     /**
-     * A new heartbeat came.
+     * Handles a heartbeat that is newer than all before, to which a response is sent.
      *
-     * @param newestAgentEpoch of the newest message that was known before, with {@code
-     *     newestSequenceNumber}
-     * @param receiver the controller that it was sent to
-     * @return whether the worker switched to another controller although its last heartbeat was
-     *     answered: perhaps the answer did not arrive
+     * @param newestAgentEpoch agent epoch of the newest message that was received before this
+     *     heartbeat
+     * @param newestSequenceNumber sequence number of that message
+     * @param receiver the controller that the heartbeat was sent to; empty: this one
+     * @return whether the worker switched to another controller although a response to its last
+     *     heartbeat was sent: the response may have been lost
      */
     public boolean onHeartbeat(
             Heartbeat heartbeat,
@@ -148,14 +162,15 @@
             String receiver,
             double leaseSeconds,
             double nowSeconds) {
-        // Without an answer it would have gone on to the next controller, and be back here some
-        // numbers later at the earliest.
+        // Without a response the worker would have sent its next heartbeat to the next controller,
+        // and would send to this one again only after several more sequence numbers.
         boolean isNext =
                 heartbeat.agentEpoch() == newestAgentEpoch
                         && heartbeat.sequenceNumber() == newestSequenceNumber + 1
                         && agentEpoch == newestAgentEpoch;
-        boolean switchedController = answered && isNext && !receiver.equals(receivingController);
-        if (answered && isNext && receiver.equals(receivingController)) {
+        boolean switchedController =
+                responseSent && isNext && !receiver.equals(receivingController);
+        if (responseSent && isNext && receiver.equals(receivingController)) {
             onAcknowledged(nowSeconds);
         } else if (state == State.SUSPECTED && nowSeconds - suspectedAtSeconds > leaseSeconds) {
             transitionTo(State.UNREACHABLE, nowSeconds);
@@ -163,53 +178,60 @@
         agentEpoch = heartbeat.agentEpoch();
         sequenceNumber = heartbeat.sequenceNumber();
         receivingController = receiver;
-        answered = true;
+        responseSent = true;
         return switchedController;
     }
 
     /**
-     * Whether the lease that the last answer renewed is surely alive: a worker waits 4 s for an
-     * answer, and counts its lease from when it sent the heartbeat.
+     * Whether the lease that the last response renewed cannot have expired yet, provided that the
+     * response arrived: a worker waits 4 s for a response, and counts its lease from when it sent
+     * the heartbeat.
      */
     public boolean leaseCannotHaveExpired(
             double lastAnsweredAtSeconds, double leaseSeconds, double nowSeconds) {
-        return answered
+        return responseSent
                 && nowSeconds
                         < lastAnsweredAtSeconds
                                 + Math.max(
                                         leaseSeconds / 2, leaseSeconds - RESPONSE_TIMEOUT_SECONDS);
     }
 
-    /** Whether a probe is to be sent now. */
+    /** Whether no probe is in flight and the minimum time since the last one has passed. */
     public boolean isProbeDue(double nowSeconds) {
         return !probeInFlight && nowSeconds >= nextProbeAtSeconds;
     }
 
-    /** A probe is sent; the parameters are what is known of the worker's messages. */
+    /**
+     * Called when a probe is sent.
+     *
+     * @param newestAgentEpoch agent epoch of the newest message that was received
+     * @param newestSequenceNumber sequence number of that message
+     * @param termConfirmed whether a message with the term's fencing token was received
+     */
     public void onProbeSent(
-            long knownAgentEpoch,
-            long knownSequenceNumber,
+            long newestAgentEpoch,
+            long newestSequenceNumber,
             boolean termConfirmed,
             double nowSeconds) {
         probeInFlight = true;
         probeTermConfirmed = termConfirmed;
-        probeAgentEpoch = knownAgentEpoch;
-        probeSequenceNumber = knownSequenceNumber;
+        probeAgentEpoch = newestAgentEpoch;
+        probeSequenceNumber = newestSequenceNumber;
         probeSentAtSeconds = nowSeconds;
         nextProbeAtSeconds = nowSeconds + PROBE_INTERVAL_SECONDS;
     }
 
-    /** The last probe was answered, or got no response. */
+    /** Called for the outcome of the last probe: a response, or none. */
     public void onProbeFinished() {
         probeInFlight = false;
     }
 
-    /** Keeps a heartbeat until the outcome of a probe tells whether to apply it. */
+    /** Keeps a heartbeat until the outcome of a probe shows whether to apply it. */
     public void deferImplausibleHeartbeat(Heartbeat heartbeat) {
         implausibleHeartbeat = heartbeat;
     }
 
-    /** The heartbeat that was deferred, which is not kept any longer; null: none was. */
+    /** Returns the deferred heartbeat and no longer keeps it; null: none was deferred. */
     public Heartbeat takeImplausibleHeartbeat() {
         Heartbeat heartbeat = implausibleHeartbeat;
         implausibleHeartbeat = null;
@@ -217,23 +239,26 @@
     }
 
     /**
-     * Whether the response to the last probe proves that the worker restarted after its newest
-     * known message.
+     * Whether the response to the last probe proves that the worker restarted after it sent the
+     * newest message that was received before the probe.
      */
     public boolean provesRestart(Heartbeat response, long term) {
         return (probeAgentEpoch > 0 && !response.isNewerThan(probeAgentEpoch, probeSequenceNumber))
                 || (probeTermConfirmed && response.fencingToken() < term);
     }
 
-    /** The heartbeats that were known were copies of the time before the worker restarted. */
+    /**
+     * Resets the newest heartbeat to none: the heartbeats that were received are copies from before
+     * the worker restarted.
+     */
     void resetNewestHeartbeat() {
         agentEpoch = 0;
         sequenceNumber = 0;
     }
 
     /**
-     * The last probe was answered by the worker as it was known: until the probe was sent it had
-     * not restarted.
+     * The response to the last probe shows no restart: until the probe was sent the worker had not
+     * restarted.
      */
     public void onNoRestartSeen() {
         if (possibleRestartAtSeconds <= probeSentAtSeconds) {
@@ -242,24 +267,27 @@
     }
 
     /**
-     * A heartbeat may be of a restarted worker: it may yet execute what was sent before, for a
-     * lease from now on.
+     * Called for a heartbeat that a restarted worker may have sent. Such a worker may still execute
+     * commands that were sent before, and run their tasks for one lease from now.
      */
     public void markPossibleRestart(double nowSeconds) {
         possibleRestartAtSeconds = nowSeconds;
     }
 
-    /** When the worker last may have restarted; negative infinity: it surely has not. */
+    /**
+     * When a message was last received that a restarted worker may have sent; negative infinity:
+     * none was, or a probe has ruled the restart out.
+     */
     public double possibleRestartAtSeconds() {
         return possibleRestartAtSeconds;
     }
 
-    /** The worker restarted: its machine is terminated, and its heartbeats are not answered. */
+    /** The worker restarted: its machine is terminated, and its heartbeats get no response. */
     public void markRestarted() {
         restarted = true;
     }
 
-    /** Whether {@link #markRestarted} was called. */
+    /** Whether the worker is known to have restarted, see {@link #markRestarted}. */
     public boolean hasRestarted() {
         return restarted;
     }
--- a/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
@@ -4,12 +4,16 @@
 import io.kelphoist.model.ReplicatedMachine;
 
 /**
- * What is known of the messages between the leader and one machine's worker: the newest message by
- * agent epoch and sequence number, when the worker was last heard and last answered, and whether it
- * is reachable. Owns this state; a lease is judged by it, see {@code LeaseMonitor}.
+ * State of the communication between the leader and one machine's worker: the newest message by
+ * agent epoch and sequence number, the times of the last heartbeat and the last response to one,
+ * and whether the worker is reachable. Owns this state, from which {@code LeaseMonitor} decides
+ * whether the machine's lease has expired.
  */
 public final class WorkerContact {
+    /** The agent epoch of the newest message; 0: none was received. */
     private long agentEpoch;
+
+    /** The sequence number of the newest message; 0: none was received. */
     private long sequenceNumber;
 
     /** Heartbeats of this agent epoch and earlier ones are ignored. */
@@ -18,31 +22,39 @@
     /** The agent epoch that an earlier leader replicated; 0: none. */
     private long replicatedAgentEpoch;
 
-    /** This leader's last answer, or an earlier leader's last possible one. */
+    /**
+     * When this leader last responded to a heartbeat, or an earlier leader last may have. The lease
+     * is counted from this time.
+     */
     private double lastPossibleResponseAtSeconds;
 
+    /** When the last heartbeat was received that is not a copy. */
     private double lastHeartbeatAtSeconds;
 
     /**
-     * The worker was seen to hold the fencing token of this term. A message with an older token was
-     * sent before, or by a restarted worker.
+     * A message of the worker contained the fencing token of this term. A message with an older
+     * token was sent before that one, or by a restarted worker.
      */
     private boolean termConfirmed;
 
-    /** A heartbeat is late, or the worker is suspected not to receive what is sent to it. */
+    /** A heartbeat is overdue, or the worker is suspected not to receive messages. */
     private boolean possiblyDisconnected;
 
-    /** A batch of direct commands was sent and has not ended. */
+    /** A batch of direct commands was sent and its outcome is not reported yet. */
     private boolean commandsInFlight;
 
+    /** No direct commands are sent before this time. */
     private double commandsRetryAtSeconds;
 
-    /** A command of an earlier leader had no response when it was replicated. */
+    /**
+     * A command of an earlier leader had no response yet when that leader replicated the machine:
+     * its outcome is unknown.
+     */
     private boolean previousLeaderCommandUnanswered;
 
     private final MachineReachability reachability = new MachineReachability();
 
-    /** Creates the contact with the worker of a machine that became known now. */
+    /** Creates the state for a machine that is added now; its lease is counted from now. */
     public WorkerContact(double nowSeconds) {
         this.lastPossibleResponseAtSeconds = nowSeconds;
         this.lastHeartbeatAtSeconds = nowSeconds;
@@ -50,111 +62,122 @@
 
     // ---- the newest message ----
 
-    /** The agent epoch of the newest message; 0: none is known. */
+    /** The agent epoch of the newest message; 0: none was received. */
     public long agentEpoch() {
         return agentEpoch;
     }
 
-    /** The sequence number of the newest message; 0: none is known. */
+    /** The sequence number of the newest message; 0: none was received. */
     public long sequenceNumber() {
         return sequenceNumber;
     }
 
-    /** The newest agent epoch that this leader or an earlier one has seen; 0: none. */
+    /** The newest agent epoch that this leader received or an earlier one replicated; 0: none. */
     public long agentEpochHint() {
         return Math.max(agentEpoch, replicatedAgentEpoch);
     }
 
-    /** Whether the heartbeat is newer than all messages before. */
+    /** Whether the heartbeat is newer than the newest message. */
     public boolean isNewer(Heartbeat heartbeat) {
         return heartbeat.isNewerThan(agentEpoch, sequenceNumber);
     }
 
-    /** The heartbeat is the newest message. */
+    /** Sets the newest message to this heartbeat. */
     public void updateNewestMessage(Heartbeat heartbeat) {
         agentEpoch = heartbeat.agentEpoch();
         sequenceNumber = heartbeat.sequenceNumber();
     }
 
-    /** The messages that were known were copies of the time before the worker restarted. */
+    /**
+     * Resets the newest message to none: the messages that were received are copies from before the
+     * worker restarted.
+     */
     public void resetNewestMessage() {
         agentEpoch = 0;
         sequenceNumber = 0;
         reachability.resetNewestHeartbeat();
     }
 
-    /** Whether heartbeats of the epoch are ignored. */
+    /** Whether heartbeats of this agent epoch are ignored. */
     public boolean isEpochEnded(long epoch) {
         return epoch <= endedAgentEpoch;
     }
 
-    /** Heartbeats of the present agent epoch are ignored from now on. */
+    /** Makes heartbeats of the present agent epoch and earlier ones be ignored. */
     public void endCurrentEpoch() {
         endedAgentEpoch = Math.max(endedAgentEpoch, agentEpoch);
     }
 
-    /** All heartbeats are ignored from now on. */
+    /** Makes all heartbeats be ignored. */
     public void endAllEpochs() {
         endedAgentEpoch = Long.MAX_VALUE;
     }
 
-    /** Whether the worker was seen to hold the fencing token of this term. */
+    /** Whether a message of the worker contained the fencing token of this term. */
     public boolean isTermConfirmed() {
         return termConfirmed;
     }
 
-    /** The worker was seen to hold the fencing token of this term. */
+    /** Called when a message of the worker contains the fencing token of this term. */
     public void confirmTerm() {
         termConfirmed = true;
     }
 
-    // ---- heartbeats and answers ----
+    // ---- heartbeats and responses ----
 
-    /** The machine became known now; an earlier leader may have answered it until now. */
+    /**
+     * Called when the machine is adopted: an earlier leader may have responded to its heartbeats
+     * until now.
+     */
     public void onDiscovered(double nowSeconds) {
         lastPossibleResponseAtSeconds = nowSeconds;
         lastHeartbeatAtSeconds = nowSeconds;
     }
 
-    /** When the last heartbeat came that is no copy. */
+    /** When the last heartbeat was received that is not a copy. */
     public double lastHeartbeatAtSeconds() {
         return lastHeartbeatAtSeconds;
     }
 
-    /** A heartbeat came that is no copy. */
+    /** Called for a heartbeat that is not a copy. */
     public void onHeartbeat(double nowSeconds) {
         lastHeartbeatAtSeconds = nowSeconds;
         possiblyDisconnected = reachability.isSuspected();
     }
 
-    /** Until when the worker was, or may have been, answered. */
+    /** When this leader last responded to a heartbeat, or an earlier leader last may have. */
     public double lastPossibleResponseAtSeconds() {
         return lastPossibleResponseAtSeconds;
     }
 
-    /** A heartbeat is answered now, which renews the lease. */
+    /** Called when a response to a heartbeat is sent, which renews the lease. */
     public void onResponseSent(double nowSeconds) {
         lastPossibleResponseAtSeconds = nowSeconds;
     }
 
-    /** The lease may have begun, or may have been renewed, until now. */
+    /** Called when the lease may have begun, or may have been renewed, until now. */
     public void onResponsePossiblySent(double nowSeconds) {
         lastPossibleResponseAtSeconds = Math.max(lastPossibleResponseAtSeconds, nowSeconds);
     }
 
     // ---- connection ----
 
-    /** Whether the worker receives what is sent to it. */
+    /** Whether the worker receives what the leader sends. */
     public MachineReachability reachability() {
         return reachability;
     }
 
-    /** Whether a heartbeat is late, or the worker is suspected. */
+    /** Whether a heartbeat is overdue, or the worker is suspected not to receive messages. */
     public boolean isPossiblyDisconnected() {
         return possiblyDisconnected;
     }
 
-    /** Doubts the connection if a heartbeat is late by more than the delay, or it is suspected. */
+    /**
+     * Updates {@link #isPossiblyDisconnected}.
+     *
+     * @param maxDelaySeconds a heartbeat that is not received within the interval plus this delay
+     *     is overdue
+     */
     public void updateConnectivity(
             double heartbeatIntervalSeconds, double maxDelaySeconds, double nowSeconds) {
         possiblyDisconnected =
@@ -167,32 +190,32 @@
 
     // ---- direct commands ----
 
-    /** Whether direct commands were sent and have not ended. */
+    /** Whether direct commands were sent and their outcome is not reported yet. */
     public boolean hasCommandsInFlight() {
         return commandsInFlight;
     }
 
-    /** Whether no commands are under way, and none failed a short time ago. */
+    /** Whether no direct commands are in flight, and a delay after failed ones has passed. */
     public boolean canReceiveCommands(double nowSeconds) {
         return !commandsInFlight && nowSeconds >= commandsRetryAtSeconds;
     }
 
-    /** Direct commands are sent now. */
+    /** Called when direct commands are sent. */
     public void onCommandsSent() {
         commandsInFlight = true;
     }
 
-    /** The direct commands were answered, or got no response. */
+    /** Called for the outcome of the direct commands: a response, or none. */
     public void onCommandsEnded() {
         commandsInFlight = false;
     }
 
-    /** No direct commands are sent before {@code untilSeconds}. */
+    /** Sets the time before which no direct commands are sent. */
     public void postponeCommands(double untilSeconds) {
         commandsRetryAtSeconds = untilSeconds;
     }
 
-    /** Whether a command of an earlier leader may still be on its way. */
+    /** Whether a command of an earlier leader may still be delivered. */
     public boolean isPreviousLeaderCommandOutcomeUnknown() {
         return previousLeaderCommandUnanswered;
     }
@@ -200,9 +223,9 @@
     // ---- earlier leaders ----
 
     /**
-     * What an earlier leader replicated.
+     * Applies what an earlier leader replicated of this machine.
      *
-     * @param awaitsFirstHeartbeat no heartbeat of this term has come yet
+     * @param awaitsFirstHeartbeat whether the worker has not acknowledged this term yet
      */
     public void applyReplicated(ReplicatedMachine replicated, boolean awaitsFirstHeartbeat) {
         replicatedAgentEpoch = replicated.agentEpoch();
@@ -212,11 +235,14 @@
         }
     }
 
-    /** For log lines about an expired lease: whether heartbeats, answers or both were missing. */
+    /**
+     * Fields for log lines about an expired lease, which show whether heartbeats, responses or both
+     * were missing.
+     */
     public String summary(double nowSeconds) {
         return "secondsSinceHeartbeat="
                 + Math.round(nowSeconds - lastHeartbeatAtSeconds)
-                + " secondsSinceAnswer="
+                + " secondsSinceResponse="
                 + Math.round(nowSeconds - lastPossibleResponseAtSeconds)
                 + " reachability="
                 + reachability.state();
--- a/src/main/java/io/kelphoist/scheduler/spi/SchedulerOutput.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/SchedulerOutput.java
@@ -11,16 +11,17 @@
 import java.util.List;
 
 /**
- * What the scheduler requests from other systems. Outcomes come back later as input events of
- * {@code SchedulerState}; no method calls back directly. Called on the event loop.
+ * Receives the scheduler's requests to other systems. Their outcomes are passed later to {@code
+ * SchedulerState} as input events; no method calls back into the scheduler. Called on the event
+ * loop.
  */
 public interface SchedulerOutput {
-    /** Sends commands straight to a worker; outcome: {@code SchedulerState.onCommandOutcome}. */
+    /** Sends commands directly to a worker; outcome: {@code SchedulerState.onCommandOutcome}. */
     void sendCommands(Machine machine, long agentEpoch, List<WorkerCommand> commands);
 
     /**
-     * Asks a worker for a heartbeat, to know whether it receives what is sent to it and whether it
-     * restarted; outcome: {@code SchedulerState.onProbeOutcome}.
+     * Sends a reachability probe: requests a heartbeat from a worker, to find out whether it
+     * receives messages and whether it restarted; outcome: {@code SchedulerState.onProbeOutcome}.
      */
     void probe(Machine machine);
 
@@ -34,38 +35,38 @@
     void storeDone(JobSpec job, long version);
 
     /**
-     * Stores that a job is cancelled with one of its dependencies; outcome as of {@link
+     * Stores that a job is cancelled because one of its dependencies is; outcome as for {@link
      * #storeDone}.
      */
     void storeCancelled(JobRecord job);
 
     /**
-     * Reads a job's record; outcome: {@code SchedulerState.onJobRecord} or {@code
-     * SchedulerState.onJobNotFound}, or none if it could not be read.
+     * Reads a job's record from the state store; outcome: {@code SchedulerState.onJobRecord} or
+     * {@code SchedulerState.onJobNotFound}, or none if it could not be read.
      */
     void readJob(String jobId);
 
     /**
-     * Stores a page of starts that may be on machines; outcome: {@code
+     * Stores a page of starts of attempts that may be on machines; outcome: {@code
      * SchedulerState.onStartsStored}.
      */
     void storeStarts(int page, List<TaskAttempt> attempts);
 
     /**
-     * Stores a page of what machines should have cached, see {@code SchedulerState.imagesOn};
-     * outcome: {@code SchedulerState.onImagesStored}.
+     * Stores a page of the images that should be cached on machines, see {@code
+     * SchedulerState.imagesOn}; outcome: {@code SchedulerState.onImagesStored}.
      */
     void storeImages(int page, List<Machine> machines);
 
-    /** Publishes an event of a job's tasks; the job's counts include it already. */
+    /** Publishes an event of a job's tasks; the job's task counts already include it. */
     default void publishEvent(Job job, TaskEvent event) {}
 
-    /** Requests machines; outcome: {@code SchedulerState.onScaleOutResponse}. */
+    /** Requests machines from the cloud; outcome: {@code SchedulerState.onScaleOutResponse}. */
     void scaleOut(ScaleOutRequest request);
 
     /**
-     * Returns machines; outcome: {@code SchedulerState.onScaleInConfirmed} or {@code
-     * SchedulerState.onScaleInFailed}.
+     * Requests the termination of machines; outcome: {@code SchedulerState.onScaleInConfirmed} or
+     * {@code SchedulerState.onScaleInFailed}.
      */
     void scaleIn(List<String> machineNames);
 }
--- a/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
@@ -1,24 +1,24 @@
 package io.kelphoist.scheduler.spi;
 
 /**
- * What happens to a job and its tasks, for event streams and traces. Each event is published once;
- * the scheduler does not depend on its being received.
+ * An event of a job and its tasks, for event streams and traces. Each event is published once; the
+ * scheduler does not depend on its delivery.
  */
 public sealed interface TaskEvent {
     /** The job waits for its dependencies. */
     record WaitingForDependencies() implements TaskEvent {}
 
     /**
-     * Room was reserved or held for the job, but not enough yet.
+     * Capacity was reserved for the job, or machines are held for it, but it cannot start yet.
      *
-     * @param machineCount on how many machines
+     * @param machineCount the number of these machines
      */
     record CapacityReserved(int machineCount) implements TaskEvent {}
 
     /** A task began to run. */
     record TaskRunning(int taskIndex, String machineName) implements TaskEvent {}
 
-    /** A task that ran does not run any more, and is not done. */
+    /** A task that was running has stopped, and is not done. */
     record TaskStopped(int taskIndex, String machineName, Cause cause) implements TaskEvent {}
 
     /** A task is done. */
@@ -31,11 +31,11 @@
      */
     record JobEnded(boolean done) implements TaskEvent {}
 
-    /** Why a task stopped. The names are attributes of traces. */
+    /** Why a task stopped. The names are values of trace attributes. */
     enum Cause {
-        /** The leader stopped it: for more urgent work, a better place, or a cancellation. */
+        /** The leader stopped it: for more urgent work, a better placement, or a cancellation. */
         STOPPED,
-        /** Its machine was lost, terminated or restarted. */
+        /** Its machine's lease expired, or the machine was terminated or restarted. */
         MACHINE_GONE,
         /** It ended with an error. */
         FAILED,
