--- a/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * What was done so far to get capacity for one job that does not fit: capacity reserved for its
- * gang, machines held for it, and checks whether preempting other work would help. Each has a time
- * before which it is not tried again.
+ * The measures taken to obtain capacity for one job that cannot be placed: capacity reserved for
+ * its gang, machines held for it, and checks whether preempting other work would free enough. Each
+ * has a time before which it is not taken again.
  */
 public final class CapacityAcquisition {
     /** When the job last declined a possible placement to wait for a better one. */
-    private double declinedAtSeconds = Double.NEGATIVE_INFINITY;
+    private double placementDeclinedAtSeconds = Double.NEGATIVE_INFINITY;
 
     /** When the capacity reserved for the gang is released; 0: none is reserved. */
     private double reservedUntilSeconds;
@@ -27,12 +27,12 @@
      * other work is preempted for it.
      */
     public boolean wasPlacementDeclinedAt(double nowSeconds) {
-        return declinedAtSeconds == nowSeconds;
+        return placementDeclinedAtSeconds == nowSeconds;
     }
 
-    /** The job declines a possible placement now, to wait for a better one. */
+    /** Called when the job declines a possible placement, to wait for a better one. */
     public void onPlacementDeclined(double nowSeconds) {
-        declinedAtSeconds = nowSeconds;
+        placementDeclinedAtSeconds = nowSeconds;
     }
 
     // ---- reserved capacity ----
@@ -52,12 +52,12 @@
         reservedUntilSeconds = untilSeconds;
     }
 
-    /** The job starts, so that it needs no reservation. */
+    /** Called when the gang starts, so that it needs no reservation. */
     public void endReservation() {
         reservedUntilSeconds = 0;
     }
 
-    /** The reservation expired unused; there is no further one before {@code notBeforeSeconds}. */
+    /** Called when the reservation expired unused; sets the time before which there is no other. */
     public void expireReservation(double notBeforeSeconds) {
         reservedUntilSeconds = 0;
         noReservationBeforeSeconds = notBeforeSeconds;
@@ -80,12 +80,12 @@
         return !heldMachines.isEmpty();
     }
 
-    /** A machine is held for the job from now on. */
+    /** Called when a machine is held for the job. */
     void addHeldMachine(Machine machine) {
         heldMachines.add(machine);
     }
 
-    /** A machine is no longer held for the job. */
+    /** Called when a machine is no longer held for the job. */
     void removeHeldMachine(Machine machine) {
         heldMachines.remove(machine);
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/Job.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Job.java
@@ -154,8 +154,8 @@
 
     /**
      * The only method that changes the state. DONE and CANCELLED are final, and a job that is being
-     * cancelled cannot become active again. Once the job is no longer open, no task is pending.
-     * Returns whether the state changed.
+     * cancelled cannot become active. Once the job is no longer open, no task is pending. Returns
+     * whether the state changed.
      */
     public boolean transitionTo(State next) {
         boolean isForbidden =
@@ -209,7 +209,7 @@
         endBeingStored = true;
     }
 
-    /** The write of its end failed, or its outcome is unknown: it must be sent again. */
+    /** Called when the write of its end failed or its outcome is unknown: it must be sent again. */
     public void onEndNotStored() {
         endBeingStored = false;
     }
@@ -226,12 +226,12 @@
         unmetDependencyCount++;
     }
 
-    /** Whether a dependency has not been reported as done. */
+    /** Whether a dependency was added that is not done. */
     public boolean hasUnmetDependencies() {
         return unmetDependencyCount > 0;
     }
 
-    /** A dependency that {@link #addUnmetDependency} added is done. */
+    /** Called when a dependency that {@link #addUnmetDependency} added is done. */
     public void onDependencyDone(double doneAtSeconds) {
         unmetDependencyCount--;
         postponeReadyTime(doneAtSeconds);
@@ -376,7 +376,7 @@
         }
     }
 
-    /** A worker reported for the first time that an attempt is running. */
+    /** Called when a worker reports for the first time that an attempt is running. */
     public void onTaskRunning(double nowSeconds) {
         runningTaskCount++;
         hasRun = true;
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
@@ -61,21 +61,20 @@
     /**
      * Records that a task failed, and sets the time of the next attempt.
      *
-     * @param isNewMachine whether no task of the job had failed on that machine before
+     * @param isFirstFailureOnMachine whether no task of the job had failed on that machine before
      */
-    public void onTaskFailed(boolean isNewMachine, double nowSeconds) {
-        boolean wasSuspect = isSuspectedFaulty();
+    public void onTaskFailed(boolean isFirstFailureOnMachine, double nowSeconds) {
+        boolean wasSuspectedFaulty = isSuspectedFaulty();
         errorCount++;
-        failedMachineCount += isNewMachine ? 1 : 0;
+        failedMachineCount += isFirstFailureOnMachine ? 1 : 0;
         avoidsFailedMachines = true;
-        if (isSuspectedFaulty() && !wasSuspect) {
-            // Other tasks of the job may be running. If one of them runs on for the trial's
-            // duration,
-            // the suspicion is withdrawn.
+        if (isSuspectedFaulty() && !wasSuspectedFaulty) {
+            // Other tasks of the job may be running. If one of them is still running after the
+            // duration of a trial, the suspicion is withdrawn.
             trialStartedAtSeconds = nowSeconds;
         }
-        // After failures on few machines those may be faulty: the delay is short, as the next
-        // attempt avoids them.
+        // While the job has failed on only a few machines, these may be the faulty ones. The next
+        // attempt avoids them, so it need not be delayed for long.
         retryAtSeconds =
                 nowSeconds
                         + (isSuspectedFaulty()
@@ -88,14 +87,17 @@
         return Math.min(MAX_BACKOFF_SECONDS, BASE_BACKOFF_SECONDS * Math.pow(2, doublings));
     }
 
-    /** A task succeeded or passed a trial: earlier failures are not held against the job. */
+    /**
+     * Called when a task succeeded or passed a trial: earlier failures were not the job's fault,
+     * and are no longer counted.
+     */
     public void onTaskSucceeded() {
         errorCount = 0;
         failedMachineCount = 0;
         avoidsFailedMachines = false;
     }
 
-    /** A task began to run; restarts the trial if the job is suspected faulty. */
+    /** Called when a task began to run; restarts the trial if the job is suspected faulty. */
     void onTaskRunning(double nowSeconds) {
         if (isSuspectedFaulty()) {
             trialStartedAtSeconds = nowSeconds;
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
@@ -27,6 +27,7 @@
      */
     private final List<TaskAttempt> duplicateAttempts = new ArrayList<>();
 
+    /** Number of attempts in each zone, by zone index; includes duplicate attempts. */
     private final int[] attemptsPerZone;
 
     /** Creates the tasks of a job, all pending. */
--- a/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
@@ -11,9 +11,9 @@
 import java.util.List;
 
 /**
- * A machine of the cloud, from its request until its termination is confirmed. Owns the machine's
- * state and resources; parts of it are in {@link WorkerContact}, {@link MachineAttempts}, {@link
- * MachineHold} and {@link ImageCache}.
+ * A cloud instance that runs a worker, from the request for it until its termination is confirmed.
+ * Owns its state and resources; parts of it are in {@link WorkerContact}, {@link MachineAttempts},
+ * {@link MachineHold} and {@link ImageCache}.
  */
 public final class Machine {
     /** The states of a machine; {@link #transitionTo} is the only method that changes it. */
@@ -21,8 +21,8 @@
         /** Requested from the cloud; its worker has not sent a heartbeat yet. */
         BOOTING,
         /**
-         * Adopted from a stored start, a replica, an instance list or a heartbeat; its worker has
-         * not acknowledged this term yet.
+         * Adopted from a stored start, a replicated machine, the instance list or a heartbeat; its
+         * worker has not acknowledged this term yet.
          */
         JOINING,
         /** Its worker has sent a message with the fencing token of this term. */
@@ -72,7 +72,7 @@
     private boolean drainingForScaleIn;
 
     /** An earlier leader drained it because it was faulty. */
-    private boolean previousLeaderDraining;
+    private boolean drainedAsFaultyByPreviousLeader;
 
     /** Jobs with a task that failed on this machine. */
     private final List<Job> failedJobs = new ArrayList<>();
@@ -215,7 +215,7 @@
 
     // ---- contact with its worker ----
 
-    /** The messages that were exchanged with its worker. */
+    /** State of the communication with its worker. */
     public WorkerContact contact() {
         return contact;
     }
@@ -262,7 +262,7 @@
             address = replicated.address();
         }
         contact.applyReplicated(replicated, awaitsFirstHeartbeat());
-        previousLeaderDraining = replicated.drainedAsFaulty();
+        drainedAsFaultyByPreviousLeader = replicated.drainedAsFaulty();
         terminationAtSeconds = Math.min(terminationAtSeconds, replicated.terminationAtSeconds());
     }
 
@@ -271,7 +271,7 @@
      * this leader starts no tasks on it either.
      */
     public boolean wasDrainedAsFaulty() {
-        return previousLeaderDraining && state == State.JOINING;
+        return drainedAsFaultyByPreviousLeader && state == State.JOINING;
     }
 
     /** Whether a command of an earlier leader may still be delivered. */
@@ -298,7 +298,7 @@
 
     /** Free capacity once the attempts that are being stopped have ended. */
     public Resources freeAfterStops() {
-        return attempts.addStopping(resources.free());
+        return attempts.addResourcesOfStopping(resources.free());
     }
 
     // ---- choice of machines ----
@@ -327,7 +327,7 @@
         return candidateIndex;
     }
 
-    /** Its hold for a job, which may be for none. */
+    /** The hold of this machine, which is for one job or for none. */
     public MachineHold hold() {
         return hold;
     }
@@ -380,7 +380,10 @@
         return failedJobs.contains(job);
     }
 
-    /** Records that a task of the job failed on this machine; returns whether it is the first. */
+    /**
+     * Records that a task of the job failed on this machine; returns whether it is the first
+     * failure of the job there.
+     */
     public boolean recordFailure(Job job) {
         return !failedJobs.contains(job) && failedJobs.add(job);
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineAttempts.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineAttempts.java
@@ -98,7 +98,7 @@
     }
 
     /** Returns {@code free} plus the resources of the attempts that are being stopped. */
-    Resources addStopping(Resources free) {
+    Resources addResourcesOfStopping(Resources free) {
         Resources sum = free;
         for (TaskAttempt attempt : attempts) {
             if (attempt.isStopping() && attempt.state().occupiesResources()) {
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
@@ -7,7 +7,7 @@
 public final class MachineHold {
     private final Machine machine;
     private Job job;
-    private double untilSeconds;
+    private double expiresAtSeconds;
 
     /** Number of tasks of the job that the machine is held for. */
     private int taskCount;
@@ -27,7 +27,7 @@
 
     /** The job that the machine is held for at this time; null: none, or the hold has expired. */
     public Job jobAt(double nowSeconds) {
-        return nowSeconds < untilSeconds ? job : null;
+        return nowSeconds < expiresAtSeconds ? job : null;
     }
 
     /** Whether the machine is held for a job other than the candidate. */
@@ -47,13 +47,13 @@
     }
 
     /** Holds the machine for one more task of the job; ends a hold for another job. */
-    public void addTask(Job holder, double endsAtSeconds) {
+    public void addTask(Job holder, double newExpiresAtSeconds) {
         if (job != holder) {
             end();
             job = holder;
             holder.capacityAcquisition().addHeldMachine(machine);
         }
-        untilSeconds = endsAtSeconds;
+        expiresAtSeconds = newExpiresAtSeconds;
         taskCount++;
     }
 
@@ -84,7 +84,7 @@
      */
     public boolean mustEnd(double nowSeconds) {
         return job != null
-                && (nowSeconds >= untilSeconds
+                && (nowSeconds >= expiresAtSeconds
                         || !machine.acceptsWork(nowSeconds)
                         || !job.isActive()
                         || !job.tasks().hasPending());
--- a/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
@@ -6,8 +6,8 @@
 /**
  * One attempt at a task on one machine. It is charged to the machine's capacity, the team's quota
  * and the job's zones from before its start is sent until a heartbeat proves that it is not on the
- * machine, or the machine's lease has expired. Owns its state, and whether its start and stop were
- * sent.
+ * machine, or the machine's lease has expired, or the machine is terminated. Owns its state, and
+ * whether its start and stop were sent.
  */
 public final class TaskAttempt {
     /** The states of an attempt; {@link #transitionTo} is the only method that changes it. */
@@ -23,8 +23,8 @@
         /** It received a stop and is saving a checkpoint. */
         SAVING,
         /**
-         * Its worker listed it as exited: it occupies no resources, and is kept until the worker
-         * may stop listing it.
+         * Its worker listed it as exited: it occupies no resources, and is kept until a forget
+         * command may be sent and the worker no longer lists it.
          */
         EXITED,
         /** Proven not to be on the machine, and removed from it. */
@@ -40,8 +40,9 @@
     static final double NOT_STOPPING = -1;
 
     /**
-     * The id of all attempts that are known only from starts that earlier terms stored. Such an
-     * attempt is removed when its machine sends a list of tasks under this term.
+     * The id of all attempts that were restored from starts that earlier terms stored. Such an
+     * attempt is removed, or replaced by the listed one, when its machine sends a heartbeat under
+     * this term.
      */
     static final long PRESUMED_ATTEMPT_ID = -1;
 
@@ -97,14 +98,14 @@
         this.startRecorded = attemptId == PRESUMED_ATTEMPT_ID;
     }
 
-    /** Creates the attempt of a start that an earlier term stored, see {@link #isPresumed}. */
+    /** Restores the attempt of a start that an earlier term stored, see {@link #isPresumed}. */
     public static TaskAttempt presumed(Job job, int taskIndex, Machine machine, double nowSeconds) {
         return new TaskAttempt(job, taskIndex, PRESUMED_ATTEMPT_ID, machine, 0, nowSeconds);
     }
 
     /**
-     * Whether it is known only from a start that an earlier term stored: until the machine sends a
-     * list of tasks or its lease expires, the task is presumed to be there.
+     * Whether it was restored from a start that an earlier term stored: until the machine sends a
+     * heartbeat under this term, or its lease expires, the task is presumed to be on the machine.
      */
     public boolean isPresumed() {
         return attemptId == PRESUMED_ATTEMPT_ID;
--- a/src/main/java/io/kelphoist/scheduler/cluster/TeamUsage.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/TeamUsage.java
@@ -16,7 +16,7 @@
     /** Resources of all attempts that may be on machines. */
     private Resources used = Resources.NONE;
 
-    /** Resources reserved for tasks of gangs: charged to the limit, and at most the guarantee. */
+    /** Reserved for tasks of gangs; charged to the limit, and reserved only up to the guarantee. */
     private Resources reservedForGangs = Resources.NONE;
 
     /**
@@ -66,7 +66,8 @@
     }
 
     /**
-     * Reserves resources under the limit for an urgent job, see {@link #clearUrgentReservations}.
+     * Reserves resources under the limit for an urgent job until {@link #clearUrgentReservations}
+     * is called.
      */
     public void reserveForUrgentJob(Resources resources) {
         reservedForUrgentJobs = reservedForUrgentJobs.plus(resources);
--- a/src/main/java/io/kelphoist/scheduler/cluster/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/package-info.java
@@ -8,7 +8,7 @@
  * its parts ({@code MachineAttempts}, {@code MachineHold}, {@code MachineResources}), {@link
  * io.kelphoist.scheduler.cluster.TaskAttempt}, {@link io.kelphoist.scheduler.cluster.TeamUsage},
  * and the registries that hold them. Jobs, machines and attempts are in one package because they
- * refer to one another: an attempt is at a task of a job and on a machine, and both list their
+ * refer to one another: an attempt belongs to a task of a job and to a machine, and both list their
  * attempts.
  *
  * <p>This package makes no scheduling decisions: the packages that use it decide what starts, what
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
@@ -89,7 +89,7 @@
                 machine.used());
     }
 
-    /** Charges an attempt that may be on its machine to the machine, the team and the job. */
+    /** Charges an attempt that may be on its machine to the machine, its team and its job. */
     public void allocate(TaskAttempt attempt) {
         Job job = attempt.job();
         attempt.markAllocated();
@@ -99,7 +99,8 @@
     }
 
     /**
-     * Ends the charge of an attempt that no longer occupies resources. No effect if not allocated.
+     * Ends the charge of an attempt that no longer occupies resources. No effect if the attempt is
+     * not charged.
      */
     public void deallocate(TaskAttempt attempt, double nowSeconds) {
         if (!attempt.allocated()) {
@@ -142,7 +143,7 @@
         }
     }
 
-    // ---- end ----
+    // ---- removal ----
 
     /**
      * Removes an attempt that is proven not to be on its machine, and ends its charge. No effect if
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/CommandDispatcher.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/CommandDispatcher.java
@@ -33,12 +33,12 @@
         this.heartbeatIntervalSeconds = heartbeatIntervalSeconds;
     }
 
-    /** Commands may be due for this machine. */
+    /** Adds a machine for which commands may be due. */
     void enqueue(Machine machine) {
         pendingMachines.add(machine);
     }
 
-    /** Commands may be due for these machines. */
+    /** Adds machines for which commands may be due. */
     public void enqueueAll(Collection<Machine> machines) {
         pendingMachines.addAll(machines);
     }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -82,8 +82,8 @@
     }
 
     /**
-     * Withdraws starts that were not sent yet, as they wait to be stored: tasks that they start
-     * later would only end again with the lease of the disconnected machine.
+     * Withdraws starts that were not sent yet, because they are not stored: their tasks would start
+     * only to end when the lease of the disconnected machine expires.
      */
     private void withdrawUnsentStarts(Machine machine, double nowSeconds) {
         for (TaskAttempt attempt : machine.attempts().copy()) {
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/StopEnforcer.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/StopEnforcer.java
@@ -56,6 +56,7 @@
         return nowSeconds > latestStopAtSeconds || spec.kind() == JobKind.SERVICE;
     }
 
+    /** Stops a task, or the whole gang that it is of, with a grace if it can still save. */
     private void stopBeforeTermination(TaskAttempt attempt, Machine machine, double nowSeconds) {
         JobSpec spec = attempt.job().spec();
         boolean canSave =
--- a/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
@@ -35,8 +35,8 @@
     private static final double PROBE_INTERVAL_SECONDS = 1.0;
 
     /**
-     * A heartbeat whose sequence number is behind the newest one by at most this many was delayed
-     * on a slower path; it is no copy.
+     * A heartbeat whose sequence number is behind the newest one by at most this many is taken as
+     * delayed on a slower path, not as a copy.
      */
     private static final int REORDERING_WINDOW = 3;
 
@@ -111,7 +111,7 @@
         return isSuspected() ? nowSeconds - suspectedAtSeconds : 0;
     }
 
-    /** A request to the worker was not delivered, or got no response. */
+    /** Called when a request to the worker was not delivered, or got no response. */
     public void onDeliveryFailed(double nowSeconds) {
         if (state == State.REACHABLE) {
             transitionTo(State.SUSPECTED, nowSeconds);
@@ -125,7 +125,7 @@
         }
     }
 
-    /** The worker is proven to receive what is sent to it. */
+    /** Called when the worker is proven to receive what is sent to it. */
     public void onAcknowledged(double nowSeconds) {
         transitionTo(State.REACHABLE, nowSeconds);
     }
@@ -163,7 +163,7 @@
             double leaseSeconds,
             double nowSeconds) {
         // Without a response the worker would have sent its next heartbeat to the next controller,
-        // and would send to this one again only after several more sequence numbers.
+        // and to this one again only several sequence numbers later, at the earliest.
         boolean isNext =
                 heartbeat.agentEpoch() == newestAgentEpoch
                         && heartbeat.sequenceNumber() == newestSequenceNumber + 1
@@ -188,10 +188,10 @@
      * the heartbeat.
      */
     public boolean leaseCannotHaveExpired(
-            double lastAnsweredAtSeconds, double leaseSeconds, double nowSeconds) {
+            double lastResponseAtSeconds, double leaseSeconds, double nowSeconds) {
         return responseSent
                 && nowSeconds
-                        < lastAnsweredAtSeconds
+                        < lastResponseAtSeconds
                                 + Math.max(
                                         leaseSeconds / 2, leaseSeconds - RESPONSE_TIMEOUT_SECONDS);
     }
@@ -257,8 +257,8 @@
     }
 
     /**
-     * The response to the last probe shows no restart: until the probe was sent the worker had not
-     * restarted.
+     * Called when the response to the last probe shows no restart: the worker had not restarted by
+     * the time the probe was sent.
      */
     public void onNoRestartSeen() {
         if (possibleRestartAtSeconds <= probeSentAtSeconds) {
@@ -282,7 +282,10 @@
         return possibleRestartAtSeconds;
     }
 
-    /** The worker restarted: its machine is terminated, and its heartbeats get no response. */
+    /**
+     * Called when the worker is known to have restarted: its machine is terminated, and its
+     * heartbeats get no response.
+     */
     public void markRestarted() {
         restarted = true;
     }
--- a/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
@@ -50,7 +50,7 @@
      * A command of an earlier leader had no response yet when that leader replicated the machine:
      * its outcome is unknown.
      */
-    private boolean previousLeaderCommandUnanswered;
+    private boolean previousLeaderCommandOutcomeUnknown;
 
     private final MachineReachability reachability = new MachineReachability();
 
@@ -103,12 +103,14 @@
         return epoch <= endedAgentEpoch;
     }
 
-    /** Makes heartbeats of the present agent epoch and earlier ones be ignored. */
+    /**
+     * Ends the present agent epoch: heartbeats of it and of earlier ones are ignored from now on.
+     */
     public void endCurrentEpoch() {
         endedAgentEpoch = Math.max(endedAgentEpoch, agentEpoch);
     }
 
-    /** Makes all heartbeats be ignored. */
+    /** Ends all agent epochs: all heartbeats are ignored from now on. */
     public void endAllEpochs() {
         endedAgentEpoch = Long.MAX_VALUE;
     }
@@ -155,7 +157,7 @@
         lastPossibleResponseAtSeconds = nowSeconds;
     }
 
-    /** Called when the lease may have begun, or may have been renewed, until now. */
+    /** Called when a response may have been sent, or the lease may have begun, until now. */
     public void onResponsePossiblySent(double nowSeconds) {
         lastPossibleResponseAtSeconds = Math.max(lastPossibleResponseAtSeconds, nowSeconds);
     }
@@ -195,7 +197,9 @@
         return commandsInFlight;
     }
 
-    /** Whether no direct commands are in flight, and a delay after failed ones has passed. */
+    /**
+     * Whether no direct commands are in flight, and the delay after undelivered ones has passed.
+     */
     public boolean canReceiveCommands(double nowSeconds) {
         return !commandsInFlight && nowSeconds >= commandsRetryAtSeconds;
     }
@@ -217,7 +221,7 @@
 
     /** Whether a command of an earlier leader may still be delivered. */
     public boolean isPreviousLeaderCommandOutcomeUnknown() {
-        return previousLeaderCommandUnanswered;
+        return previousLeaderCommandOutcomeUnknown;
     }
 
     // ---- earlier leaders ----
@@ -229,15 +233,15 @@
      */
     public void applyReplicated(ReplicatedMachine replicated, boolean awaitsFirstHeartbeat) {
         replicatedAgentEpoch = replicated.agentEpoch();
-        previousLeaderCommandUnanswered = replicated.commandUnanswered();
+        previousLeaderCommandOutcomeUnknown = replicated.commandUnanswered();
         if (replicated.possiblyDisconnected() && awaitsFirstHeartbeat) {
             reachability.onDeliveryFailed(lastHeartbeatAtSeconds);
         }
     }
 
     /**
-     * Fields for log lines about an expired lease, which show whether heartbeats, responses or both
-     * were missing.
+     * Fields for log lines about an expired lease or an ended agent epoch, which show whether
+     * heartbeats, responses or both were missing.
      */
     public String summary(double nowSeconds) {
         return "secondsSinceHeartbeat="
