--- a/src/main/java/io/kelphoist/scheduler/cluster/Job.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Job.java
@@ -19,9 +19,7 @@
         WAITING,
         /** All dependencies are stored as done; tasks may start. */
         ACTIVE,
-        /**
-         * All tasks are done; the state store has not confirmed yet that the job is stored as done.
-         */
+        /** All tasks are done; the state store has not confirmed the job as done yet. */
         FINISHING,
         /**
          * A dependency is cancelled, and this job with it; the state store has not confirmed yet
@@ -34,10 +32,7 @@
         CANCELLED
     }
 
-    /**
-     * A job that has not started a task for this long after it became ready is aged, see {@link
-     * #isAged}.
-     */
+    /** A job that is ready this long without starting a task is {@link #isAged aged}. */
     private static final double AGED_AFTER_SECONDS = 90;
 
     private final JobRecord record;
@@ -249,10 +244,7 @@
         return urgency.priority();
     }
 
-    /**
-     * When it should be done at the latest, so that it and its dependents meet their deadlines;
-     * infinite: no deadline.
-     */
+    /** The latest finish that meets its and its dependents' deadlines; infinite: none. */
     public double latestFinishAtSeconds() {
         return urgency.latestFinishAtSeconds();
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
@@ -21,8 +21,8 @@
         /** Requested from the cloud; its worker has not sent a heartbeat yet. */
         BOOTING,
         /**
-         * Adopted from a stored start, a replicated machine, the instance list or a heartbeat; its
-         * worker has not acknowledged this term yet.
+         * Adopted from a record, the instance list or a heartbeat; its worker has not acknowledged
+         * this term yet.
          */
         JOINING,
         /** Its worker has sent a message with the fencing token of this term. */
@@ -66,9 +66,7 @@
     /** When the cloud terminates the machine; infinite: no termination notice was received. */
     private double terminationAtSeconds = Double.POSITIVE_INFINITY;
 
-    /**
-     * It is drained to be returned to the cloud; the drain is cancelled if its capacity is needed.
-     */
+    /** Drained to be returned to the cloud; cancelled if its capacity is needed. */
     private boolean drainingForScaleIn;
 
     /** An earlier leader drained it because it was faulty. */
@@ -77,10 +75,9 @@
     /** Jobs with a task that failed on this machine. */
     private final List<Job> failedJobs = new ArrayList<>();
 
-    /** The candidate set that it entered last. */
+    /** The candidate set that it entered last, and its index there. */
     private CandidateSet candidateSet;
 
-    /** Its index in {@link #candidateSet}. */
     private int candidateIndex;
 
     /**
@@ -156,10 +153,7 @@
         return true;
     }
 
-    /**
-     * Whether tasks may start on it: it is up, has no termination notice, and is not possibly
-     * disconnected.
-     */
+    /** Whether tasks may start on it: it is up, connected, and has no termination notice. */
     public boolean acceptsWork(double nowSeconds) {
         return state == State.UP
                 && terminationAtSeconds == Double.POSITIVE_INFINITY
@@ -266,10 +260,7 @@
         terminationAtSeconds = Math.min(terminationAtSeconds, replicated.terminationAtSeconds());
     }
 
-    /**
-     * Whether an earlier leader drained it as faulty, and it has not acknowledged this term yet:
-     * this leader starts no tasks on it either.
-     */
+    /** Whether it is joining, and an earlier leader drained it as faulty: it stays drained. */
     public boolean wasDrainedAsFaulty() {
         return drainedAsFaultyByPreviousLeader && state == State.JOINING;
     }
@@ -360,10 +351,7 @@
         images.addReference(attempt.job().imageIndex());
     }
 
-    /**
-     * Removes an attempt that is proven not to be on this machine, or that exited and is no longer
-     * listed by its worker.
-     */
+    /** Removes an attempt that is not on this machine, or exited and is no longer listed. */
     public void removeAttempt(TaskAttempt attempt, double nowSeconds) {
         if (attempts.remove(attempt)) {
             images.removeReference(attempt.job().imageIndex());
@@ -380,18 +368,12 @@
         return failedJobs.contains(job);
     }
 
-    /**
-     * Records that a task of the job failed on this machine; returns whether it is the first
-     * failure of the job there.
-     */
+    /** Records that a task of the job failed here; returns whether it is the first of the job. */
     public boolean recordFailure(Job job) {
         return !failedJobs.contains(job) && failedJobs.add(job);
     }
 
-    /**
-     * Number of jobs that failed on this machine and are not suspected faulty themselves, so that
-     * their failures are attributed to the machine.
-     */
+    /** Number of jobs that failed here and are not suspected faulty themselves. */
     public int countAttributedFailures() {
         int count = 0;
         for (Job job : failedJobs) {
--- a/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
@@ -11,7 +11,8 @@
     /**
      * Capacity was reserved for the job, or machines are held for it, but it cannot start yet.
      *
-     * @param machineCount the number of these machines
+     * @param machineCount the number of machines with reserved capacity; where machines are held,
+     *     the number of tasks that they are held for
      */
     record CapacityReserved(int machineCount) implements TaskEvent {}
 
