--- a/src/main/java/io/kelphoist/scheduler/cluster/JobUrgency.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobUrgency.java
@@ -4,8 +4,8 @@
 import io.kelphoist.model.Priority;
 
 /**
- * The urgency of one job: its priority and the time by which it should be done, which also take the
- * jobs into account that depend on it. Owns both.
+ * The urgency of one job: its priority and the time by which it should be done. Both account for
+ * the jobs that depend on it. Owns both.
  */
 final class JobUrgency {
     private final JobSpec spec;
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -94,7 +94,7 @@
     }
 
     /**
-     * Whether the machine's lease has expired on any clock within the drift limit, so that the
+     * Whether the machine's lease has expired even if clocks drift as far as allowed, so that the
      * worker has stopped its tasks. A worker counts its lease from when it sent the last heartbeat
      * that got a response. That is before this leader, or a delegate that renews leases in its
      * place, sent the response.
