--- a/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
@@ -254,7 +254,7 @@
      * yet. Tasks of lower priority that used it would be preempted again for that job.
      */
     private static void reserveForUrgentJob(Job job) {
-        if (job.spec().kind() != JobKind.ARRAY && !job.gangHasRun()) {
+        if (job.spec().kind() != JobKind.ARRAY && !job.hasRun()) {
             Resources demand = job.spec().resourcesPerTask().times(job.tasks().pendingCount());
             job.team().reserveForUrgentJob(demand);
         }
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
@@ -32,7 +32,7 @@
     @Override
     public boolean tryStart(ResourceOffer offer, Job job) {
         if (job.tasks().hasAttempts()) {
-            return !job.gangHasRun() && startReplacement(offer, job);
+            return !job.hasRun() && startReplacement(offer, job);
         }
         reservations.release(job);
         if (!job.team().isWithinLimit(job.spec().resourcesPerTask().times(job.spec().tasks()))) {
@@ -43,7 +43,7 @@
         if (taskMachines.size() == job.spec().tasks()) {
             return startUnlessPreemptionIsSooner(offer, job, taskMachines);
         }
-        if (!job.isSuspect() && !preemptor.canHoldMachines(job, offer.nowSeconds())) {
+        if (!job.isSuspectedFaulty() && !preemptor.canHoldMachines(job, offer.nowSeconds())) {
             reservations.reserve(job, taskMachines, offer.nowSeconds());
         }
         return false;
@@ -73,7 +73,7 @@
     }
 
     private void startGang(Job job, List<Machine> taskMachines, double nowSeconds) {
-        job.roomSearch().endReservation();
+        job.capacityAcquisition().endReservation();
         job.beginGangAttempt(attempts.nextAttemptId());
         for (int task = 0; task < taskMachines.size(); task++) {
             attempts.start(job, task, taskMachines.get(task), job.gangAttemptId(), nowSeconds);
@@ -148,7 +148,7 @@
     /** Places as many tasks as fit on the machines that are held for the job, cheapest first. */
     private static List<Machine> placeOnHeldMachines(ResourceOffer offer, Job job, int onlyZone) {
         List<Machine> heldMachines = new ArrayList<>();
-        for (Machine machine : job.roomSearch().heldMachines()) {
+        for (Machine machine : job.capacityAcquisition().heldMachines()) {
             if ((onlyZone == GangPlacement.ANY_ZONE || machine.zone() == onlyZone)
                     && offer.allows(job, machine)) {
                 heldMachines.add(machine);
--- a/src/main/java/io/kelphoist/scheduler/allocation/QueueWaitTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/QueueWaitTracker.java
@@ -87,13 +87,13 @@
     /** Describes for the log why the job is not started. */
     private String waitReason(Job job, double nowSeconds) {
         Resources required = PreemptionSearch.minimumDemand(job);
-        if (job.isSuspect()) {
+        if (job.isSuspectedFaulty()) {
             return "tasks failed on several machines";
         } else if (!job.team().isWithinLimit(required)) {
             return "team limit reached, used " + job.team().used();
-        } else if (job.roomSearch().hasHeldMachines()) {
-            return job.roomSearch().heldMachineCount() + " machines held for the job";
-        } else if (job.roomSearch().reservedUntilSeconds() > nowSeconds) {
+        } else if (job.capacityAcquisition().hasHeldMachines()) {
+            return job.capacityAcquisition().heldMachineCount() + " machines held for the job";
+        } else if (job.capacityAcquisition().reservedUntilSeconds() > nowSeconds) {
             return "resources reserved for part of the gang";
         }
         return job.team().isWithinGuarantee(required)
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -97,7 +97,7 @@
                     "machine reported as failed by the cloud: machine={} attempts={}",
                     machine.name(),
                     machine.attempts().size());
-            machineLifecycle.onStopped(machine, nowSeconds);
+            machineLifecycle.onInstanceStopped(machine, nowSeconds);
         }
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
@@ -117,7 +117,7 @@
      * current attempt) and suspect jobs that have an attempt are skipped.
      */
     void addDemand(Job job) {
-        if (job.gangHasRun() || job.isOnTrial(nowSeconds)) {
+        if (job.hasRun() || job.isOnTrial(nowSeconds)) {
             return;
         }
         Resources perTask = job.spec().resourcesPerTask();
@@ -146,7 +146,7 @@
     /** The number of the job's tasks for which machines are held; they need no other machines. */
     private static int heldTaskCount(Job job) {
         int heldTasks = 0;
-        for (Machine machine : job.roomSearch().heldMachines()) {
+        for (Machine machine : job.capacityAcquisition().heldMachines()) {
             heldTasks += machine.hold().taskCount();
         }
         return heldTasks;
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineReplication.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineReplication.java
@@ -2,17 +2,18 @@
 
 import io.kelphoist.model.NameIndex;
 import io.kelphoist.model.ReplicatedMachine;
-import io.kelphoist.scheduler.reachability.AgentContact;
+import io.kelphoist.scheduler.reachability.WorkerContact;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
 
-/** What the leader replicates of its machines to followers. */
+/** Creates the descriptions of machines that the leader replicates to followers. */
 public final class MachineReplication {
     private MachineReplication() {}
 
     /**
-     * Describes the machines that followers should know: those that are, or are about to be, up.
+     * Describes the machines that are up, draining, joining or booting; others need not be
+     * replicated.
      */
     public static List<ReplicatedMachine> describe(Collection<Machine> machines, NameIndex zones) {
         List<ReplicatedMachine> replicated = new ArrayList<>(machines.size());
@@ -31,7 +32,7 @@
     }
 
     private static ReplicatedMachine describe(Machine machine, String zoneName) {
-        AgentContact contact = machine.contact();
+        WorkerContact contact = machine.contact();
         return new ReplicatedMachine(
                 machine.name(),
                 machine.address(),
@@ -42,7 +43,7 @@
                 machine.state() != Machine.State.BOOTING,
                 machine.state() == Machine.State.DRAINING && !machine.drainingForScaleIn(),
                 contact.isPossiblyDisconnected(),
-                contact.hasCommandsInFlight() || machine.attempts().hasUnansweredStart(),
+                contact.hasCommandsInFlight() || machine.attempts().hasStartWithUnknownOutcome(),
                 machine.launchedAtSeconds(),
                 machine.terminationAtSeconds());
     }
--- a/src/main/java/io/kelphoist/scheduler/placement/ResourceOffer.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/ResourceOffer.java
@@ -18,7 +18,7 @@
      */
     public boolean allows(Job job, Machine machine) {
         return job.spec().resourcesPerTask().fitsIn(machine.free())
-                && !machine.hold().isForOther(job, nowSeconds)
+                && !machine.hold().isForOtherJob(job, nowSeconds)
                 && PlacementScorer.isAllowed(job, machine);
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
@@ -95,7 +95,7 @@
             }
             if (!job.team().isWithinLimit(PreemptionSearch.minimumDemand(job))) {
                 preemptWithinTeamIfDue(job, nowSeconds);
-            } else if (!job.roomSearch().hasHeldMachines()) {
+            } else if (!job.capacityAcquisition().hasHeldMachines()) {
                 searchCount++;
                 holdCount += holdMachines(job, nowSeconds) ? 1 : 0;
             }
@@ -114,15 +114,15 @@
         return (job.spec().kind() != JobKind.ARRAY
                         || job.team().isWithinGuarantee(PreemptionSearch.minimumDemand(job)))
                 && nowSeconds - job.waitingSinceSeconds() >= minWaitSeconds
-                && nowSeconds >= job.roomSearch().noMachineHoldBeforeSeconds()
-                && !job.gangHasRun()
-                && !job.roomSearch().wasDeclinedAt(nowSeconds)
-                && !job.isSuspect();
+                && nowSeconds >= job.capacityAcquisition().noMachineHoldBeforeSeconds()
+                && !job.hasRun()
+                && !job.capacityAcquisition().wasPlacementDeclinedAt(nowSeconds)
+                && !job.isSuspectedFaulty();
     }
 
     private void preemptWithinTeamIfDue(Job job, double nowSeconds) {
-        if (nowSeconds >= job.roomSearch().noOwnTeamPreemptionBeforeSeconds()) {
-            job.roomSearch()
+        if (nowSeconds >= job.capacityAcquisition().noOwnTeamPreemptionBeforeSeconds()) {
+            job.capacityAcquisition()
                     .postponeOwnTeamPreemption(nowSeconds + TEAM_PREEMPTION_INTERVAL_SECONDS);
             preemptWithinTeam(job, nowSeconds);
         }
@@ -185,7 +185,7 @@
     private boolean holdMachines(Job job, double nowSeconds) {
         Optional<PreemptionPlan> plan = findCheapestPlan(job, nowSeconds);
         if (plan.isEmpty()) {
-            job.roomSearch().postponeMachineHold(nowSeconds + SEARCH_RETRY_SECONDS);
+            job.capacityAcquisition().postponeMachineHold(nowSeconds + SEARCH_RETRY_SECONDS);
             return false;
         }
         List<TaskSlot> slots = plan.get().slots();
@@ -199,7 +199,7 @@
                     slot.victims().size());
             slot.victims().forEach(victim -> preempt(victim, nowSeconds));
         }
-        output.publishEvent(job, new TaskEvent.RoomReserved(slots.size()));
+        output.publishEvent(job, new TaskEvent.CapacityReserved(slots.size()));
         return true;
     }
 
@@ -228,20 +228,21 @@
      * is cached for {@link #FEASIBILITY_VALIDITY_SECONDS}.
      */
     public boolean canHoldMachines(Job job, double nowSeconds) {
-        if (job.roomSearch().hasHeldMachines()) {
+        if (job.capacityAcquisition().hasHeldMachines()) {
             return true;
         }
-        if (nowSeconds < job.roomSearch().noMachineHoldBeforeSeconds()
+        if (nowSeconds < job.capacityAcquisition().noMachineHoldBeforeSeconds()
                 || !job.team().isWithinLimit(PreemptionSearch.minimumDemand(job))) {
             return false;
         }
         if (nowSeconds
-                >= job.roomSearch().preemptionCheckedAtSeconds() + FEASIBILITY_VALIDITY_SECONDS) {
-            job.roomSearch()
+                >= job.capacityAcquisition().preemptionCheckedAtSeconds()
+                        + FEASIBILITY_VALIDITY_SECONDS) {
+            job.capacityAcquisition()
                     .recordPreemptionCheck(
                             findCheapestPlan(job, nowSeconds).isPresent(), nowSeconds);
         }
-        return job.roomSearch().isPreemptionFeasible();
+        return job.capacityAcquisition().isPreemptionFeasible();
     }
 
     /**
@@ -253,10 +254,10 @@
      * @param fetchSeconds expected duration of the image fetch without preemption
      */
     public boolean isSoonerThanFetch(double fetchSeconds, Job job, double nowSeconds) {
-        if (fetchSeconds < MIN_AVOIDED_FETCH_SECONDS || job.isSuspect()) {
+        if (fetchSeconds < MIN_AVOIDED_FETCH_SECONDS || job.isSuspectedFaulty()) {
             return false;
         }
-        if (job.roomSearch().hasHeldMachines()) {
+        if (job.capacityAcquisition().hasHeldMachines()) {
             return true;
         }
         Optional<PreemptionPlan> plan = findCheapestPlan(job, fetchSeconds, nowSeconds);
