--- a/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
@@ -113,7 +113,7 @@
      * The watermark: all cancellations that any user was told of before this moment are known here.
      * Without other controllers that is {@code nowSeconds}.
      */
-    public double knownUntilSeconds(double nowSeconds) {
+    public double watermarkSeconds(double nowSeconds) {
         return peers.values().stream()
                 .mapToDouble(progress -> progress.knownUntilSeconds)
                 .min()
--- a/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
@@ -98,7 +98,7 @@
      * A term exists. The leader of an older term may have failed before it passed on what it
      * acknowledged, so statements to a newer leader do not cover that.
      */
-    public void onTerm(long term) {
+    public void onTermObserved(long term) {
         if (term > newestTerm) {
             newestTerm = term;
             completeSinceSeconds = Math.max(completeSinceSeconds, newestDroppedAtSeconds);
@@ -117,7 +117,7 @@
             long acknowledgedIncarnation,
             long acknowledgedSequenceNumber,
             double nowSeconds) {
-        onTerm(leaderTerm);
+        onTermObserved(leaderTerm);
         if (leaderTerm < newestTerm) {
             return Optional.empty();
         }
--- a/src/main/java/io/kelphoist/delegation/DelegationOffer.java
+++ b/src/main/java/io/kelphoist/delegation/DelegationOffer.java
@@ -25,5 +25,5 @@
         double startsAtSeconds,
         ImmutableSet<String> excludedMachines) {
     /** Start time of an offer that revokes the delegation: it has expired on any clock. */
-    public static final double REVOKED_SECONDS = -1e12;
+    public static final double REVOKED_START_SECONDS = -1e12;
 }
--- a/src/main/java/io/kelphoist/delegation/HeldDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/HeldDelegation.java
@@ -84,11 +84,11 @@
      * A message of a leader arrived. A newer term ends a delegation of an older one at once;
      * messages of older terms are ignored.
      */
-    public void onLeaderHeard(long leaderTerm, double nowSeconds) {
+    public void onLeaderMessage(long leaderTerm, double nowSeconds) {
         if (leaderTerm < term) {
             return;
         }
-        onNewerTerm(leaderTerm);
+        onTermObserved(leaderTerm);
         leaderHeardAtSeconds = Math.max(leaderHeardAtSeconds, nowSeconds);
         selfOffered = false;
         if (state == State.ACTIVE) {
@@ -97,7 +97,7 @@
     }
 
     /** A term exists; if it is newer than the held delegation's, that delegation ends. */
-    public void onNewerTerm(long newerTerm) {
+    public void onTermObserved(long newerTerm) {
         if (newerTerm > term) {
             term = newerTerm;
             sequenceNumber = 0;
@@ -107,7 +107,7 @@
     }
 
     /**
-     * The leader gives, renews or revokes a delegation; call {@link #onLeaderHeard} first. Offers
+     * The leader gives, renews or revokes a delegation; call {@link #onLeaderMessage} first. Offers
      * of another term, for another process or older than the newest one are ignored.
      */
     public void onOffer(DelegationOffer offer, double nowSeconds) {
@@ -171,10 +171,10 @@
      * this zone, is not excluded and holds the delegation's term. A newer term in the worker's
      * fencing token ends the delegation.
      */
-    public boolean covers(
+    public boolean allowsRenewal(
             String machineName, String machineZone, long fencingToken, double nowSeconds) {
         if (fencingToken > term) {
-            onNewerTerm(fencingToken);
+            onTermObserved(fencingToken);
         }
         return state(nowSeconds) == State.ACTIVE
                 && fencingToken == term
--- a/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
+++ b/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
@@ -101,7 +101,7 @@
      * Whether delegations may be given: only where every controller, any of which may be the next
      * leader, is known to account for them.
      */
-    public boolean isReady() {
+    public boolean canOfferDelegations() {
         if (!isEnabled) {
             return false;
         }
@@ -122,7 +122,7 @@
     public Optional<DelegationOffer> offerTo(
             String peerName, Collection<String> excludedMachines, double knownUntilSeconds) {
         PeerDelegation peer = peers.get(peerName);
-        if (peer == null || !isReady() || !peer.isOfferable()) {
+        if (peer == null || !canOfferDelegations() || !peer.isOfferable()) {
             return Optional.empty();
         }
         return Optional.of(peer.nextOffer(term, excludedMachines, knownUntilSeconds));
@@ -134,7 +134,7 @@
      */
     public Optional<DelegationOffer> offerToSelf(
             Collection<String> excludedMachines, double knownUntilSeconds, double nowSeconds) {
-        if (!isReady() || ownRecordState != RecordState.ABSENT) {
+        if (!canOfferDelegations() || ownRecordState != RecordState.ABSENT) {
             return Optional.empty();
         }
         return Optional.of(
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -182,7 +182,7 @@
         if (exclusions.size() > MAX_EXCLUDED_MACHINES) {
             offeredStartAtSeconds = Double.NEGATIVE_INFINITY;
             offeredExclusions = ImmutableSet.of();
-            return newOffer(term, DelegationOffer.REVOKED_SECONDS);
+            return newOffer(term, DelegationOffer.REVOKED_START_SECONDS);
         }
         // Cancellations that the leader may not have seen when the peer read its clock shorten the
         // delegation.
--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -57,7 +57,7 @@
          * Whether this controller replicates the leader's state and the records. If it does not,
          * another one would be ready to lead sooner.
          */
-        boolean isFollowing();
+        boolean isReplicaCurrent();
 
         /** This controller leads a new term. */
         void onElected(long term);
@@ -192,7 +192,7 @@
      * @param holder the controller that holds it; null: the key is absent
      * @param lastTerm the newest term; 0: there was none yet
      */
-    public void onLeaderKey(String holder, long holderTerm, long lastTerm, double nowSeconds) {
+    public void onLeaderKeyRead(String holder, long holderTerm, long lastTerm, double nowSeconds) {
         leaderKeyKnown = true;
         if (holder == null && leader != null) {
             leaderGoneAtSeconds = nowSeconds;
@@ -362,7 +362,7 @@
     private boolean mayRun(double nowSeconds) {
         return !hasEarlierTerm
                 || nowSeconds >= leaderGoneAtSeconds + LESS_PREFERRED_DELAY_SECONDS
-                || actions.isFollowing();
+                || actions.isReplicaCurrent();
     }
 
     private void tickAsCandidate(double nowSeconds) {
--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -37,7 +37,7 @@
         ACTIVE
     }
 
-    /** Sends heartbeat requests; the outcome of each goes to {@link #onResponse}. */
+    /** Sends heartbeat requests; the outcome of each goes to {@link #onStatusRequestOutcome}. */
     public interface HeartbeatRequester {
         /**
          * Requests a heartbeat.
@@ -325,7 +325,8 @@
      *
      * @param heartbeat the machine's answer; null if there was none
      */
-    public void onResponse(String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
+    public void onStatusRequestOutcome(
+            String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
         HeartbeatRequest request = requests.get(machineName);
         if (request == null || request.state != RequestState.IN_FLIGHT) {
             return;
--- a/src/main/java/io/kelphoist/leadership/CancellationReplication.java
+++ b/src/main/java/io/kelphoist/leadership/CancellationReplication.java
@@ -91,7 +91,7 @@
      */
     void onRecordsLoaded(long termNumber, Consumer<String> listener) {
         term = Optional.of(new LoadedTerm(new CancellationWatermark(otherControllers), listener));
-        confirmedCancellations.onTerm(termNumber);
+        confirmedCancellations.onTermObserved(termNumber);
         confirmedCancellations.jobIds().forEach(listener);
     }
 
@@ -137,7 +137,7 @@
         }
         CancellationWatermark watermark = term.get().watermark;
         watermark.onJobsRead(recordsReadUntilSeconds.getAsDouble());
-        lastKnownUntilSeconds = watermark.knownUntilSeconds(loop.nowSeconds());
+        lastKnownUntilSeconds = watermark.watermarkSeconds(loop.nowSeconds());
         return lastKnownUntilSeconds;
     }
 
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -64,7 +64,7 @@
         /** The controller that is best prepared to lead next, if any is known. */
         Optional<String> preferredSuccessor();
 
-        /** See {@link Election.Actions#isFollowing}. */
+        /** See {@link Election.Actions#isReplicaCurrent}. */
         boolean isReplicaCurrent();
     }
 
@@ -183,7 +183,7 @@
 
     private void onKeysRead(LeadershipKeys keys) {
         acquisition.releaseFormerLease(keys, keyWatcher::read);
-        election.onLeaderKey(
+        election.onLeaderKeyRead(
                 keys.leader().map(LeaderRecord::nodeName).orElse(null),
                 keys.leader().map(LeaderRecord::term).orElse(0L),
                 keys.lastTerm(),
@@ -200,7 +200,7 @@
 
         @Override
         public void onHeldByOther(LeaderRecord leader) {
-            election.onLeaderKey(
+            election.onLeaderKeyRead(
                     leader.nodeName(), leader.term(), NO_LAST_TERM, eventLoop.nowSeconds());
         }
 
@@ -219,7 +219,7 @@
     }
 
     @Override
-    public boolean isFollowing() {
+    public boolean isReplicaCurrent() {
         return grantMessages.isReplicaCurrent();
     }
 
--- a/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
+++ b/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
@@ -76,7 +76,7 @@
 
     /** A term is led here; returns the bound of renewals under delegations for it. */
     DelegatedRenewals onElected(long term, double nowSeconds) {
-        heldDelegation.onNewerTerm(term);
+        heldDelegation.onTermObserved(term);
         LeaseDelegations ofTerm =
                 new LeaseDelegations(timing, isEnabled, term, members, nowSeconds);
         delegations = Optional.of(ofTerm);
@@ -97,7 +97,7 @@
     Optional<DelegationOffer> offerTo(
             String peer, SchedulerState schedulerState, double knownUntilSeconds) {
         return delegations
-                .filter(LeaseDelegations::isReady)
+                .filter(LeaseDelegations::canOfferDelegations)
                 .flatMap(
                         ready ->
                                 ready.offerTo(
@@ -162,7 +162,7 @@
             SchedulerState schedulerState, double knownUntilSeconds, double nowSeconds) {
         if (delegations.isPresent()
                 && nowSeconds >= nextOwnOfferAtSeconds
-                && delegations.get().isReady()) {
+                && delegations.get().canOfferDelegations()) {
             nextOwnOfferAtSeconds = nowSeconds + OWN_OFFER_INTERVAL_SECONDS;
             delegations
                     .get()
@@ -181,7 +181,7 @@
      * status for the response.
      */
     PeerStatus onGrantRequest(GrantRequest request, double nowSeconds) {
-        heldDelegation.onLeaderHeard(request.term(), nowSeconds);
+        heldDelegation.onLeaderMessage(request.term(), nowSeconds);
         request.state()
                 .delegationOffer()
                 .ifPresent(offer -> heldDelegation.onOffer(offer, nowSeconds));
@@ -201,7 +201,7 @@
      */
     public OptionalLong renewLease(Heartbeat heartbeat, double nowSeconds) {
         boolean isCovered =
-                heldDelegation.covers(
+                heldDelegation.allowsRenewal(
                         heartbeat.machineName(),
                         heartbeat.zone(),
                         heartbeat.fencingToken(),
--- a/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
+++ b/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
@@ -67,7 +67,7 @@
                     if (!closed) {
                         schedulerState.onStatusRequestOutcome(
                                 machine.name(), outcome, heartbeat, context.nowSeconds());
-                        failover.onResponse(machine.name(), outcome, heartbeat);
+                        failover.onStatusRequestOutcome(machine.name(), outcome, heartbeat);
                         context.requestTick().run();
                     }
                 });
--- a/src/test/java/io/kelphoist/contract/ControllerMessagesContractTest.java
+++ b/src/test/java/io/kelphoist/contract/ControllerMessagesContractTest.java
@@ -61,7 +61,7 @@
             offerIsDecodedAndEncodedAgain(
                     "peer/care-offer-withdrawn",
                     new DelegationOffer(
-                            TERM, 1, 8, DelegationOffer.REVOKED_SECONDS, ImmutableSet.of()));
+                            TERM, 1, 8, DelegationOffer.REVOKED_START_SECONDS, ImmutableSet.of()));
         }
 
         private void offerIsDecodedAndEncodedAgain(String name, DelegationOffer offer) {
@@ -97,7 +97,7 @@
         void statementOfAControllerThatCaredIsEncodedAndDecoded() {
             // given
             HeldDelegation mandate = new HeldDelegation(DelegationTiming.of(40, 6), "a", 5);
-            mandate.onLeaderHeard(TERM, 90);
+            mandate.onLeaderMessage(TERM, 90);
             mandate.onOffer(new DelegationOffer(TERM, 5, 3, 90, ImmutableSet.of()), 91);
             mandate.onRenewal(95);
             // when
--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -208,10 +208,10 @@
         watermark.onJobsRead(100);
         watermark.onStatement(
                 "p", new ConfirmedCancellations.Statement(7, 50, 0, true, List.of()), 101, 101.1);
-        assertEquals(100, watermark.knownUntilSeconds(102), 1e-9);
+        assertEquals(100, watermark.watermarkSeconds(102), 1e-9);
         watermark.onStatement(
                 "q", new ConfirmedCancellations.Statement(8, 50, 0, true, List.of()), 101.5, 101.6);
-        assertEquals(101, watermark.knownUntilSeconds(102), 1e-9);
+        assertEquals(101, watermark.watermarkSeconds(102), 1e-9);
         DelegationTiming timing = DelegationTiming.of(42, 22);
         assertTrue(timing.allowsRenewal(101, 101 + 19.3));
         assertFalse(timing.allowsRenewal(101, 101 + 19.5));
@@ -233,11 +233,11 @@
                 new ConfirmedCancellations.Statement(7, 51, 5, false, List.of("job-2")),
                 102,
                 102.1);
-        assertEquals(101, watermark.knownUntilSeconds(103), 1e-9);
+        assertEquals(101, watermark.watermarkSeconds(103), 1e-9);
         // Started at 102.5: what its earlier process confirmed after 101 is not covered.
         watermark.onStatement(
                 "p", new ConfirmedCancellations.Statement(9, 0.5, 0, true, List.of()), 103, 103.1);
-        assertEquals(101, watermark.knownUntilSeconds(104), 1e-9);
+        assertEquals(101, watermark.watermarkSeconds(104), 1e-9);
         assertEquals(9, watermark.incarnation("p"));
         assertEquals(0, watermark.acknowledgedSequenceNumber("p"));
         // A late statement of the earlier process does not restore its sequence numbers.
@@ -248,7 +248,7 @@
         watermark.onJobsRead(103);
         watermark.onStatement(
                 "p", new ConfirmedCancellations.Statement(9, 2.4, 0, true, List.of()), 105, 105.1);
-        assertEquals(105, watermark.knownUntilSeconds(106), 1e-9);
+        assertEquals(105, watermark.watermarkSeconds(106), 1e-9);
     }
 
     /**
--- a/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
@@ -250,7 +250,7 @@
         double now = network.nowSeconds();
         HeldDelegation delegation = controller.delegation();
         if (!worker.hasLease(now)
-                || !delegation.covers(
+                || !delegation.allowsRenewal(
                         DelegatedWorker.NAME,
                         DelegatedWorker.ZONE,
                         worker.fencingToken(),
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -79,7 +79,7 @@
         Map<String, String> zonesByPeer = new LinkedHashMap<>();
         peers.forEach(peer -> zonesByPeer.put(peer.name(), peer.zone()));
         double clock = leader.clock();
-        leader.delegation().onNewerTerm(number);
+        leader.delegation().onTermObserved(number);
         delegations =
                 new LeaseDelegations(
                         environment.timing(),
@@ -97,7 +97,7 @@
         lastRenewalAtSeconds = clock;
         watermark = new CancellationWatermark(zonesByPeer.keySet());
         watermark.onJobsRead(clock);
-        leader.confirmed().onTerm(number);
+        leader.confirmed().onTermObserved(number);
         knowsCancellation = store.isCancelled();
         leaseExpiresAtSeconds = network.nowSeconds() + KEY_SECONDS;
     }
@@ -204,7 +204,7 @@
                 leader,
                 peer,
                 () -> {
-                    peer.delegation().onLeaderHeard(number, peer.clock());
+                    peer.delegation().onLeaderMessage(number, peer.clock());
                     offer.ifPresent(sent -> peer.delegation().onOffer(sent, peer.clock()));
                     Response response =
                             new Response(
@@ -261,7 +261,7 @@
 
     /** Up to when the leader knows all confirmed cancellations, by its clock. */
     double knownUntilSeconds() {
-        return watermark.knownUntilSeconds(leader.clock());
+        return watermark.watermarkSeconds(leader.clock());
     }
 
     void noteCancellation() {
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -185,24 +185,24 @@
     @Test
     void coversOnlyWhileTheLeaderIsSilent() {
         HeldDelegation delegation = new HeldDelegation(DelegationTiming.of(47, 22), "b", 7);
-        delegation.onLeaderHeard(3, 100);
+        delegation.onLeaderMessage(3, 100);
         delegation.onOffer(new DelegationOffer(3, 6, 1, 99.5, ImmutableSet.of()), 100);
         assertEquals(HeldDelegation.State.NONE, delegation.state(105));
         delegation.onOffer(new DelegationOffer(3, 7, 1, 99.5, ImmutableSet.of()), 100);
         assertEquals(HeldDelegation.State.HELD, delegation.state(100.5));
-        assertFalse(delegation.covers("vm-1", "b", 3, 101));
-        assertTrue(delegation.covers("vm-1", "b", 3, 102));
-        assertFalse(delegation.covers("vm-1", "a", 3, 102));
-        assertFalse(delegation.covers("vm-1", "b", 2, 102));
+        assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 101));
+        assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 102));
+        assertFalse(delegation.allowsRenewal("vm-1", "a", 3, 102));
+        assertFalse(delegation.allowsRenewal("vm-1", "b", 2, 102));
         assertFalse(
-                delegation.covers(
+                delegation.allowsRenewal(
                         "vm-1", "b", 3, 99.5 + DelegationTiming.of(47, 22).delegationSeconds()));
         assertEquals(HeldDelegation.State.EXPIRED, delegation.state(140));
         // A worker that has seen a newer leader ends the delegation for all workers.
         delegation.onOffer(new DelegationOffer(3, 7, 2, 139.5, ImmutableSet.of()), 140);
-        assertTrue(delegation.covers("vm-1", "b", 3, 142));
-        assertFalse(delegation.covers("vm-2", "b", 4, 142));
-        assertFalse(delegation.covers("vm-1", "b", 3, 142));
+        assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 142));
+        assertFalse(delegation.allowsRenewal("vm-2", "b", 4, 142));
+        assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 142));
     }
 
     /** A second failover in the same partition does not count from its own start. */
--- a/src/test/java/io/kelphoist/election/SimulatedController.java
+++ b/src/test/java/io/kelphoist/election/SimulatedController.java
@@ -193,7 +193,7 @@
             hasReleasedOldLease = true;
             releaseLease(leader.leaseId());
         }
-        election.onLeaderKey(
+        election.onLeaderKeyRead(
                 leader == null ? null : leader.controller(),
                 leader == null ? 0 : leader.term(),
                 keys.lastTerm(),
@@ -356,7 +356,7 @@
     }
 
     @Override
-    public boolean isFollowing() {
+    public boolean isReplicaCurrent() {
         return true;
     }
 
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -318,7 +318,7 @@
     void onStatusOutcome(String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
         schedulerState.onStatusRequestOutcome(
                 machineName, outcome, heartbeat, context.nowSeconds());
-        failover.onResponse(machineName, outcome, heartbeat);
+        failover.onStatusRequestOutcome(machineName, outcome, heartbeat);
     }
 
     void onProbeOutcome(String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
--- a/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
@@ -82,7 +82,8 @@
     private void onLeaderKey(ScenarioLine line) {
         boolean isAbsent = line.word(1).equals("absent");
         long term = line.size() > 2 ? line.longAt(2) : 0;
-        election.onLeaderKey(isAbsent ? null : line.word(1), isAbsent ? 0 : term, term, nowSeconds);
+        election.onLeaderKeyRead(
+                isAbsent ? null : line.word(1), isAbsent ? 0 : term, term, nowSeconds);
     }
 
     void expect(ScenarioLine line) {
@@ -99,7 +100,7 @@
     }
 
     @Override
-    public boolean isFollowing() {
+    public boolean isReplicaCurrent() {
         return following;
     }
 
--- a/src/test/java/io/kelphoist/scheduler/ScenarioMachines.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioMachines.java
@@ -85,7 +85,7 @@
         assertTrue(scenario.removeStatusRequest(machine), "its status was not requested");
         scenario.schedulerState()
                 .onStatusRequestOutcome(machine, outcome(line), response, scenario.nowSeconds());
-        scenario.failover().onResponse(machine, outcome(line), response);
+        scenario.failover().onStatusRequestOutcome(machine, outcome(line), response);
     }
 
     private void onProbeOutcome(ScenarioLine line) {
