--- a/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
@@ -29,7 +29,7 @@
 public final class CancellationWatermark {
     private static final class PeerProgress {
         /** All cancellations that the controller confirmed before this moment are known here. */
-        double knownUntilSeconds = Double.NEGATIVE_INFINITY;
+        double completeUntilSeconds = Double.NEGATIVE_INFINITY;
 
         double newestSentAtSeconds = Double.NEGATIVE_INFINITY;
         long incarnation;
@@ -55,7 +55,8 @@
         }
         jobsReadAtSeconds = requestedAtSeconds;
         for (PeerProgress progress : peers.values()) {
-            progress.knownUntilSeconds = Math.max(progress.knownUntilSeconds, requestedAtSeconds);
+            progress.completeUntilSeconds =
+                    Math.max(progress.completeUntilSeconds, requestedAtSeconds);
         }
     }
 
@@ -78,8 +79,8 @@
         acknowledge(progress, statement, sentAtSeconds);
         double coveredSinceSeconds =
                 nowSeconds - statement.coveredSeconds() * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT);
-        if (statement.complete() && coveredSinceSeconds <= progress.knownUntilSeconds) {
-            progress.knownUntilSeconds = Math.max(progress.knownUntilSeconds, sentAtSeconds);
+        if (statement.complete() && coveredSinceSeconds <= progress.completeUntilSeconds) {
+            progress.completeUntilSeconds = Math.max(progress.completeUntilSeconds, sentAtSeconds);
         }
     }
 
@@ -115,7 +116,7 @@
      */
     public double watermarkSeconds(double nowSeconds) {
         return peers.values().stream()
-                .mapToDouble(progress -> progress.knownUntilSeconds)
+                .mapToDouble(progress -> progress.completeUntilSeconds)
                 .min()
                 .orElse(nowSeconds);
     }
--- a/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
@@ -61,7 +61,7 @@
     private double completeSinceSeconds;
 
     /** When the newest of the entries that were removed on acknowledgement was confirmed. */
-    private double newestDroppedAtSeconds;
+    private double newestAcknowledgedAtSeconds;
 
     /**
      * Creates an empty list that covers the time from now on.
@@ -72,7 +72,7 @@
     public ConfirmedCancellations(long incarnation, double nowSeconds) {
         this.incarnation = incarnation;
         this.completeSinceSeconds = nowSeconds;
-        this.newestDroppedAtSeconds = nowSeconds;
+        this.newestAcknowledgedAtSeconds = nowSeconds;
     }
 
     /** A user is about to be told that this job is cancelled; repetitions have no effect. */
@@ -101,7 +101,7 @@
     public void onTermObserved(long term) {
         if (term > newestTerm) {
             newestTerm = term;
-            completeSinceSeconds = Math.max(completeSinceSeconds, newestDroppedAtSeconds);
+            completeSinceSeconds = Math.max(completeSinceSeconds, newestAcknowledgedAtSeconds);
         }
     }
 
@@ -134,7 +134,7 @@
         while (!confirmations.isEmpty()
                 && confirmations.values().iterator().next().sequenceNumber
                         <= acknowledgedSequenceNumber) {
-            newestDroppedAtSeconds = Math.max(newestDroppedAtSeconds, removeOldest());
+            newestAcknowledgedAtSeconds = Math.max(newestAcknowledgedAtSeconds, removeOldest());
         }
     }
 
--- a/src/main/java/io/kelphoist/delegation/HeldDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/HeldDelegation.java
@@ -32,7 +32,7 @@
     private long sequenceNumber;
     private double expiresAtSeconds;
     private ImmutableSet<String> excludedMachines = ImmutableSet.of();
-    private double leaderHeardAtSeconds = Double.NEGATIVE_INFINITY;
+    private double lastLeaderMessageAtSeconds = Double.NEGATIVE_INFINITY;
     private double lastRenewalAtSeconds = Double.NEGATIVE_INFINITY;
 
     /** Whether the delegation was given by this controller to itself while it was the leader. */
@@ -57,7 +57,8 @@
     /** Returns the state at a moment, after the transitions that are due by then. */
     public State state(double nowSeconds) {
         boolean isLeaderSilent =
-                selfOffered || nowSeconds >= leaderHeardAtSeconds + timing.leaderSilenceSeconds();
+                selfOffered
+                        || nowSeconds >= lastLeaderMessageAtSeconds + timing.leaderSilenceSeconds();
         if (state == State.HELD && isLeaderSilent) {
             transitionTo(State.ACTIVE);
         }
@@ -89,7 +90,7 @@
             return;
         }
         onTermObserved(leaderTerm);
-        leaderHeardAtSeconds = Math.max(leaderHeardAtSeconds, nowSeconds);
+        lastLeaderMessageAtSeconds = Math.max(lastLeaderMessageAtSeconds, nowSeconds);
         selfOffered = false;
         if (state == State.ACTIVE) {
             transitionTo(State.HELD);
--- a/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
+++ b/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
@@ -122,7 +122,7 @@
     public Optional<DelegationOffer> offerTo(
             String peerName, Collection<String> excludedMachines, double knownUntilSeconds) {
         PeerDelegation peer = peers.get(peerName);
-        if (peer == null || !canOfferDelegations() || !peer.isOfferable()) {
+        if (peer == null || !canOfferDelegations() || !peer.canReceiveOffer()) {
             return Optional.empty();
         }
         return Optional.of(peer.nextOffer(term, excludedMachines, knownUntilSeconds));
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -17,7 +17,7 @@
     /** What this term knows about the controller; {@link #transitionTo} is the only writer. */
     enum State {
         /** No response in this term yet: it may hold a delegation of an earlier term. */
-        NOT_HEARD,
+        NO_RESPONSE,
         /** Runs a version without delegation. */
         UNSUPPORTED,
         /** Has responded in this term: it holds nothing but what this term gave it. */
@@ -41,17 +41,17 @@
      * A controller that is silent for this long may stay silent: the start of its delegation is put
      * on record for the next leader.
      */
-    private static final double RECORD_AFTER_SECONDS = 3;
+    private static final double RECORD_AFTER_SILENCE_SECONDS = 3;
 
     private final DelegationTiming timing;
     private final String zone;
-    private State state = State.NOT_HEARD;
+    private State state = State.NO_RESPONSE;
     private RecordState recordState = RecordState.ABSENT;
 
     /** When the newest request that was responded to was sent, and when its response arrived. */
-    private double answeredRequestSentAtSeconds = Double.NEGATIVE_INFINITY;
+    private double lastRespondedRequestSentAtSeconds = Double.NEGATIVE_INFINITY;
 
-    private double answeredAtSeconds = Double.NEGATIVE_INFINITY;
+    private double lastResponseAtSeconds = Double.NEGATIVE_INFINITY;
 
     /** The controller's own monotonic clock as of that response. */
     private double peerClockSeconds;
@@ -109,14 +109,14 @@
 
     /** A response to a request of this term arrived. Responses to older requests are ignored. */
     void onResponse(double sentAtSeconds, PeerStatus status, double nowSeconds) {
-        if (sentAtSeconds < answeredRequestSentAtSeconds) {
+        if (sentAtSeconds < lastRespondedRequestSentAtSeconds) {
             return;
         }
         double latestRenewalAtSeconds =
                 Math.max(
                         nowSeconds - status.uptimeSeconds(),
                         nowSeconds - status.sinceRenewalSeconds());
-        onHeard(sentAtSeconds, latestRenewalAtSeconds, State.SUPPORTED, nowSeconds);
+        recordResponse(sentAtSeconds, latestRenewalAtSeconds, State.SUPPORTED, nowSeconds);
         peerClockSeconds = status.clockSeconds();
         incarnation = status.incarnation();
         if (status.sequenceNumber() == sequenceNumber && status.sequenceNumber() > 0) {
@@ -127,9 +127,9 @@
 
     /** A response of a version without delegation arrived. */
     void onUnsupportedResponse(double sentAtSeconds, double nowSeconds) {
-        if (sentAtSeconds >= answeredRequestSentAtSeconds) {
+        if (sentAtSeconds >= lastRespondedRequestSentAtSeconds) {
             // An earlier process of this controller may have run a version with delegation.
-            onHeard(sentAtSeconds, nowSeconds, State.UNSUPPORTED, nowSeconds);
+            recordResponse(sentAtSeconds, nowSeconds, State.UNSUPPORTED, nowSeconds);
             latestStartAtSeconds = Double.NEGATIVE_INFINITY;
         }
     }
@@ -138,13 +138,13 @@
      * A response bounds the renewals so far: none was later than {@code latestRenewalAtSeconds},
      * nor than the delegation allowed. An earlier process ended before this one started.
      */
-    private void onHeard(
+    private void recordResponse(
             double sentAtSeconds,
             double latestRenewalAtSeconds,
             State nextState,
             double nowSeconds) {
         double boundedRenewalAtSeconds = Math.min(latestRenewalAtSeconds, expiresAtSeconds());
-        if (state == State.NOT_HEARD) {
+        if (state == State.NO_RESPONSE) {
             // The first request of this term ended what it held of an earlier one.
             latestStartAtSeconds = Double.NEGATIVE_INFINITY;
         }
@@ -157,8 +157,8 @@
             lastRenewalAtSeconds = boundedRenewalAtSeconds;
         }
         transitionTo(nextState);
-        answeredRequestSentAtSeconds = sentAtSeconds;
-        answeredAtSeconds = nowSeconds;
+        lastRespondedRequestSentAtSeconds = sentAtSeconds;
+        lastResponseAtSeconds = nowSeconds;
     }
 
     private double expiresAtSeconds() {
@@ -167,7 +167,7 @@
     }
 
     /** Whether an offer may be sent: no start of an older delegation is on record. */
-    boolean isOfferable() {
+    boolean canReceiveOffer() {
         return recordState == RecordState.ABSENT;
     }
 
@@ -186,8 +186,8 @@
         }
         // Cancellations that the leader may not have seen when the peer read its clock shorten the
         // delegation.
-        double unseenSeconds = Math.max(0, answeredAtSeconds - knownUntilSeconds);
-        offeredStartAtSeconds = answeredAtSeconds - unseenSeconds;
+        double unseenSeconds = Math.max(0, lastResponseAtSeconds - knownUntilSeconds);
+        offeredStartAtSeconds = lastResponseAtSeconds - unseenSeconds;
         offeredExclusions = ImmutableSet.copyOf(exclusions);
         latestStartAtSeconds = Math.max(latestStartAtSeconds, offeredStartAtSeconds);
         excludedMachines = Sets.intersection(excludedMachines, offeredExclusions).immutableCopy();
@@ -202,28 +202,30 @@
     /** An earlier leader put on record that the delegation started then at the latest. */
     void onRecordLoaded(double startsAtSeconds) {
         recordTransitionTo(RecordState.PRESENT);
-        if (state == State.NOT_HEARD) {
+        if (state == State.NO_RESPONSE) {
             latestStartAtSeconds = Math.min(latestStartAtSeconds, startsAtSeconds);
         }
     }
 
     /** Whether a record is to be cleared, as the controller is heard again. */
     boolean isClearDue(double nowSeconds) {
-        return recordState == RecordState.PRESENT && isHeard(nowSeconds);
+        return recordState == RecordState.PRESENT && isResponding(nowSeconds);
     }
 
     /** Whether the start of the delegation is to be put on record, as the controller is silent. */
     boolean isRecordDue(double nowSeconds, double termStartedAtSeconds) {
-        return recordState == RecordState.ABSENT && isLost(nowSeconds, termStartedAtSeconds);
+        return recordState == RecordState.ABSENT
+                && isUnresponsive(nowSeconds, termStartedAtSeconds);
     }
 
-    private boolean isHeard(double nowSeconds) {
-        return nowSeconds < answeredRequestSentAtSeconds + timing.leaderSilenceSeconds();
+    private boolean isResponding(double nowSeconds) {
+        return nowSeconds < lastRespondedRequestSentAtSeconds + timing.leaderSilenceSeconds();
     }
 
-    private boolean isLost(double nowSeconds, double termStartedAtSeconds) {
-        double silentSinceSeconds = Math.max(answeredRequestSentAtSeconds, termStartedAtSeconds);
-        return nowSeconds > silentSinceSeconds + RECORD_AFTER_SECONDS
+    private boolean isUnresponsive(double nowSeconds, double termStartedAtSeconds) {
+        double silentSinceSeconds =
+                Math.max(lastRespondedRequestSentAtSeconds, termStartedAtSeconds);
+        return nowSeconds > silentSinceSeconds + RECORD_AFTER_SILENCE_SECONDS
                 && nowSeconds < expiresAtSeconds();
     }
 
@@ -253,7 +255,7 @@
                         ? Double.NEGATIVE_INFINITY
                         : lastRenewalAtSeconds;
         double mayRenewAfterSeconds =
-                answeredRequestSentAtSeconds
+                lastRespondedRequestSentAtSeconds
                         + timing.leaderSilenceSeconds() * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT);
         if (nowSeconds < mayRenewAfterSeconds || excludedMachines.contains(machineName)) {
             return knownRenewalAtSeconds;
--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -108,10 +108,10 @@
     private double candidacyNotBeforeSeconds;
 
     /** When the leader key was seen to be gone. */
-    private double leaderGoneAtSeconds = Double.NEGATIVE_INFINITY;
+    private double leaderKeyAbsentSinceSeconds = Double.NEGATIVE_INFINITY;
 
     /** Whether {@link #leader} is what the state service, or a leader that resigned, said last. */
-    private boolean leaderKeyKnown;
+    private boolean leaderKeyLoaded;
 
     private String leader;
 
@@ -121,7 +121,7 @@
     private boolean hasEarlierTerm = true;
 
     /** What {@link #isLeader} was at the last tick. */
-    private boolean wasLeader;
+    private boolean wasLeaderAtLastTick;
 
     /**
      * @param self the name of this controller
@@ -163,7 +163,7 @@
     /** Whether this controller may act as the leader now. */
     public boolean isLeader(double nowSeconds) {
         return state == State.LEADER
-                && (nowSeconds < leaseExpiresAtSeconds || receivedGrants.hasAll(nowSeconds));
+                && (nowSeconds < leaseExpiresAtSeconds || receivedGrants.areAllValid(nowSeconds));
     }
 
     /** The only method that changes the state. */
@@ -193,9 +193,9 @@
      * @param lastTerm the newest term; 0: there was none yet
      */
     public void onLeaderKeyRead(String holder, long holderTerm, long lastTerm, double nowSeconds) {
-        leaderKeyKnown = true;
+        leaderKeyLoaded = true;
         if (holder == null && leader != null) {
-            leaderGoneAtSeconds = nowSeconds;
+            leaderKeyAbsentSinceSeconds = nowSeconds;
         }
         leader = holder;
         leaderTerm = holderTerm;
@@ -223,7 +223,7 @@
                 || requestedTerm <= newestEndedTerm) {
             return false;
         }
-        givenGrants.give(requestedTerm, nowSeconds);
+        givenGrants.recordGrant(requestedTerm, nowSeconds);
         newestTerm = requestedTerm;
         return true;
     }
@@ -247,7 +247,7 @@
         newestTerm = Math.max(newestTerm, endedTerm);
         givenGrants.onTermEnded(endedTerm);
         if (state == State.FOLLOWER) {
-            leaderKeyKnown = true;
+            leaderKeyLoaded = true;
             leader = null;
             candidacyNotBeforeSeconds =
                     Math.max(
@@ -330,7 +330,7 @@
             long endedTerm = term;
             candidacyNotBeforeSeconds = nowSeconds + RESIGNATION_COOLDOWN_SECONDS;
             leader = null;
-            leaderKeyKnown = false;
+            leaderKeyLoaded = false;
             transitionTo(State.FOLLOWER, nowSeconds);
             actions.handOverLeadership(endedTerm, heldLeaseId);
         }
@@ -347,10 +347,10 @@
     }
 
     private void tickAsFollower(double nowSeconds) {
-        if (leaderKeyKnown
+        if (leaderKeyLoaded
                 && leader == null
                 && nowSeconds >= candidacyNotBeforeSeconds
-                && mayRun(nowSeconds)) {
+                && mayBecomeCandidate(nowSeconds)) {
             transitionTo(State.CANDIDATE, nowSeconds);
         }
     }
@@ -359,9 +359,9 @@
      * A controller that replicates the leader's state goes first. The others wait only a moment, as
      * there may be no such controller, or it may be down.
      */
-    private boolean mayRun(double nowSeconds) {
+    private boolean mayBecomeCandidate(double nowSeconds) {
         return !hasEarlierTerm
-                || nowSeconds >= leaderGoneAtSeconds + LESS_PREFERRED_DELAY_SECONDS
+                || nowSeconds >= leaderKeyAbsentSinceSeconds + LESS_PREFERRED_DELAY_SECONDS
                 || actions.isReplicaCurrent();
     }
 
@@ -391,9 +391,9 @@
 
     private void logAuthorityChange(double nowSeconds) {
         boolean isLeader = isLeader(nowSeconds);
-        if (isLeader != wasLeader) {
+        if (isLeader != wasLeaderAtLastTick) {
             LOG.info("authority to act changed: term={} leader={}", term, isLeader);
-            wasLeader = isLeader;
+            wasLeaderAtLastTick = isLeader;
         }
     }
 }
--- a/src/main/java/io/kelphoist/election/GivenGrants.java
+++ b/src/main/java/io/kelphoist/election/GivenGrants.java
@@ -9,18 +9,18 @@
 final class GivenGrants {
     private final double grantSeconds;
     private long newestTerm;
-    private double givenAtSeconds;
+    private double lastGrantAtSeconds;
 
     /** When the last grant for a term older than {@link #newestTerm} was given. */
-    private double givenToOlderTermAtSeconds;
+    private double lastOlderTermGrantAtSeconds;
 
     /**
      * @param startedAtSeconds an earlier process may have given grants until then
      */
     GivenGrants(double grantSeconds, double startedAtSeconds) {
         this.grantSeconds = grantSeconds;
-        this.givenAtSeconds = startedAtSeconds;
-        this.givenToOlderTermAtSeconds = startedAtSeconds;
+        this.lastGrantAtSeconds = startedAtSeconds;
+        this.lastOlderTermGrantAtSeconds = startedAtSeconds;
     }
 
     /** The newest term that a grant was given for; 0: none. */
@@ -28,25 +28,25 @@
         return newestTerm;
     }
 
-    void give(long term, double nowSeconds) {
+    void recordGrant(long term, double nowSeconds) {
         if (term > newestTerm) {
-            givenToOlderTermAtSeconds = givenAtSeconds;
+            lastOlderTermGrantAtSeconds = lastGrantAtSeconds;
             newestTerm = term;
         }
-        givenAtSeconds = nowSeconds;
+        lastGrantAtSeconds = nowSeconds;
     }
 
     /** The leader of a term acts no more: a grant for it is void, one for an older term is not. */
     void onTermEnded(long endedTerm) {
         if (endedTerm == newestTerm) {
-            givenAtSeconds = givenToOlderTermAtSeconds;
+            lastGrantAtSeconds = lastOlderTermGrantAtSeconds;
         }
     }
 
     /** Whether the last grant has surely expired, however the clocks drift. */
     boolean haveExpired(double nowSeconds) {
         return nowSeconds
-                > givenAtSeconds
+                > lastGrantAtSeconds
                         + grantSeconds * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT)
                         + Election.SAFETY_MARGIN_SECONDS;
     }
--- a/src/main/java/io/kelphoist/election/ReceivedGrants.java
+++ b/src/main/java/io/kelphoist/election/ReceivedGrants.java
@@ -27,7 +27,7 @@
     }
 
     /** Whether the grants of all other controllers are surely valid. */
-    boolean hasAll(double nowSeconds) {
+    boolean areAllValid(double nowSeconds) {
         for (String peer : peers) {
             if (nowSeconds >= expiresAtSeconds.getOrDefault(peer, 0.0)) {
                 return false;
--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -32,42 +32,42 @@
         /** The records are being read, or verified to be current. */
         LOADING_RECORDS,
         /** Heartbeats are being requested from machines. */
-        REQUESTING_HEARTBEATS,
+        REQUESTING_STATUS,
         /** The leader may decide. */
         ACTIVE
     }
 
     /** Sends heartbeat requests; the outcome of each goes to {@link #onStatusRequestOutcome}. */
-    public interface HeartbeatRequester {
+    public interface StatusRequester {
         /**
          * Requests a heartbeat.
          *
          * @param agentEpoch the epoch of the machine's agent as far as it is known, otherwise 0
          */
-        void requestHeartbeat(Machine machine, long agentEpoch);
+        void requestStatus(Machine machine, long agentEpoch);
     }
 
     /** How far the request to one machine is. */
     private enum RequestState {
         NOT_SENT,
         IN_FLIGHT,
-        ANSWERED,
+        RESPONDED,
         FAILED
     }
 
     /** The request to one machine, with its retries. */
-    private static final class HeartbeatRequest {
+    private static final class StatusRequest {
         private RequestState state = RequestState.NOT_SENT;
         private long agentEpoch;
-        private int attempts;
+        private int sentCount;
 
         void onSent() {
             state = RequestState.IN_FLIGHT;
-            attempts++;
+            sentCount++;
         }
 
-        void onAnswered() {
-            state = RequestState.ANSWERED;
+        void onResponded() {
+            state = RequestState.RESPONDED;
         }
 
         void onFailed() {
@@ -75,25 +75,25 @@
         }
 
         /** The agent has another epoch than was named, and so did not look at the token. */
-        void onOtherEpoch(long answeredEpoch) {
+        void onEpochMismatch(long answeredEpoch) {
             agentEpoch = answeredEpoch;
             state = RequestState.NOT_SENT;
         }
 
         void onNotAttempted() {
-            attempts--;
+            sentCount--;
             state = RequestState.NOT_SENT;
         }
 
-        boolean mayRetry() {
-            return attempts < MAX_ATTEMPTS;
+        boolean canResend() {
+            return sentCount < MAX_REQUESTS_PER_MACHINE;
         }
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Failover.class);
 
     /** After so many requests with a wrong epoch the machine's regular heartbeat must do. */
-    private static final int MAX_ATTEMPTS = 3;
+    private static final int MAX_REQUESTS_PER_MACHINE = 3;
 
     private static final double HUNDREDTHS_PER_SECOND = 100.0;
 
@@ -105,14 +105,14 @@
     /** 0 if no heartbeats are requested. */
     private final int maxInFlight;
 
-    private final HeartbeatRequester heartbeatRequester;
-    private final Map<String, HeartbeatRequest> requests = new HashMap<>();
+    private final StatusRequester statusRequester;
+    private final Map<String, StatusRequest> requests = new HashMap<>();
     private final EnumMap<PromotionCheck, Double> passTimes = new EnumMap<>(PromotionCheck.class);
     private State state = State.LOADING_RECORDS;
     private int inFlight;
 
     /** The cloud or the previous leader has told which machines there are. */
-    private boolean machinesKnown;
+    private boolean machineListLoaded;
 
     /** An earlier leader has started tasks that may still run. */
     private boolean foundOutstandingStarts;
@@ -133,14 +133,14 @@
             double timeoutSeconds,
             double listLagSeconds,
             int maxInFlight,
-            HeartbeatRequester heartbeatRequester,
+            StatusRequester heartbeatRequester,
             double nowSeconds) {
         this.term = term;
         this.startedAtSeconds = nowSeconds;
         this.timeoutSeconds = timeoutSeconds;
         this.listLagSeconds = listLagSeconds;
         this.maxInFlight = maxInFlight;
-        this.heartbeatRequester = heartbeatRequester;
+        this.statusRequester = heartbeatRequester;
         markPassed(PromotionCheck.LEADERSHIP, "", nowSeconds);
     }
 
@@ -189,7 +189,7 @@
         }
         markPassed(PromotionCheck.RECORDS, "", nowSeconds);
         markPassed(PromotionCheck.ORDERS, "", nowSeconds);
-        transitionTo(State.REQUESTING_HEARTBEATS);
+        transitionTo(State.REQUESTING_STATUS);
         return true;
     }
 
@@ -198,7 +198,7 @@
      * not to scale out again.
      */
     public void onReplicaApplied(double nowSeconds) {
-        machinesKnown = true;
+        machineListLoaded = true;
         warmStandby = true;
         markPassed(PromotionCheck.LIST, " source=replica", nowSeconds);
     }
@@ -206,7 +206,7 @@
     /** The cloud has listed its machines, with their addresses. */
     @Override
     public void onInstancesListed(double nowSeconds) {
-        machinesKnown = true;
+        machineListLoaded = true;
     }
 
     @Override
@@ -222,7 +222,7 @@
     public boolean mayScaleOut(double nowSeconds) {
         boolean hasPredecessor = state != State.ACTIVE || foundOutstandingStarts;
         double waitSeconds =
-                machinesKnown ? Math.min(listLagSeconds, timeoutSeconds) : timeoutSeconds;
+                machineListLoaded ? Math.min(listLagSeconds, timeoutSeconds) : timeoutSeconds;
         if (!hasPredecessor || nowSeconds >= startedAtSeconds + waitSeconds) {
             markPassed(PromotionCheck.LIST, "", nowSeconds);
         }
@@ -231,7 +231,7 @@
 
     /** Sends the requests that are due, and finds out whether the leader may decide. */
     public void advance(Collection<Machine> machines, double nowSeconds) {
-        if (state != State.REQUESTING_HEARTBEATS) {
+        if (state != State.REQUESTING_STATUS) {
             return;
         }
         List<Machine> dueMachines = new ArrayList<>();
@@ -241,8 +241,8 @@
                 continue;
             }
             foundOutstandingStarts |= machine.hasAttempts();
-            HeartbeatRequest request =
-                    requests.computeIfAbsent(machine.name(), name -> new HeartbeatRequest());
+            StatusRequest request =
+                    requests.computeIfAbsent(machine.name(), name -> new StatusRequest());
             if (request.state == RequestState.NOT_SENT && machine.address() != null) {
                 dueMachines.add(machine);
             }
@@ -251,7 +251,7 @@
             }
         }
         sendRequests(dueMachines);
-        if (isSettled(pendingCount) || nowSeconds >= startedAtSeconds + timeoutSeconds) {
+        if (areRequestsComplete(pendingCount) || nowSeconds >= startedAtSeconds + timeoutSeconds) {
             complete(machines, nowSeconds);
         }
     }
@@ -260,8 +260,9 @@
      * Whether a machine may still answer. One that is recorded but whose address is unknown even to
      * the cloud cannot be asked.
      */
-    private boolean isPending(Machine machine, HeartbeatRequest request) {
-        boolean mayBeAsked = machine.address() != null || (machine.hasAttempts() && !machinesKnown);
+    private boolean isPending(Machine machine, StatusRequest request) {
+        boolean mayBeAsked =
+                machine.address() != null || (machine.hasAttempts() && !machineListLoaded);
         return request.state != RequestState.FAILED && mayBeAsked;
     }
 
@@ -271,18 +272,18 @@
             if (inFlight >= maxInFlight) {
                 return;
             }
-            HeartbeatRequest request = requests.get(machine.name());
+            StatusRequest request = requests.get(machine.name());
             inFlight++;
             request.onSent();
-            heartbeatRequester.requestHeartbeat(
+            statusRequester.requestStatus(
                     machine, Math.max(request.agentEpoch, machine.agentEpochHint()));
         }
     }
 
-    private boolean isSettled(int pendingCount) {
+    private boolean areRequestsComplete(int pendingCount) {
         boolean requestsEnabled = maxInFlight > 0;
         if (foundOutstandingStarts) {
-            return requestsEnabled && machinesKnown && pendingCount == 0;
+            return requestsEnabled && machineListLoaded && pendingCount == 0;
         }
         return !requestsEnabled || pendingCount == 0;
     }
@@ -327,16 +328,16 @@
      */
     public void onStatusRequestOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
-        HeartbeatRequest request = requests.get(machineName);
+        StatusRequest request = requests.get(machineName);
         if (request == null || request.state != RequestState.IN_FLIGHT) {
             return;
         }
         inFlight--;
         boolean isAnswer = heartbeat != null && heartbeat.machineName().equals(machineName);
         if (isAnswer && heartbeat.fencingToken() >= term) {
-            request.onAnswered();
-        } else if (isAnswer && request.mayRetry()) {
-            request.onOtherEpoch(heartbeat.agentEpoch());
+            request.onResponded();
+        } else if (isAnswer && request.canResend()) {
+            request.onEpochMismatch(heartbeat.agentEpoch());
         } else if (outcome == DeliveryOutcome.NOT_ATTEMPTED) {
             request.onNotAttempted();
         } else {
--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -22,18 +22,18 @@
     /** The state store refuses the leader, whose key has not expired yet. */
     private static DelegationSimulation withLeaderRefused() {
         DelegationSimulation simulation = new DelegationSimulation(false, true);
-        simulation.pass(10);
-        simulation.setLeaderRefused(true);
-        simulation.pass(1);
+        simulation.advance(10);
+        simulation.setLeaderRefusedByStore(true);
+        simulation.advance(1);
         return simulation;
     }
 
     private static void passOutage(DelegationSimulation simulation) {
         simulation.setStoreDown(true);
-        simulation.pass(LONG_OUTAGE_SECONDS);
+        simulation.advance(LONG_OUTAGE_SECONDS);
         simulation.setStoreDown(false);
-        simulation.setLeaderRefused(false);
-        simulation.pass(30);
+        simulation.setLeaderRefusedByStore(false);
+        simulation.advance(30);
     }
 
     /** The other's statement reaches the leader: the task is stopped, and no lease expires. */
@@ -42,7 +42,7 @@
         DelegationSimulation simulation = withLeaderRefused();
         simulation.cancel(2, true);
         passOutage(simulation);
-        assertEquals(1, simulation.acknowledgementsUnseenByLeader());
+        assertEquals(1, simulation.acknowledgementsUnknownToLeader());
         assertEquals(0, simulation.withheldRenewals());
         assertEquals(0, simulation.expiredLeases());
         assertFalse(simulation.isTaskRunning());
@@ -57,17 +57,17 @@
         for (double after : new double[] {-0.5, -0.25, 0, 0.25, 0.5, 0.75}) {
             for (int controller = 0; controller < 3; controller++) {
                 DelegationSimulation simulation = new DelegationSimulation(false, true);
-                simulation.pass(10);
+                simulation.advance(10);
                 if (after < 0) {
                     simulation.cancel(controller, true);
-                    simulation.pass(-after);
+                    simulation.advance(-after);
                 }
-                simulation.setLeaderRefused(true);
+                simulation.setLeaderRefusedByStore(true);
                 if (after >= 0) {
-                    simulation.pass(after);
+                    simulation.advance(after);
                     simulation.cancel(controller, true);
                 }
-                simulation.pass(1 - Math.max(0, after));
+                simulation.advance(1 - Math.max(0, after));
                 passOutage(simulation);
                 assertEquals(
                         0,
@@ -99,10 +99,10 @@
         DelegationSimulation simulation = withLeaderRefused();
         simulation.cancel(2, false);
         simulation.setStoreDown(true);
-        simulation.pass(30);
+        simulation.advance(30);
         simulation.query(2);
-        simulation.pass(LONG_OUTAGE_SECONDS);
-        assertEquals(1, simulation.acknowledgementsUnseenByLeader());
+        simulation.advance(LONG_OUTAGE_SECONDS);
+        assertEquals(1, simulation.acknowledgementsUnknownToLeader());
         assertFalse(simulation.isTaskRunning());
         assertEquals(0, simulation.withheldRenewals());
     }
@@ -133,9 +133,9 @@
         simulation.cancel(2, true);
         simulation.setOneWayBlocked(2, 0, true);
         simulation.setStoreDown(true);
-        simulation.pass(40);
+        simulation.advance(40);
         simulation.setOneWayBlocked(2, 0, false);
-        simulation.pass(30);
+        simulation.advance(30);
         assertTrue(
                 simulation.expiredLeases() > 0 || !simulation.isTaskRunning(),
                 "the lease expired or the task stopped");
@@ -174,14 +174,14 @@
         simulation.cancel(2, true);
         simulation.crash(2, 0.1);
         simulation.setStoreDown(true);
-        simulation.pass(15);
+        simulation.advance(15);
         simulation.setStoreDown(false);
         for (int i = 0; i < 20; i++) {
-            simulation.pass(0.5);
+            simulation.advance(0.5);
             simulation.failOver(1);
         }
         simulation.setStoreDown(true);
-        simulation.pass(LONG_OUTAGE_SECONDS);
+        simulation.advance(LONG_OUTAGE_SECONDS);
         assertEquals(2, simulation.term());
         assertFalse(simulation.isTaskRunning());
     }
@@ -193,9 +193,9 @@
     @Test
     void noLeaseExpiresInALongOutage() {
         DelegationSimulation simulation = new DelegationSimulation(true, true);
-        simulation.pass(10);
+        simulation.advance(10);
         simulation.setStoreDown(true);
-        simulation.pass(300);
+        simulation.advance(300);
         assertEquals(0, simulation.withheldRenewals());
         assertEquals(0, simulation.expiredLeases());
         assertTrue(simulation.isTaskRunning(), "the task still runs");
--- a/src/test/java/io/kelphoist/delegation/DelegationController.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationController.java
@@ -21,7 +21,7 @@
     private boolean workerResponsesBlocked;
 
     /** It has read that the job is cancelled, and can say so without the state store. */
-    private boolean knowsCancellation;
+    private boolean hasReceivedCancellation;
 
     DelegationController(
             int index,
@@ -46,7 +46,7 @@
         up = true;
         delegation = new HeldDelegation(timing, zone, incarnation);
         confirmed = new ConfirmedCancellations(incarnation, clock());
-        knowsCancellation = false;
+        hasReceivedCancellation = false;
         lastGrantAtSeconds = network.nowSeconds();
     }
 
@@ -116,12 +116,12 @@
         return lastGrantAtSeconds;
     }
 
-    void noteCancellation() {
-        knowsCancellation = true;
+    void onCancellationReceived() {
+        hasReceivedCancellation = true;
     }
 
-    boolean knowsCancellation() {
-        return knowsCancellation;
+    boolean hasReceivedCancellation() {
+        return hasReceivedCancellation;
     }
 
     // ---- faults ----
--- a/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
@@ -40,9 +40,9 @@
     private double acknowledgedAtSeconds = Double.POSITIVE_INFINITY;
 
     private int delegatedRenewals;
-    private int countedLosses;
+    private int assumedLeaseExpirations;
     private int withheldRenewals;
-    private int acknowledgementsUnseenByLeader;
+    private int acknowledgementsUnknownToLeader;
     private int expiredLeases;
 
     DelegationSimulation(boolean leaderInWorkersZone, boolean clocksDrift) {
@@ -124,11 +124,11 @@
         store.setDown(down);
     }
 
-    void setRefused(int controller, boolean refused) {
+    void setRefusedByStore(int controller, boolean refused) {
         controllers.get(controller).setRefusedByStore(refused);
     }
 
-    void setLeaderRefused(boolean refused) {
+    void setLeaderRefusedByStore(boolean refused) {
         term.leader().setRefusedByStore(refused);
     }
 
@@ -143,7 +143,7 @@
         DelegationController frontEnd = controllers.get(controller);
         if (frontEnd.isUp() && store.isReachableBy(frontEnd)) {
             store.putCancellation();
-            frontEnd.noteCancellation();
+            frontEnd.onCancellationReceived();
             if (answered) {
                 acknowledge(frontEnd);
             }
@@ -154,9 +154,9 @@
     void query(int controller) {
         DelegationController frontEnd = controllers.get(controller);
         if (frontEnd.isUp() && store.isReachableBy(frontEnd) && store.isCancelled()) {
-            frontEnd.noteCancellation();
+            frontEnd.onCancellationReceived();
         }
-        if (frontEnd.isUp() && frontEnd.knowsCancellation()) {
+        if (frontEnd.isUp() && frontEnd.hasReceivedCancellation()) {
             acknowledge(frontEnd);
         }
     }
@@ -166,12 +166,12 @@
         boolean isLeader = frontEnd == term.leader();
         if (!isAcknowledged()) {
             if (!isLeader && !store.isReachableBy(term.leader())) {
-                acknowledgementsUnseenByLeader++;
+                acknowledgementsUnknownToLeader++;
             }
             acknowledgedAtSeconds = network.nowSeconds();
         }
         if (isLeader) {
-            term.noteCancellation();
+            term.onCancellationReceived();
         }
     }
 
@@ -186,13 +186,13 @@
     // ---- time ----
 
     /** Time passes. */
-    void pass(double seconds) {
+    void advance(double seconds) {
         double end = network.nowSeconds() + seconds;
         while (network.nowSeconds() < end) {
             network.advance(STEP_SECONDS);
             network.runDueEvents();
             step();
-            check();
+            checkRules();
         }
     }
 
@@ -223,8 +223,8 @@
             }
             boolean isAnswered =
                     (controller == term.leader() && term.mayAct())
-                            ? isAnsweredByLeader(controller)
-                            : isAnsweredByDelegate(controller);
+                            ? sendToLeader(controller)
+                            : sendToDelegate(controller);
             if (isAnswered) {
                 return;
             }
@@ -232,8 +232,8 @@
     }
 
     /** A renewal whose response is lost counts for the leader, and the worker tries the next. */
-    private boolean isAnsweredByLeader(DelegationController leader) {
-        if (!timing.allowsRenewal(term.knownUntilSeconds(), leader.clock())) {
+    private boolean sendToLeader(DelegationController leader) {
+        if (!timing.allowsRenewal(term.watermarkSeconds(), leader.clock())) {
             withheldRenewals++;
             return false;
         }
@@ -241,12 +241,13 @@
         if (leader.areWorkerResponsesBlocked()) {
             return false;
         }
-        worker.onLeaderResponse(term.number(), !term.knowsCancellation(), network.nowSeconds());
+        worker.onLeaderResponse(
+                term.number(), !term.hasReceivedCancellation(), network.nowSeconds());
         term.onResponseReceived();
         return true;
     }
 
-    private boolean isAnsweredByDelegate(DelegationController controller) {
+    private boolean sendToDelegate(DelegationController controller) {
         double now = network.nowSeconds();
         HeldDelegation delegation = controller.delegation();
         if (!worker.hasLease(now)
@@ -271,10 +272,10 @@
 
     // ---- rules ----
 
-    private void check() {
+    private void checkRules() {
         double now = network.nowSeconds();
-        if (term.countsWorkerAsLost()) {
-            countedLosses++;
+        if (term.assumesLeaseExpired()) {
+            assumedLeaseExpirations++;
             if (worker.hasLease(now)) {
                 throw new AssertionError(
                         "worker is counted as lost before its lease expires: at="
@@ -318,8 +319,8 @@
     }
 
     /** Leases that a leader counted as expired. */
-    int countedLosses() {
-        return countedLosses;
+    int assumedLeaseExpirations() {
+        return assumedLeaseExpirations;
     }
 
     /** Heartbeats that the leader did not answer as it may not know all cancellations. */
@@ -328,8 +329,8 @@
     }
 
     /** First acknowledgements by another controller while the leader could not read them. */
-    int acknowledgementsUnseenByLeader() {
-        return acknowledgementsUnseenByLeader;
+    int acknowledgementsUnknownToLeader() {
+        return acknowledgementsUnknownToLeader;
     }
 
     /** Leases that expired while the task ran. */
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -29,7 +29,7 @@
             1.25 * DelegationSimulation.HEARTBEAT_INTERVAL_SECONDS;
 
     /** As the leader counts a lease, see {@code LeaseMonitor}. */
-    private static final double COUNTED_LEASE_SECONDS =
+    private static final double ASSUMED_LEASE_SECONDS =
             DelegationSimulation.LEASE_SECONDS * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT) + 0.25;
 
     private final long number;
@@ -49,8 +49,8 @@
 
     private double leaseExpiresAtSeconds;
     private double lastRenewalAtSeconds;
-    private boolean knowsCancellation;
-    private boolean workerCountedAsLost;
+    private boolean hasReceivedCancellation;
+    private boolean leaseAssumedExpired;
 
     /** What a term works with. */
     record Environment(
@@ -98,7 +98,7 @@
         watermark = new CancellationWatermark(zonesByPeer.keySet());
         watermark.onJobsRead(clock);
         leader.confirmed().onTermObserved(number);
-        knowsCancellation = store.isCancelled();
+        hasReceivedCancellation = store.isCancelled();
         leaseExpiresAtSeconds = network.nowSeconds() + KEY_SECONDS;
     }
 
@@ -141,7 +141,7 @@
         keySecondsLeft = KEY_SECONDS;
         leaseExpiresAtSeconds = network.nowSeconds() + KEY_SECONDS;
         if (!readsAreStale) {
-            knowsCancellation |= store.isCancelled();
+            hasReceivedCancellation |= store.isCancelled();
             watermark.onJobsRead(leader.clock());
         }
     }
@@ -150,13 +150,13 @@
 
     void offerToSelf() {
         delegations
-                .offerToSelf(excludedMachines(), knownUntilSeconds(), leader.clock())
+                .offerToSelf(excludedMachines(), watermarkSeconds(), leader.clock())
                 .ifPresent(offer -> leader.delegation().onOwnOffer(offer, leader.clock()));
     }
 
     /** A machine is not delegated if its job is cancelled, or if it has long been silent. */
     private Set<String> excludedMachines() {
-        boolean isCancelled = worker.isTaskRunning() && knowsCancellation;
+        boolean isCancelled = worker.isTaskRunning() && hasReceivedCancellation;
         boolean isSilent =
                 leader.clock()
                         > lastRenewalAtSeconds + HEARTBEAT_ROUND_SECONDS + SILENCE_MARGIN_SECONDS;
@@ -198,7 +198,7 @@
                         ? delegations.offerTo(
                                 peer.name(),
                                 ImmutableSet.copyOf(excludedMachines()),
-                                knownUntilSeconds())
+                                watermarkSeconds())
                         : Optional.empty();
         network.send(
                 leader,
@@ -249,7 +249,7 @@
         delegations.onResponse(name, sentAtClock, response.status(), leader.clock());
         if (response.statement().isPresent()) {
             ConfirmedCancellations.Statement statement = response.statement().get();
-            knowsCancellation |= statement.jobIds().contains(DelegationSimulation.JOB);
+            hasReceivedCancellation |= statement.jobIds().contains(DelegationSimulation.JOB);
             watermark.onStatement(name, statement, sentAtClock, leader.clock());
         }
         if (response.granted()) {
@@ -260,16 +260,16 @@
     // ---- cancellations and leases ----
 
     /** Up to when the leader knows all confirmed cancellations, by its clock. */
-    double knownUntilSeconds() {
+    double watermarkSeconds() {
         return watermark.watermarkSeconds(leader.clock());
     }
 
-    void noteCancellation() {
-        knowsCancellation = true;
+    void onCancellationReceived() {
+        hasReceivedCancellation = true;
     }
 
-    boolean knowsCancellation() {
-        return knowsCancellation;
+    boolean hasReceivedCancellation() {
+        return hasReceivedCancellation;
     }
 
     void onRenewed() {
@@ -277,7 +277,7 @@
     }
 
     void onResponseReceived() {
-        workerCountedAsLost = false;
+        leaseAssumedExpired = false;
     }
 
     void onLocalDelegatedRenewal() {
@@ -285,18 +285,18 @@
     }
 
     /** Returns true once the leader counts the worker's lease as expired. */
-    boolean countsWorkerAsLost() {
-        if (!mayAct() || workerCountedAsLost) {
+    boolean assumesLeaseExpired() {
+        if (!mayAct() || leaseAssumedExpired) {
             return false;
         }
         double clock = leader.clock();
         boolean isLost =
-                clock >= lastRenewalAtSeconds + COUNTED_LEASE_SECONDS
+                clock >= lastRenewalAtSeconds + ASSUMED_LEASE_SECONDS
                         && clock
                                 >= delegations.latestRenewalAtSeconds(
                                                 DelegatedWorker.NAME, DelegatedWorker.ZONE, clock)
-                                        + COUNTED_LEASE_SECONDS;
-        workerCountedAsLost = isLost;
+                                        + ASSUMED_LEASE_SECONDS;
+        leaseAssumedExpired = isLost;
         return isLost;
     }
 }
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -22,12 +22,12 @@
  */
 class LeaseDelegationTest {
     private static int withheldRenewals;
-    private static int acknowledgementsUnseenByLeader;
+    private static int acknowledgementsUnknownToLeader;
     private static int delegatedRenewals;
-    private static int countedLosses;
+    private static int assumedLeaseExpirations;
 
     /** A number's rest modulo 10 selects the kind of event, its quotients the arguments. */
-    private static void play(DelegationSimulation simulation, int step) {
+    private static void applyStep(DelegationSimulation simulation, int step) {
         int controller = step / 20 % 3;
         boolean enabled = step / 60 % 2 == 0;
         int variant = step / 120;
@@ -36,15 +36,15 @@
             case 2, 3 -> simulation.setWorkerBlocked(controller, enabled);
             case 4 -> simulation.crash(controller, variant % 2 == 0 ? 0.1 : 5);
             case 5 -> simulation.failOver(controller);
-            case 6 -> playUserRequest(simulation, controller, variant);
+            case 6 -> applyUserRequest(simulation, controller, variant);
             case 7 -> setWorkersZoneCutOff(simulation, enabled);
-            case 8 -> playStoreFault(simulation, controller, variant, enabled);
-            default -> playOneWayFault(simulation, controller, variant, enabled);
+            case 8 -> applyStoreFault(simulation, controller, variant, enabled);
+            default -> applyOneWayFault(simulation, controller, variant, enabled);
         }
-        simulation.pass(0.25 + variant);
+        simulation.advance(0.25 + variant);
     }
 
-    private static void playUserRequest(
+    private static void applyUserRequest(
             DelegationSimulation simulation, int controller, int variant) {
         if (variant % 3 == 0) {
             simulation.query(controller);
@@ -59,20 +59,20 @@
             simulation.setLinkBlocked(1, outside, cutOff);
             simulation.setWorkerBlocked(outside, cutOff);
         }
-        simulation.setRefused(1, cutOff);
+        simulation.setRefusedByStore(1, cutOff);
     }
 
-    private static void playStoreFault(
+    private static void applyStoreFault(
             DelegationSimulation simulation, int controller, int variant, boolean enabled) {
         switch (variant % 5) {
             case 0 -> simulation.makeReadsStale();
-            case 1 -> simulation.setRefused(controller, enabled);
-            case 2 -> simulation.setLeaderRefused(enabled);
+            case 1 -> simulation.setRefusedByStore(controller, enabled);
+            case 2 -> simulation.setLeaderRefusedByStore(enabled);
             default -> simulation.setStoreDown(enabled);
         }
     }
 
-    private static void playOneWayFault(
+    private static void applyOneWayFault(
             DelegationSimulation simulation, int controller, int variant, boolean enabled) {
         if (variant % 2 == 0) {
             simulation.setOneWayBlocked(
@@ -91,13 +91,13 @@
             @ForAll boolean clocksDrift) {
         DelegationSimulation simulation =
                 new DelegationSimulation(leaderInWorkersZone, clocksDrift);
-        simulation.pass(6);
-        steps.forEach(step -> play(simulation, step));
-        simulation.pass(60);
+        simulation.advance(6);
+        steps.forEach(step -> applyStep(simulation, step));
+        simulation.advance(60);
         withheldRenewals += simulation.withheldRenewals();
-        acknowledgementsUnseenByLeader += simulation.acknowledgementsUnseenByLeader();
+        acknowledgementsUnknownToLeader += simulation.acknowledgementsUnknownToLeader();
         delegatedRenewals += simulation.delegatedRenewals();
-        countedLosses += simulation.countedLosses();
+        assumedLeaseExpirations += simulation.assumedLeaseExpirations();
     }
 
     /**
@@ -108,10 +108,12 @@
     static void faultsAndTheirEffectsOccurred() {
         assertTrue(withheldRenewals > 100, withheldRenewals + " renewals withheld");
         assertTrue(
-                acknowledgementsUnseenByLeader > 200,
-                acknowledgementsUnseenByLeader + " acknowledgements unseen by the leader");
+                acknowledgementsUnknownToLeader > 200,
+                acknowledgementsUnknownToLeader + " acknowledgements unseen by the leader");
         assertTrue(delegatedRenewals > 500, delegatedRenewals + " delegated renewals");
-        assertTrue(countedLosses > 500, countedLosses + " workers counted as lost");
+        assertTrue(
+                assumedLeaseExpirations > 500,
+                assumedLeaseExpirations + " workers counted as lost");
     }
 
     /**
@@ -119,22 +121,22 @@
      * worker were ever counted as lost.
      */
     @Test
-    void aPartitionedZoneIsRenewedByDelegationAndThenLost() {
+    void leasesInAPartitionedZoneAreRenewedByDelegationAndThenExpire() {
         DelegationSimulation simulation = new DelegationSimulation(false, false);
-        simulation.pass(10);
+        simulation.advance(10);
         for (int outside : new int[] {0, 2}) {
             simulation.setLinkBlocked(1, outside, true);
             simulation.setWorkerBlocked(outside, true);
         }
-        simulation.pass(25);
+        simulation.advance(25);
         assertTrue(simulation.delegatedRenewals() >= 4, simulation.delegatedRenewals() + " times");
-        assertEquals(0, simulation.countedLosses());
-        simulation.pass(25);
-        assertEquals(1, simulation.countedLosses());
+        assertEquals(0, simulation.assumedLeaseExpirations());
+        simulation.advance(25);
+        assertEquals(1, simulation.assumedLeaseExpirations());
     }
 
     @Test
-    void isDisabledWhereCancellationsLeaveNoTime() {
+    void isDisabledWhereCancellationTimeoutIsTooShort() {
         assertFalse(DelegationTiming.of(22, 22).isEnabled());
         assertFalse(DelegationTiming.of(24, 22).isEnabled());
         assertTrue(DelegationTiming.of(47, 22).delegationSeconds() + 22 < 47);
@@ -183,7 +185,7 @@
      * received.
      */
     @Test
-    void coversOnlyWhileTheLeaderIsSilent() {
+    void allowsRenewalOnlyWhileTheLeaderIsSilent() {
         HeldDelegation delegation = new HeldDelegation(DelegationTiming.of(47, 22), "b", 7);
         delegation.onLeaderMessage(3, 100);
         delegation.onOffer(new DelegationOffer(3, 6, 1, 99.5, ImmutableSet.of()), 100);
@@ -207,7 +209,7 @@
 
     /** A second failover in the same partition does not count from its own start. */
     @Test
-    void theNextLeaderKnowsSinceWhenAPeerIsSilent() {
+    void theNextLeaderLoadsTheStartOfASilentPeersDelegation() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
         LeaseDelegations first =
                 new LeaseDelegations(timing, true, 3, members(Map.of("p", "b")), 100);
@@ -236,7 +238,7 @@
 
     /** For machines that were silent before contact was lost, only own responses count. */
     @Test
-    void silentMachinesAreNotDelegated() {
+    void leasesOfSilentMachinesAreNotDelegated() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
         LeaseDelegations delegations =
                 new LeaseDelegations(timing, true, 3, members(Map.of("p", "b")), 100);
--- a/src/test/java/io/kelphoist/election/ElectionCounters.java
+++ b/src/test/java/io/kelphoist/election/ElectionCounters.java
@@ -9,11 +9,11 @@
         TERMS,
         HANDOVERS,
         /** Leadership was acquired by a transaction that was carried out late. */
-        LATE_ACQUISITIONS,
+        DELAYED_ACQUISITIONS,
         /** Leadership was acquired by a transaction whose response was lost. */
-        UNSEEN_ACQUISITIONS,
+        ACQUISITIONS_WITHOUT_RESPONSE,
         /** Steps in which a controller led by grants alone, without the leader key. */
-        STEPS_BY_GRANTS
+        STEPS_LED_BY_GRANTS_ALONE
     }
 
     ElectionCounters() {
--- a/src/test/java/io/kelphoist/election/ElectionSimulation.java
+++ b/src/test/java/io/kelphoist/election/ElectionSimulation.java
@@ -30,8 +30,8 @@
 
     private static final double STEP_SECONDS = 0.05;
     private static final double CLOCK_OFFSET_SPACING_SECONDS = 1000;
-    private static final int READS_ONE_OF = 40;
-    private static final double SETTLE_SECONDS = 40;
+    private static final int MEAN_STEPS_PER_KEY_READ = 40;
+    private static final double CONVERGENCE_SECONDS = 40;
 
     private final SimulatedTimeline timeline = new SimulatedTimeline();
     private final Random random;
@@ -98,20 +98,20 @@
         store.setDown(down);
     }
 
-    void setRefused(int controller, boolean refused) {
+    void setRefusedByStore(int controller, boolean refused) {
         controllers.get(controller).setRefusedByStore(refused);
     }
 
     /** The state store refuses whichever controller is in the leader's state. */
-    public void refuseLeader() {
+    public void setLeaderRefusedByStore() {
         controllers.stream()
                 .filter(controller -> controller.election().state() == Election.State.LEADER)
                 .forEach(controller -> controller.setRefusedByStore(true));
     }
 
     /** Of ten transactions, how many get no response and are carried out late. */
-    void setLateTransactions(int ofTen) {
-        store.setLateTransactions(ofTen);
+    void setDelayedTransactions(int ofTen) {
+        store.setDelayedTransactions(ofTen);
     }
 
     /** Of ten requests to the state store, how many are carried out without a response. */
@@ -134,21 +134,21 @@
     /** All faults end now. */
     public void endFaults() {
         for (int from = 0; from < NAMES.size(); from++) {
-            setRefused(from, false);
+            setRefusedByStore(from, false);
             freeze(from, 0);
             for (int to = 0; to < NAMES.size(); to++) {
                 setLinkBlocked(from, to, false);
             }
         }
-        setLateTransactions(0);
+        setDelayedTransactions(0);
         setLostResponses(0);
         setStoreDown(false);
     }
 
     /** All faults end: soon a controller leads. */
-    void settle() {
+    void endFaultsAndCheckLeader() {
         endFaults();
-        pass(SETTLE_SECONDS);
+        advance(CONVERGENCE_SECONDS);
         if (leader().isEmpty()) {
             throw new AssertionError("no leader at the end: " + this);
         }
@@ -157,7 +157,7 @@
     // ---- time ----
 
     /** Time passes. */
-    public void pass(double seconds) {
+    public void advance(double seconds) {
         for (double end = timeline.nowSeconds() + seconds; timeline.nowSeconds() < end; ) {
             step();
         }
@@ -170,7 +170,7 @@
         for (SimulatedController controller : controllers) {
             if (controller.isRunning()) {
                 controller.election().tick(controller.clock());
-                if (random.nextInt(READS_ONE_OF) == 0) {
+                if (random.nextInt(MEAN_STEPS_PER_KEY_READ) == 0) {
                     controller.readKeys();
                 }
             }
@@ -182,7 +182,7 @@
             recordLeaderless();
         } else {
             leaderlessSinceSeconds = Double.NaN;
-            countStepByGrants(leading.get(0));
+            countStepLedByGrantsAlone(leading.get(0));
         }
     }
 
@@ -203,9 +203,9 @@
         }
     }
 
-    private void countStepByGrants(SimulatedController leader) {
+    private void countStepLedByGrantsAlone(SimulatedController leader) {
         if (store.isDown() || !store.read().isHeldBy(leader.name())) {
-            counters.increment(Counter.STEPS_BY_GRANTS);
+            counters.increment(Counter.STEPS_LED_BY_GRANTS_ALONE);
         }
     }
 
@@ -221,7 +221,7 @@
         return controller.isLeading() && controller.election().term() == term;
     }
 
-    public boolean isRefused(String name) {
+    public boolean isRefusedByStore(String name) {
         return controller(name).isRefusedByStore();
     }
 
--- a/src/test/java/io/kelphoist/election/ElectionTest.java
+++ b/src/test/java/io/kelphoist/election/ElectionTest.java
@@ -17,7 +17,7 @@
     private static final ElectionCounters COUNTERS = new ElectionCounters();
 
     /** A number's rest modulo 21 selects the kind of event, its quotients the arguments. */
-    private static void play(ElectionSimulation simulation, int step) {
+    private static void applyStep(ElectionSimulation simulation, int step) {
         int controller = step / 20 % 3;
         int argument = step / 60;
         boolean enabled = argument % 2 == 0;
@@ -29,14 +29,14 @@
             case 9 -> crashAll(simulation, controller);
             case 10, 11 -> simulation.freeze(controller, argument % 10);
             case 12, 13 -> simulation.setStoreDown(enabled);
-            case 14 -> simulation.setRefused(controller, enabled);
-            case 15 -> simulation.refuseLeader();
-            case 16 -> simulation.setLateTransactions(argument % 8);
+            case 14 -> simulation.setRefusedByStore(controller, enabled);
+            case 15 -> simulation.setLeaderRefusedByStore();
+            case 16 -> simulation.setDelayedTransactions(argument % 8);
             case 17, 18 -> simulation.resign(controller);
             case 20 -> simulation.setLostResponses(argument % 8);
             default -> {}
         }
-        simulation.pass(0.1 + argument % 12 / 3.0);
+        simulation.advance(0.1 + argument % 12 / 3.0);
     }
 
     private static void setIsolated(
@@ -45,7 +45,7 @@
             simulation.setLinkBlocked(controller, (controller + other) % 3, isolated);
             simulation.setLinkBlocked((controller + other) % 3, controller, isolated);
         }
-        simulation.setRefused(controller, isolated);
+        simulation.setRefusedByStore(controller, isolated);
     }
 
     private static void crashAll(ElectionSimulation simulation, int firstRestarted) {
@@ -59,9 +59,9 @@
             @ForAll long seed,
             @ForAll @Size(min = 5, max = 60) List<@IntRange(min = 0, max = 1199) Integer> steps) {
         ElectionSimulation simulation = new ElectionSimulation(seed);
-        simulation.pass(8);
-        steps.forEach(step -> play(simulation, step));
-        simulation.settle();
+        simulation.advance(8);
+        steps.forEach(step -> applyStep(simulation, step));
+        simulation.endFaultsAndCheckLeader();
         COUNTERS.addAll(simulation.counters());
     }
 
@@ -72,20 +72,20 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void anUnseenAcquisitionDoesNotBlockElections(long seed) {
+    void anAcquisitionWithoutResponseDoesNotBlockElections(long seed) {
         ElectionSimulation simulation = new ElectionSimulation(seed);
-        simulation.pass(8);
+        simulation.advance(8);
         simulation.setLostResponses(5);
         for (int i = 0; i < 30; i++) {
             simulation.crash(i % 3, 0.3);
-            simulation.pass(13);
+            simulation.advance(13);
         }
-        int unseen = simulation.count(Counter.UNSEEN_ACQUISITIONS);
+        int unseen = simulation.count(Counter.ACQUISITIONS_WITHOUT_RESPONSE);
         double leaderless = simulation.longestLeaderlessSeconds();
         assertTrue(
                 unseen > 5 && leaderless < 13,
                 unseen + " unseen acquisitions, without a leader for " + leaderless + " s");
-        simulation.settle();
+        simulation.endFaultsAndCheckLeader();
     }
 
     /**
@@ -96,7 +96,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void aLeaderIsElectedAfterEachChange(long seed) {
         ElectionSimulation simulation = new ElectionSimulation(seed);
-        simulation.pass(8);
+        simulation.advance(8);
         int before = simulation.count(Counter.TERMS);
         for (int i = 0; i < 24; i++) {
             if (i % 3 == 0) {
@@ -105,11 +105,11 @@
                 simulation.resignLeader();
             }
             simulation.setStoreDown(i % 8 == 5);
-            simulation.pass(5);
+            simulation.advance(5);
         }
         int terms = simulation.count(Counter.TERMS) - before;
         assertTrue(terms >= 12, terms + " terms");
-        simulation.settle();
+        simulation.endFaultsAndCheckLeader();
     }
 
     /**
@@ -118,10 +118,10 @@
      */
     @AfterContainer
     static void faultsAndTheirEffectsOccurred() {
-        COUNTERS.assertMoreThan(100, Counter.UNSEEN_ACQUISITIONS);
+        COUNTERS.assertMoreThan(100, Counter.ACQUISITIONS_WITHOUT_RESPONSE);
         COUNTERS.assertMoreThan(5_000, Counter.TERMS);
         COUNTERS.assertMoreThan(1_000, Counter.HANDOVERS);
-        COUNTERS.assertMoreThan(30, Counter.LATE_ACQUISITIONS);
-        COUNTERS.assertMoreThan(20_000, Counter.STEPS_BY_GRANTS);
+        COUNTERS.assertMoreThan(30, Counter.DELAYED_ACQUISITIONS);
+        COUNTERS.assertMoreThan(20_000, Counter.STEPS_LED_BY_GRANTS_ALONE);
     }
 }
--- a/src/test/java/io/kelphoist/election/SimulatedController.java
+++ b/src/test/java/io/kelphoist/election/SimulatedController.java
@@ -228,16 +228,26 @@
         long term = keys.lastTerm() + 1;
         Supplier<Long> transaction =
                 () -> store.acquire(name, leaseId, keys.lastTerm(), keys.termVersion());
-        if (isStoreReachable() && store.drawLateTransaction()) {
+        if (isStoreReachable() && store.drawDelayedTransaction()) {
             timeline.schedule(
                     random.nextInt(120) / 10.0,
-                    () -> count(Counter.LATE_ACQUISITIONS, !store.isDown(), transaction));
-            schedule(TRANSACTION_TIMEOUT_SECONDS, () -> readBack(leaseId, term, sentAt));
+                    () ->
+                            countIfCommitted(
+                                    Counter.DELAYED_ACQUISITIONS, !store.isDown(), transaction));
+            schedule(
+                    TRANSACTION_TIMEOUT_SECONDS,
+                    () -> resolveUnknownOutcome(leaseId, term, sentAt));
         } else if (isStoreReachable() && store.drawLostResponse()) {
             timeline.schedule(
                     random.nextInt(20) / 100.0,
-                    () -> count(Counter.UNSEEN_ACQUISITIONS, isStoreReachable(), transaction));
-            schedule(TRANSACTION_TIMEOUT_SECONDS, () -> readBack(leaseId, term, sentAt));
+                    () ->
+                            countIfCommitted(
+                                    Counter.ACQUISITIONS_WITHOUT_RESPONSE,
+                                    isStoreReachable(),
+                                    transaction));
+            schedule(
+                    TRANSACTION_TIMEOUT_SECONDS,
+                    () -> resolveUnknownOutcome(leaseId, term, sentAt));
         } else {
             request(
                     transaction,
@@ -251,14 +261,15 @@
         }
     }
 
-    private void count(Counter counter, boolean isCarriedOut, Supplier<Long> transaction) {
+    private void countIfCommitted(
+            Counter counter, boolean isCarriedOut, Supplier<Long> transaction) {
         if (isCarriedOut && transaction.get() != 0) {
             environment.counters().increment(counter);
         }
     }
 
     /** After a transaction without a response: finds out whether it was carried out. */
-    private void readBack(long leaseId, long term, double sentAt) {
+    private void resolveUnknownOutcome(long leaseId, long term, double sentAt) {
         request(
                 store::read,
                 read -> {
@@ -304,11 +315,11 @@
 
     @Override
     public void releaseLease(long leaseId) {
-        request(() -> endLease(leaseId), ended -> readKeys());
+        request(() -> revokeLease(leaseId), ended -> readKeys());
     }
 
-    private boolean endLease(long leaseId) {
-        store.endLease(leaseId);
+    private boolean revokeLease(long leaseId) {
+        store.removeLease(leaseId);
         return true;
     }
 
@@ -319,14 +330,14 @@
         environment.counters().increment(Counter.HANDOVERS);
         boolean isPreferred = random.nextBoolean();
         request(
-                () -> endLease(leaseId),
+                () -> revokeLease(leaseId),
                 ended ->
                         environment.controllers().stream()
                                 .filter(peer -> peer != this)
-                                .forEach(peer -> announceEnd(peer, endedTerm, isPreferred)));
+                                .forEach(peer -> sendTermEnded(peer, endedTerm, isPreferred)));
     }
 
-    private void announceEnd(SimulatedController peer, long endedTerm, boolean isPreferred) {
+    private void sendTermEnded(SimulatedController peer, long endedTerm, boolean isPreferred) {
         environment
                 .links()
                 .send(
--- a/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
+++ b/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
@@ -46,7 +46,7 @@
     private Key leader;
     private Key term;
     private boolean down;
-    private int lateTransactionsOfTen;
+    private int delayedTransactionsOfTen;
     private int lostResponsesOfTen;
 
     SimulatedElectionStore(
@@ -72,16 +72,16 @@
         this.down = down;
     }
 
-    void setLateTransactions(int ofTen) {
-        lateTransactionsOfTen = ofTen;
+    void setDelayedTransactions(int ofTen) {
+        delayedTransactionsOfTen = ofTen;
     }
 
     void setLostResponses(int ofTen) {
         lostResponsesOfTen = ofTen;
     }
 
-    boolean drawLateTransaction() {
-        return random.nextInt(10) < lateTransactionsOfTen;
+    boolean drawDelayedTransaction() {
+        return random.nextInt(10) < delayedTransactionsOfTen;
     }
 
     boolean drawLostResponse() {
@@ -104,7 +104,7 @@
                 != null;
     }
 
-    void endLease(long leaseId) {
+    void removeLease(long leaseId) {
         boolean existed = leaseExpiries.remove(leaseId) != null;
         if (existed && leader != null && leader.leaseId() == leaseId) {
             leader = null;
@@ -120,7 +120,7 @@
         }
         for (Map.Entry<Long, Double> lease : List.copyOf(leaseExpiries.entrySet())) {
             if (timeline.nowSeconds() > lease.getValue() + random.nextInt(3) * stepSeconds) {
-                endLease(lease.getKey());
+                removeLease(lease.getKey());
             }
         }
     }
--- a/src/test/java/io/kelphoist/failover/CommandDelivery.java
+++ b/src/test/java/io/kelphoist/failover/CommandDelivery.java
@@ -27,7 +27,7 @@
     private final List<WorkerCommand> commands;
     private final Kind kind;
     private final double sentAtSeconds;
-    private boolean answered;
+    private boolean completed;
     private boolean lost;
 
     /**
@@ -71,7 +71,7 @@
     }
 
     /** The connection that it was sent on is closed. */
-    void lose() {
+    void markLost() {
         lost = true;
     }
 
@@ -80,12 +80,12 @@
     }
 
     /** The worker executes it, or refuses it if the leader or the agent epoch is not current. */
-    void arrive(SafetyChecker checker) {
+    void deliver(SafetyChecker checker) {
         worker.expireLease();
         checker.checkHeartbeatsBeforeStart(this);
         boolean executed =
                 agentEpoch == worker.agentEpoch() && worker.execute(leader.term(), commands);
-        end(
+        complete(
                 executed ? DeliveryOutcome.EXECUTED : DeliveryOutcome.REFUSED,
                 worker.createHeartbeat());
     }
@@ -95,11 +95,11 @@
      *
      * @param heartbeat null: without a response of the worker
      */
-    void end(DeliveryOutcome outcome, Heartbeat heartbeat) {
-        if (answered) {
+    void complete(DeliveryOutcome outcome, Heartbeat heartbeat) {
+        if (completed) {
             return;
         }
-        answered = true;
+        completed = true;
         switch (kind) {
             case COMMANDS -> leader.onCommandOutcome(machineName, outcome, heartbeat);
             case STATUS_REQUEST -> leader.onStatusOutcome(machineName, outcome, heartbeat);
--- a/src/test/java/io/kelphoist/failover/ElectedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ElectedLeadership.java
@@ -47,13 +47,13 @@
     }
 
     @Override
-    boolean isRefused(SimulatedLeader leader) {
-        return elections.isRefused(leader.controllerName());
+    boolean isRefusedByStore(SimulatedLeader leader) {
+        return elections.isRefusedByStore(leader.controllerName());
     }
 
     @Override
-    boolean isFrontEndRefused(int frontEnd) {
-        return elections.isRefused(ElectionSimulation.NAMES.get(frontEnd));
+    boolean isFrontEndRefusedByStore(int frontEnd) {
+        return elections.isRefusedByStore(ElectionSimulation.NAMES.get(frontEnd));
     }
 
     @Override
@@ -69,7 +69,7 @@
 
     @Override
     void advance(double seconds) {
-        elections.pass(seconds);
+        elections.advance(seconds);
     }
 
     @Override
@@ -95,9 +95,9 @@
     }
 
     @Override
-    void setLeaderRefused(boolean refused) {
+    void setLeaderRefusedByStore(boolean refused) {
         if (refused) {
-            elections.refuseLeader();
+            elections.setLeaderRefusedByStore();
         }
     }
 
--- a/src/test/java/io/kelphoist/failover/FailoverSimulation.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulation.java
@@ -25,7 +25,7 @@
  */
 final class FailoverSimulation {
     /** Time in which the system settles after the last fault, before and after a last listing. */
-    private static final double SETTLE_SECONDS = 45;
+    private static final double CONVERGENCE_SECONDS = 45;
 
     private final SimulationContext context;
     private final SimulatedJobs jobs = new SimulatedJobs();
@@ -75,7 +75,7 @@
                         : new ScriptedLeadership(dependencies);
         heartbeats = new HeartbeatChannel(context, fleet, leadership, cancellations);
         replicaHandover = new ReplicaHandover(context, fleet);
-        leadership.setOnLoaded(this::onLeaderLoaded);
+        leadership.setOnRecordsLoaded(this::onLeaderRecordsLoaded);
         users = new SimulatedUsers(dependencies, jobs, queueWaits, leadership);
         for (int i = 0; size.withInitialJobs() && i < SimulatedTasks.INITIAL_JOBS; i++) {
             stateStore.putJob(jobs.createInitialJob(i));
@@ -92,7 +92,7 @@
                 new Resources(1e6, size.taskLimit(), 1e6));
     }
 
-    private void onLeaderLoaded(SimulatedLeader leader) {
+    private void onLeaderRecordsLoaded(SimulatedLeader leader) {
         replicaHandover.handOverTo(leader, leadership.handover());
         heartbeats.deliverKept(leader);
     }
@@ -104,7 +104,7 @@
      *
      * @param lateOfTen of ten requests to workers, how many are held back for another step
      */
-    void pass(double seconds, int lateOfTen) {
+    void advance(double seconds, int lateOfTen) {
         for (double end = context.nowSeconds() + seconds; context.nowSeconds() < end; ) {
             step(lateOfTen);
         }
@@ -119,7 +119,7 @@
         network.reportOutcomes();
         heartbeats.deliverCopies();
         heartbeats.sendDueHeartbeats();
-        leadership.leaders().forEach(SimulatedLeader::learn);
+        leadership.leaders().forEach(SimulatedLeader::readChanges);
         leadership.leaders().forEach(SimulatedLeader::tick);
         checker.checkCancelledTasksStopped(fleet.workers());
     }
@@ -128,26 +128,26 @@
      * All faults end: after a while as much runs as the limit and the work that is left allow,
      * every machine is known to the leader and every job to every front end.
      */
-    void settle() {
+    void endFaultsAndCheckConvergence() {
         fleet.endFaults();
         freezeLeader(0);
-        setLateTransactions(0);
+        setDelayedTransactions(0);
         setLostResponses(0);
-        setKeepHeartbeats(false);
+        setKeepHeartbeatsForNextLeader(false);
         setStateStoreDown(false);
-        setLeaderRefused(false);
+        setLeaderRefusedByStore(false);
         leadership.endFaults();
-        context.endFaults();
-        pass(SETTLE_SECONDS, 0);
+        context.disableRandomFaults();
+        advance(CONVERGENCE_SECONDS, 0);
         listInstances();
-        pass(SETTLE_SECONDS, 0);
+        advance(CONVERGENCE_SECONDS, 0);
         SimulatedLeader leader =
                 leadership
                         .actingLeader()
                         .orElseThrow(
                                 () -> new AssertionError("no leader at the end: " + leadership));
-        checker.checkMachinesKnown(fleet.workers(), leader);
-        users.checkAllJobsKnown();
+        checker.checkAllMachinesTracked(fleet.workers(), leader);
+        users.checkAllJobsFound();
         checker.checkCapacityIsUsed(fleet.workers(), leadership.newestLeader());
     }
 
@@ -174,14 +174,14 @@
     void listInstances() {
         leadership
                 .actingLeader()
-                .filter(SimulatedLeader::isLoaded)
+                .filter(SimulatedLeader::areRecordsLoaded)
                 .ifPresent(leader -> leader.onInstanceList(fleet.instances()));
     }
 
     // ---- the state store ----
 
     /** Of ten transactions, how many get no response and are carried out late. */
-    void setLateTransactions(int ofTen) {
+    void setDelayedTransactions(int ofTen) {
         store.faults().setLateWritesPerTen(ofTen);
     }
 
@@ -197,8 +197,8 @@
     }
 
     /** The state store refuses the leader alone. */
-    void setLeaderRefused(boolean refused) {
-        leadership.setLeaderRefused(refused);
+    void setLeaderRefusedByStore(boolean refused) {
+        leadership.setLeaderRefusedByStore(refused);
     }
 
     // ---- workers ----
@@ -230,8 +230,8 @@
     }
 
     /** Whether copies of heartbeats are kept for the next leader. */
-    void setKeepHeartbeats(boolean keep) {
-        heartbeats.setKeeping(keep);
+    void setKeepHeartbeatsForNextLeader(boolean keep) {
+        heartbeats.setKeepForNextLeader(keep);
     }
 
     // ---- users ----
@@ -251,7 +251,7 @@
     /** The leader changes right after a cancellation, followed by another one and queries. */
     void cancelDuringFailover(int number) {
         cancel(number);
-        pass(number % 7 / 10.0, 0);
+        advance(number % 7 / 10.0, 0);
         failOver(number % 2 == 0 ? Leadership.Handover.NOTHING : Leadership.Handover.REPLICA);
         cancel(number + 4);
         queryInBurst(number);
@@ -295,7 +295,7 @@
     }
 
     /** Transactions that were carried out late, with their conditions met. */
-    int lateTransactionCount() {
+    int delayedTransactionCount() {
         return store.lateWrites();
     }
 
--- a/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
@@ -20,8 +20,8 @@
  * an earlier leader started is settled before a task starts elsewhere.
  */
 class FailoverSimulationTest {
-    private static final SimulationCounters SCRIPTED = new SimulationCounters();
-    private static int lateTransactions;
+    private static final SimulationCounters SCRIPTED_RUN_COUNTERS = new SimulationCounters();
+    private static int delayedTransactions;
     private static int lostResponses;
     private static int electedTerms;
     private static int tasksStartedByElectedLeaders;
@@ -31,11 +31,11 @@
             @ForAll long seed,
             @ForAll @Size(min = 4, max = 40) List<@IntRange(min = 0, max = 1499) Integer> steps) {
         FailoverSimulation simulation = new FailoverSimulation(seed);
-        simulation.pass(6, 0);
-        steps.forEach(step -> FailoverSteps.play(simulation, step));
-        simulation.settle();
-        SCRIPTED.addAll(simulation.counters());
-        lateTransactions += simulation.lateTransactionCount();
+        simulation.advance(6, 0);
+        steps.forEach(step -> FailoverSteps.apply(simulation, step));
+        simulation.endFaultsAndCheckConvergence();
+        SCRIPTED_RUN_COUNTERS.addAll(simulation.counters());
+        delayedTransactions += simulation.delayedTransactionCount();
         lostResponses += simulation.lostResponseCount();
     }
 
@@ -48,9 +48,9 @@
             @ForAll long seed,
             @ForAll @Size(min = 4, max = 40) List<@IntRange(min = 0, max = 1499) Integer> steps) {
         FailoverSimulation simulation = new FailoverSimulation(seed, 2, SimulationSize.USUAL, true);
-        simulation.pass(10, 0);
-        steps.forEach(step -> FailoverSteps.play(simulation, step));
-        simulation.settle();
+        simulation.advance(10, 0);
+        steps.forEach(step -> FailoverSteps.apply(simulation, step));
+        simulation.endFaultsAndCheckConvergence();
         tasksStartedByElectedLeaders += simulation.count(Counter.TASKS_STARTED);
         electedTerms += simulation.termCount();
     }
@@ -61,34 +61,35 @@
      */
     @AfterContainer
     static void faultsAndTheirEffectsOccurred() {
-        SCRIPTED.assertMoreThan(5_000, Counter.TASKS_STARTED);
-        SCRIPTED.assertMoreThan(2000, Counter.QUICK_FAILOVERS);
-        SCRIPTED.assertMoreThan(300, Counter.LEASES_EXPIRED);
-        SCRIPTED.assertMoreThan(1000, Counter.WORKER_RESTARTS);
-        SCRIPTED.assertMoreThan(500, Counter.MACHINES_TERMINATED);
-        SCRIPTED.assertMoreThan(5000, Counter.HEARTBEAT_COPIES_DELIVERED);
-        SCRIPTED.assertMoreThan(1000, Counter.JOBS_CANCELLED);
-        SCRIPTED.assertMoreThan(500, Counter.JOBS_DONE);
-        assertTrue(lateTransactions > 100, lateTransactions + " transactions carried out late");
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(5_000, Counter.TASKS_STARTED);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(2000, Counter.QUICK_FAILOVERS);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(300, Counter.LEASES_EXPIRED);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(1000, Counter.WORKER_RESTARTS);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(500, Counter.MACHINES_TERMINATED);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(5000, Counter.HEARTBEAT_COPIES_DELIVERED);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(1000, Counter.JOBS_CANCELLED);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(500, Counter.JOBS_DONE);
+        assertTrue(
+                delayedTransactions > 100, delayedTransactions + " transactions carried out late");
         assertTrue(
                 electedTerms > 1500 && tasksStartedByElectedLeaders > 5000,
                 electedTerms + " terms, " + tasksStartedByElectedLeaders + " tasks started");
-        SCRIPTED.assertMoreThan(100, Counter.TASKS_STARTED_WITHOUT_HEARTBEATS);
-        SCRIPTED.assertMoreThan(1000, Counter.MACHINES_SCALED_OUT);
-        SCRIPTED.assertMoreThan(1000, Counter.HEARTBEATS_KEPT_FOR_NEXT_LEADER);
-        SCRIPTED.assertMoreThan(1000, Counter.QUERY_BURSTS);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(100, Counter.TASKS_STARTED_WITHOUT_HEARTBEATS);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(1000, Counter.MACHINES_SCALED_OUT);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(1000, Counter.HEARTBEATS_KEPT_FOR_NEXT_LEADER);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(1000, Counter.QUERY_BURSTS);
         assertTrue(lostResponses > 700, lostResponses + " responses lost");
-        SCRIPTED.assertMoreThan(200, Counter.GANGS_DONE);
-        SCRIPTED.assertMoreThan(80, Counter.CHECKPOINTS_SAVED);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(200, Counter.GANGS_DONE);
+        SCRIPTED_RUN_COUNTERS.assertMoreThan(80, Counter.CHECKPOINTS_SAVED);
     }
 
     /** Without status requests a new leader waits for a full heartbeat round. */
     @Test
     void withoutStatusRequestsALeaderWaitsForAHeartbeatRound() {
         FailoverSimulation simulation = new FailoverSimulation(3, 0, SimulationSize.USUAL, false);
-        simulation.pass(6, 0);
+        simulation.advance(6, 0);
         simulation.failOver(Leadership.Handover.REPLICA);
-        simulation.pass(6, 0);
+        simulation.advance(6, 0);
         assertEquals(2.5, simulation.newestFirstDecisionAfterSeconds(), 0.15);
     }
 
@@ -100,8 +101,8 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void rulesHoldWhenLeadersChangeTenTimes(long seed) {
         FailoverSimulation simulation = new FailoverSimulation(seed);
-        simulation.setKeepHeartbeats(true);
-        simulation.pass(6, 0);
+        simulation.setKeepHeartbeatsForNextLeader(true);
+        simulation.advance(6, 0);
         for (int i = 0; i < 12; i++) {
             simulation.setStateStoreDown(i % 6 == 3);
             simulation.setLostResponses(i % 3);
@@ -110,9 +111,9 @@
             simulation.cancelDuringFailover(i * 7);
             simulation.finishTask(i);
             simulation.replicateMachines();
-            simulation.pass(9, i % 4);
+            simulation.advance(9, i % 4);
         }
-        simulation.settle();
+        simulation.endFaultsAndCheckConvergence();
         int cancelled = simulation.count(Counter.JOBS_CANCELLED);
         int kept = simulation.count(Counter.HEARTBEATS_KEPT_FOR_NEXT_LEADER);
         assertTrue(cancelled >= 5 && kept > 10, cancelled + " cancelled, " + kept + " kept");
--- a/src/test/java/io/kelphoist/failover/FailoverSteps.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSteps.java
@@ -10,22 +10,22 @@
     private FailoverSteps() {}
 
     /** One event; then time passes, with the leader's machines replicated before and after. */
-    static void play(FailoverSimulation simulation, int step) {
+    static void apply(FailoverSimulation simulation, int step) {
         int argument = step / KINDS;
         int kind = step % KINDS;
         if (kind <= 12) {
-            playLeaderOrTaskEvent(simulation, kind, argument);
+            applyLeaderOrTaskEvent(simulation, kind, argument);
         } else if (kind <= 18) {
-            playStoreOrWorkerFault(simulation, kind, argument);
+            applyStoreOrWorkerFault(simulation, kind, argument);
         } else {
-            playCloudOrUserEvent(simulation, kind, argument);
+            applyCloudOrUserEvent(simulation, kind, argument);
         }
         simulation.replicateMachines();
-        simulation.pass(0.3 + argument % 5, step / 150 % 10);
+        simulation.advance(0.3 + argument % 5, step / 150 % 10);
         simulation.replicateMachines();
     }
 
-    private static void playLeaderOrTaskEvent(
+    private static void applyLeaderOrTaskEvent(
             FailoverSimulation simulation, int kind, int argument) {
         switch (kind) {
             case 0 -> simulation.failOver(Leadership.Handover.NOTHING);
@@ -40,20 +40,20 @@
         }
     }
 
-    private static void playStoreOrWorkerFault(
+    private static void applyStoreOrWorkerFault(
             FailoverSimulation simulation, int kind, int argument) {
         switch (kind) {
             case 13 -> simulation.setInboundBlocked(argument, true);
             case 14 -> simulation.setInboundBlocked(argument, false);
             case 15 -> simulation.restartWorker(argument);
-            case 16 -> simulation.setLateTransactions(argument % 8);
+            case 16 -> simulation.setDelayedTransactions(argument % 8);
             case 17 -> simulation.setStateStoreDown(argument % 2 == 0);
-            case 18 -> simulation.setLeaderRefused(argument % 3 > 0);
+            case 18 -> simulation.setLeaderRefusedByStore(argument % 3 > 0);
             default -> throw new IllegalArgumentException("kind " + kind);
         }
     }
 
-    private static void playCloudOrUserEvent(
+    private static void applyCloudOrUserEvent(
             FailoverSimulation simulation, int kind, int argument) {
         switch (kind) {
             case 19 -> simulation.cancel(argument);
@@ -61,7 +61,7 @@
             case 22 -> simulation.setOutboundBlocked(argument, true);
             case 23 -> simulation.setOutboundBlocked(argument, false);
             case 24 -> simulation.setLostResponses(argument % 4);
-            case 25 -> simulation.setKeepHeartbeats(argument % 3 > 0);
+            case 25 -> simulation.setKeepHeartbeatsForNextLeader(argument % 3 > 0);
             case 26 -> simulation.cancelDuringFailover(argument);
             case 27 -> simulation.queryInBurst(argument);
             case 28 -> {
--- a/src/test/java/io/kelphoist/failover/HeartbeatChannel.java
+++ b/src/test/java/io/kelphoist/failover/HeartbeatChannel.java
@@ -12,9 +12,9 @@
  * three leases late, and copies that the next leader receives first of all.
  */
 final class HeartbeatChannel {
-    private static final int COPIES_ONE_OF = 8;
-    private static final int KEEPS_ONE_OF = 3;
-    private static final int LOSES_ONE_RESPONSE_OF = 3;
+    private static final int MEAN_HEARTBEATS_PER_COPY = 8;
+    private static final int MEAN_HEARTBEATS_PER_KEPT_COPY = 3;
+    private static final int MEAN_RESPONSES_PER_LOSS = 3;
     private static final double MAX_COPY_DELAY_SECONDS = 3 * SimulationContext.LEASE_SECONDS;
 
     /** A copy of a heartbeat, and when it arrives. */
@@ -26,7 +26,7 @@
     private final AcknowledgedCancellationLog cancellations;
     private final List<DelayedCopy> copies = new ArrayList<>();
     private final List<Heartbeat> keptForNextLeader = new ArrayList<>();
-    private boolean keeping;
+    private boolean keepForNextLeader;
 
     HeartbeatChannel(
             SimulationContext context,
@@ -40,8 +40,8 @@
     }
 
     /** Whether copies of heartbeats are kept for the next leader. */
-    void setKeeping(boolean keeping) {
-        this.keeping = keeping;
+    void setKeepForNextLeader(boolean keeping) {
+        this.keepForNextLeader = keeping;
     }
 
     /** The new leader receives the kept copies. */
@@ -59,7 +59,7 @@
                 context.counters().increment(Counter.HEARTBEAT_COPIES_DELIVERED);
                 leadership
                         .actingLeader()
-                        .filter(leader -> leader.isLoaded() && leader.acceptsHeartbeats())
+                        .filter(leader -> leader.areRecordsLoaded() && leader.acceptsHeartbeats())
                         .ifPresent(leader -> deliverCopy(copy.heartbeat(), leader));
             }
         }
@@ -90,7 +90,7 @@
         }
         SimulatedLeader leader = acting.get();
         Heartbeat heartbeat = worker.createHeartbeat();
-        if (!leader.isLoaded()) {
+        if (!leader.areRecordsLoaded()) {
             renewLeaseOnly(worker, heartbeat, leader);
             return;
         }
@@ -102,8 +102,8 @@
         List<WorkerCommand> commands = leader.onHeartbeat(heartbeat);
         if (commands != null
                 && !worker.isInboundBlocked()
-                && (context.haveFaultsEnded()
-                        || context.random().nextInt(LOSES_ONE_RESPONSE_OF) > 0)
+                && (context.areRandomFaultsDisabled()
+                        || context.random().nextInt(MEAN_RESPONSES_PER_LOSS) > 0)
                 && worker.execute(leader.term(), commands)) {
             worker.renewLease(context.nowSeconds());
         }
@@ -123,11 +123,11 @@
     }
 
     private void duplicate(Heartbeat heartbeat) {
-        if (context.random().nextInt(COPIES_ONE_OF) == 0) {
+        if (context.random().nextInt(MEAN_HEARTBEATS_PER_COPY) == 0) {
             double delay = context.random().nextDouble() * MAX_COPY_DELAY_SECONDS;
             copies.add(new DelayedCopy(heartbeat, context.nowSeconds() + delay));
         }
-        if (keeping && context.random().nextInt(KEEPS_ONE_OF) == 0) {
+        if (keepForNextLeader && context.random().nextInt(MEAN_HEARTBEATS_PER_KEPT_COPY) == 0) {
             keptForNextLeader.add(heartbeat);
         }
     }
--- a/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
@@ -28,7 +28,7 @@
                 new FailoverSimulation(
                         seed, 2, new SimulationSize(24, 40, false, writesPerSecond, 8), false);
         Random random = new Random(seed);
-        simulation.pass(6, 0);
+        simulation.advance(6, 0);
         for (int i = 0; i < 4 * SECONDS; i++) {
             boolean isCancelled = random.nextInt(4) == 0;
             simulation.submit(
@@ -39,9 +39,9 @@
             if (i == 2 * SECONDS) {
                 simulation.failOver(Leadership.Handover.REPLICA);
             }
-            simulation.pass(0.25, 0);
+            simulation.advance(0.25, 0);
         }
-        simulation.settle();
+        simulation.endFaultsAndCheckConvergence();
         double urgentWait = simulation.longestWaitSeconds(Priority.HIGH);
         double normalWait = simulation.longestWaitSeconds(Priority.NORMAL);
         assertTrue(
--- a/src/test/java/io/kelphoist/failover/LeaderOutput.java
+++ b/src/test/java/io/kelphoist/failover/LeaderOutput.java
@@ -11,7 +11,7 @@
 
 /** What a leader's scheduler requests: messages to workers, record writes, and the cloud. */
 final class LeaderOutput extends RecordStoringOutput {
-    private static final int LOSES_ONE_CLOUD_RESPONSE_OF = 3;
+    private static final int MEAN_CLOUD_RESPONSES_PER_LOSS = 3;
 
     private final SimulatedLeader.Dependencies dependencies;
     private final SimulatedLeader leader;
@@ -44,13 +44,15 @@
             long agentEpoch,
             List<WorkerCommand> commands,
             CommandDelivery.Kind kind) {
-        dependencies.checker().checkNoCancelledStart(commands, leader.knownCancellations());
+        dependencies.checker().checkNoCancelledStart(commands, leader.receivedCancellations());
         SimulatedWorker worker = dependencies.fleet().findByAddress(machine.address()).orElse(null);
         CommandDelivery delivery =
                 new CommandDelivery(leader, worker, machine.name(), agentEpoch, commands, kind);
         if (worker == null) {
             // The cloud has terminated it; addresses are not used again.
-            dependencies.network().onNextStep(() -> delivery.end(DeliveryOutcome.NOT_SENT, null));
+            dependencies
+                    .network()
+                    .onNextStep(() -> delivery.complete(DeliveryOutcome.NOT_SENT, null));
         } else {
             dependencies.network().send(delivery);
         }
@@ -68,8 +70,8 @@
 
     private ScaleOutResult scaleOutResult(List<String> names) {
         SimulationContext context = dependencies.context();
-        if (!context.haveFaultsEnded()
-                && context.random().nextInt(LOSES_ONE_CLOUD_RESPONSE_OF) == 0) {
+        if (!context.areRandomFaultsDisabled()
+                && context.random().nextInt(MEAN_CLOUD_RESPONSES_PER_LOSS) == 0) {
             return new ScaleOutResult.Unknown();
         }
         return names.isEmpty() ? new ScaleOutResult.Refused() : new ScaleOutResult.Granted(names);
--- a/src/test/java/io/kelphoist/failover/Leadership.java
+++ b/src/test/java/io/kelphoist/failover/Leadership.java
@@ -17,7 +17,7 @@
 
     private final SimulatedLeader.Dependencies dependencies;
     private final List<SimulatedLeader> leaders = new ArrayList<>();
-    private Consumer<SimulatedLeader> onLoaded = leader -> {};
+    private Consumer<SimulatedLeader> onRecordsLoaded = leader -> {};
     private Handover handover = Handover.NOTHING;
     private long newestTerm;
     private long newestTermRevision;
@@ -27,12 +27,12 @@
     }
 
     /** Sets what happens when a leader has loaded its records. */
-    void setOnLoaded(Consumer<SimulatedLeader> callback) {
-        onLoaded = callback;
+    void setOnRecordsLoaded(Consumer<SimulatedLeader> callback) {
+        onRecordsLoaded = callback;
     }
 
-    void onLoaded(SimulatedLeader leader) {
-        onLoaded.accept(leader);
+    void onRecordsLoaded(SimulatedLeader leader) {
+        onRecordsLoaded.accept(leader);
     }
 
     List<SimulatedLeader> leaders() {
@@ -80,10 +80,10 @@
     abstract boolean isLeading(SimulatedLeader leader);
 
     /** Whether the state store refuses this leader alone. */
-    abstract boolean isRefused(SimulatedLeader leader);
+    abstract boolean isRefusedByStore(SimulatedLeader leader);
 
     /** Whether the state store refuses this front end alone. */
-    abstract boolean isFrontEndRefused(int frontEnd);
+    abstract boolean isFrontEndRefusedByStore(int frontEnd);
 
     /** The leader changes; the next one receives {@code handover}. */
     abstract void failOver(Handover handover);
@@ -101,7 +101,7 @@
     /** Of ten requests to the state store, how many are carried out without a response. */
     abstract void setLostResponses(int ofTen);
 
-    abstract void setLeaderRefused(boolean refused);
+    abstract void setLeaderRefusedByStore(boolean refused);
 
     /** All faults end. */
     abstract void endFaults();
--- a/src/test/java/io/kelphoist/failover/ReplicaHandover.java
+++ b/src/test/java/io/kelphoist/failover/ReplicaHandover.java
@@ -10,7 +10,7 @@
     private static final String FOLLOWER = "f";
 
     /** One of so many updates, and of corrupted machines, is lost. */
-    private static final int LOSES_ONE_OF = 4;
+    private static final int MEAN_UPDATES_PER_LOSS = 4;
 
     private final SimulationContext context;
     private final SimulatedFleet fleet;
@@ -26,7 +26,7 @@
         MachineStatePublisher publisher = leader.machineStatePublisher();
         double now = context.nowSeconds();
         MachineStatePublisher.MachineStateUpdate update = publisher.nextUpdate(FOLLOWER, now);
-        if (context.random().nextInt(LOSES_ONE_OF) > 0) {
+        if (context.random().nextInt(MEAN_UPDATES_PER_LOSS) > 0) {
             replica.apply(leader.term(), update, now);
             publisher.onAcknowledgement(
                     FOLLOWER,
@@ -44,7 +44,7 @@
             }
             case CORRUPTED_REPLICA -> {
                 for (ReplicatedMachine machine : replica.machines()) {
-                    if (context.random().nextInt(LOSES_ONE_OF) > 0) {
+                    if (context.random().nextInt(MEAN_UPDATES_PER_LOSS) > 0) {
                         leader.onReplicatedMachine(corrupt(machine));
                     }
                 }
--- a/src/test/java/io/kelphoist/failover/SafetyChecker.java
+++ b/src/test/java/io/kelphoist/failover/SafetyChecker.java
@@ -20,7 +20,7 @@
      * Time for which heartbeats of a machine may be missing before no task is started there: a
      * heartbeat round with late ones, and the steps of the simulation.
      */
-    private static final double MISSING_HEARTBEATS_SECONDS =
+    private static final double MAX_HEARTBEAT_GAP_SECONDS =
             1.25 * SimulationContext.HEARTBEAT_INTERVAL_SECONDS + 2.5;
 
     private final SimulationContext context;
@@ -100,9 +100,11 @@
     void checkHeartbeatsBeforeStart(CommandDelivery delivery) {
         SimulatedWorker worker = delivery.worker();
         double knownAtSeconds =
-                Math.max(worker.lastHeardAtSeconds(), delivery.leader().listedAtSeconds());
+                Math.max(
+                        worker.lastHeartbeatReceivedAtSeconds(),
+                        delivery.leader().listedAtSeconds());
         if (worker.isOutboundBlocked()
-                && delivery.sentAtSeconds() > knownAtSeconds + MISSING_HEARTBEATS_SECONDS
+                && delivery.sentAtSeconds() > knownAtSeconds + MAX_HEARTBEAT_GAP_SECONDS
                 && delivery.startsTasks()) {
             throw new AssertionError(
                     "task is started on a machine without heartbeats: machine="
@@ -110,7 +112,7 @@
                             + " sentAt="
                             + delivery.sentAtSeconds()
                             + " lastHeartbeatAt="
-                            + worker.lastHeardAtSeconds());
+                            + worker.lastHeartbeatReceivedAtSeconds());
         }
     }
 
@@ -250,9 +252,9 @@
     }
 
     /** The leader knows every machine that is paid for. */
-    void checkMachinesKnown(List<SimulatedWorker> workers, SimulatedLeader leader) {
+    void checkAllMachinesTracked(List<SimulatedWorker> workers, SimulatedLeader leader) {
         for (SimulatedWorker worker : workers) {
-            if (!leader.knowsMachine(worker.name())) {
+            if (!leader.hasMachine(worker.name())) {
                 throw new AssertionError(
                         "machine is unknown to the leader at the end: machine=" + worker.name());
             }
@@ -260,7 +262,7 @@
     }
 
     /** Every front end answers about every job. */
-    void checkFinalResponses(Map<String, AdmissionResult> responses, int expectedCount) {
+    void checkResponsesAtEnd(Map<String, AdmissionResult> responses, int expectedCount) {
         responses.forEach(
                 (request, response) -> {
                     if (response instanceof AdmissionResult.RetryLater) {
--- a/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
@@ -21,13 +21,13 @@
     }
 
     @Override
-    boolean isRefused(SimulatedLeader leader) {
+    boolean isRefusedByStore(SimulatedLeader leader) {
         return leaderRefused && isLeading(leader);
     }
 
     /** The first front end runs in the leader's process. */
     @Override
-    boolean isFrontEndRefused(int frontEnd) {
+    boolean isFrontEndRefusedByStore(int frontEnd) {
         return leaderRefused && frontEnd == 0;
     }
 
@@ -45,7 +45,7 @@
         SimulatedLeader leader = new SimulatedLeader(dependencies(), this, term, null);
         leader.loadRecords();
         addLeader(leader);
-        onLoaded(leader);
+        onRecordsLoaded(leader);
     }
 
     @Override
@@ -66,7 +66,7 @@
     void setLostResponses(int ofTen) {}
 
     @Override
-    void setLeaderRefused(boolean refused) {
+    void setLeaderRefusedByStore(boolean refused) {
         leaderRefused = refused;
     }
 
--- a/src/test/java/io/kelphoist/failover/SimulatedFleet.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedFleet.java
@@ -17,7 +17,7 @@
     /** Machines that leaders may scale out in addition. */
     private static final int MAX_EXTRA_MACHINES = 3;
 
-    private static final int NUMBERS_RESERVED = 10;
+    private static final int RESERVED_MACHINE_NUMBERS = 10;
 
     private final SimulationContext context;
     private final SimulatedTasks tasks;
@@ -40,7 +40,7 @@
         this.checker = checker;
         this.queueWaits = queueWaits;
         this.timer = timer;
-        nextNumber = context.size().workers() + NUMBERS_RESERVED;
+        nextNumber = context.size().workers() + RESERVED_MACHINE_NUMBERS;
         for (int i = 0; i < context.size().workers(); i++) {
             workers.add(createWorker(i, false));
         }
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -39,7 +39,7 @@
     private static final int MAX_VALUE_BYTES = 600;
 
     /** A leader reads changes, and acknowledged cancellations, in one of so many steps. */
-    private static final int LEARNS_ONE_OF = 4;
+    private static final int MEAN_STEPS_PER_READ = 4;
 
     /**
      * What leaders work with.
@@ -68,8 +68,8 @@
     private final LeaderOutput output;
     private final MachineStatePublisher machineStatePublisher = new MachineStatePublisher();
     private long readRevision;
-    private int knownCancellations;
-    private boolean loaded;
+    private int receivedCancellations;
+    private boolean recordsLoaded;
     private double listedAtSeconds;
     private double frozenUntilSeconds;
     private double firstDecisionAfterSeconds = Double.NaN;
@@ -109,7 +109,7 @@
 
     private TermRecordStore createRecordStore() {
         SimulatedStateStore stateStore = dependencies.stateStore();
-        StateStoreSimulation.View view = stateStore.store().seenBy(this::isRefused);
+        StateStoreSimulation.View view = stateStore.store().seenBy(this::isRefusedByStore);
         return new TermRecordStore(
                 view,
                 new TermRecordWriter(
@@ -156,8 +156,8 @@
         return controllerName;
     }
 
-    boolean isLoaded() {
-        return loaded;
+    boolean areRecordsLoaded() {
+        return recordsLoaded;
     }
 
     /** It processes heartbeats: its process is not frozen, and it has seen no newer term. */
@@ -175,7 +175,7 @@
         return firstDecisionAfterSeconds;
     }
 
-    boolean knowsMachine(String name) {
+    boolean hasMachine(String name) {
         return schedulerState.machines().stream().anyMatch(machine -> machine.name().equals(name));
     }
 
@@ -193,8 +193,8 @@
     }
 
     /** Entries of the log of acknowledged cancellations that it has received. */
-    int knownCancellations() {
-        return knownCancellations;
+    int receivedCancellations() {
+        return receivedCancellations;
     }
 
     private void requestStatus(Machine machine, long agentEpoch) {
@@ -205,20 +205,20 @@
         return leadership.isLeading(this);
     }
 
-    private boolean isRefused() {
-        return leadership.isRefused(this);
+    private boolean isRefusedByStore() {
+        return leadership.isRefusedByStore(this);
     }
 
     private boolean canReadStateStore() {
-        return !dependencies.stateStore().store().faults().isDown() && !isRefused();
+        return !dependencies.stateStore().store().faults().isDown() && !isRefusedByStore();
     }
 
     // ---- time ----
 
     void loadRecords() {
         SimulatedStateStore stateStore = dependencies.stateStore();
-        loaded = true;
-        knownCancellations = dependencies.cancellations().size();
+        recordsLoaded = true;
+        receivedCancellations = dependencies.cancellations().size();
         recordStore.loadRecords(
                 schedulerState, stateStore.loadRecords(), (peer, startsAtSeconds) -> {});
         readRevision = stateStore.store().revision();
@@ -231,10 +231,10 @@
         if (!acceptsHeartbeats() || !isLeading()) {
             return;
         }
-        if (!loaded) {
+        if (!recordsLoaded) {
             if (canReadStateStore()) {
                 loadRecords();
-                leadership.onLoaded(this);
+                leadership.onRecordsLoaded(this);
             }
             return;
         }
@@ -254,21 +254,21 @@
      * Reads stored changes, and cancellations that front ends acknowledged, which it receives also
      * while the state store is unreachable.
      */
-    void learn() {
-        if (context.nowSeconds() < frozenUntilSeconds || !isLeading() || !loaded) {
+    void readChanges() {
+        if (context.nowSeconds() < frozenUntilSeconds || !isLeading() || !recordsLoaded) {
             return;
         }
-        if (canReadStateStore() && context.random().nextInt(LEARNS_ONE_OF) == 0) {
+        if (canReadStateStore() && context.random().nextInt(MEAN_STEPS_PER_READ) == 0) {
             dependencies
                     .stateStore()
                     .jobsChangedSince(readRevision)
                     .forEach(recordStore::applyJobRecord);
             readRevision = dependencies.stateStore().store().revision();
         }
-        if (context.random().nextInt(LEARNS_ONE_OF) == 0) {
-            List<String> cancelled = dependencies.cancellations().from(knownCancellations);
+        if (context.random().nextInt(MEAN_STEPS_PER_READ) == 0) {
+            List<String> cancelled = dependencies.cancellations().from(receivedCancellations);
             cancelled.forEach(this::onAcknowledgedCancellation);
-            knownCancellations += cancelled.size();
+            receivedCancellations += cancelled.size();
         }
     }
 
--- a/src/test/java/io/kelphoist/failover/SimulatedNetwork.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedNetwork.java
@@ -7,7 +7,7 @@
 /** Requests on their way to workers, and outcomes that leaders learn in the next step. */
 final class SimulatedNetwork {
     /** One of so many requests that could not be delivered is dropped in a step. */
-    private static final int DROPS_ONE_OF = 400;
+    private static final int MEAN_STEPS_PER_DROP = 400;
 
     private final SimulationContext context;
     private final SafetyChecker checker;
@@ -31,7 +31,7 @@
     void dropConnectionsTo(SimulatedWorker worker) {
         deliveries.stream()
                 .filter(delivery -> delivery.worker() == worker)
-                .forEach(CommandDelivery::lose);
+                .forEach(CommandDelivery::markLost);
     }
 
     /**
@@ -40,7 +40,7 @@
     void deliver(int lateOfTen) {
         for (CommandDelivery delivery : new ArrayList<>(deliveries)) {
             if (delivery.isTimedOut(context.nowSeconds())) {
-                delivery.end(DeliveryOutcome.NO_RESPONSE, null);
+                delivery.complete(DeliveryOutcome.NO_RESPONSE, null);
             }
             deliver(delivery, lateOfTen);
         }
@@ -50,17 +50,17 @@
         SimulatedWorker worker = delivery.worker();
         if (worker.isTerminated() || delivery.isLost()) {
             deliveries.remove(delivery);
-            delivery.end(
+            delivery.complete(
                     delivery.isLost() ? DeliveryOutcome.NO_RESPONSE : DeliveryOutcome.NOT_SENT,
                     null);
         } else if (!worker.isPartitioned()
                 && !worker.isInboundBlocked()
                 && context.random().nextInt(10) >= lateOfTen) {
             deliveries.remove(delivery);
-            delivery.arrive(checker);
-        } else if (context.random().nextInt(DROPS_ONE_OF) == 0) {
+            delivery.deliver(checker);
+        } else if (context.random().nextInt(MEAN_STEPS_PER_DROP) == 0) {
             deliveries.remove(delivery);
-            delivery.end(DeliveryOutcome.NO_RESPONSE, null);
+            delivery.complete(DeliveryOutcome.NO_RESPONSE, null);
         }
     }
 
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -39,7 +39,7 @@
     private final List<Admission> frontEnds = new ArrayList<>();
 
     /** The newest phase that a user was answered, by job; a final one stays. */
-    private final Map<String, AdmissionResult.Phase> answeredPhases = new HashMap<>();
+    private final Map<String, AdmissionResult.Phase> acknowledgedPhases = new HashMap<>();
 
     /**
      * @param leadership says which front end the state store refuses
@@ -58,7 +58,7 @@
         for (int i = 0; i < FRONT_ENDS; i++) {
             int number = i;
             StateStoreSimulation.View view =
-                    timer.seenBy(() -> leadership.isFrontEndRefused(number));
+                    timer.seenBy(() -> leadership.isFrontEndRefusedByStore(number));
             frontEnds.add(createFrontEnd(dependencies, view));
         }
     }
@@ -78,11 +78,11 @@
                 () -> 0,
                 new FixedMachineTypes(List.of(SimulatedLeader.MACHINE_TYPE)),
                 settings,
-                this::onResponseDue);
+                this::beforeResponse);
     }
 
     /** Notes a cancellation before the user is answered. */
-    private void onResponseDue(JobRecord job) {
+    private void beforeResponse(JobRecord job) {
         if (job.status() == JobStatus.CANCELLED
                 && cancellations.add(job.id(), context.nowSeconds())) {
             context.counters().increment(Counter.JOBS_CANCELLED);
@@ -91,12 +91,12 @@
 
     void cancel(int number) {
         String jobId = jobOf(number);
-        frontEnds.get(number % FRONT_ENDS).cancel(jobId, rememberResponse(jobId));
+        frontEnds.get(number % FRONT_ENDS).cancel(jobId, checkAndRecordResponse(jobId));
     }
 
     void query(int number) {
         String jobId = jobOf(number);
-        frontEnds.get(number % FRONT_ENDS).query(jobId, rememberResponse(jobId));
+        frontEnds.get(number % FRONT_ENDS).query(jobId, checkAndRecordResponse(jobId));
     }
 
     private String jobOf(int number) {
@@ -113,15 +113,15 @@
     }
 
     /** Checks the response against earlier ones and remembers it. */
-    private Consumer<AdmissionResult> rememberResponse(String jobId) {
-        AdmissionResult.Phase before = answeredPhases.get(jobId);
+    private Consumer<AdmissionResult> checkAndRecordResponse(String jobId) {
+        AdmissionResult.Phase before = acknowledgedPhases.get(jobId);
         return response -> {
             if (response instanceof AdmissionResult.RetryLater) {
                 context.counters().increment(Counter.RETRY_LATER_RESPONSES);
                 return;
             }
             AdmissionResult.Phase phase = checker.checkResponse(jobId, before, response);
-            answeredPhases.merge(
+            acknowledgedPhases.merge(
                     jobId, phase, (previous, next) -> previous.isFinal() ? previous : next);
         };
     }
@@ -136,12 +136,12 @@
         JobSpec job = SimulatedJobs.createSubmittedJob(id, priority, durationSeconds);
         Runnable cancel =
                 () ->
-                        sendUntilAnswered(
+                        sendWithRetries(
                                 number + 1,
                                 (frontEnd, onResponse) -> frontEnd.cancel(id, onResponse),
                                 id,
                                 () -> {});
-        sendUntilAnswered(
+        sendWithRetries(
                 number,
                 (frontEnd, onResponse) -> frontEnd.submit(job, onResponse),
                 id,
@@ -153,8 +153,8 @@
                 });
     }
 
-    private void sendUntilAnswered(int number, Request request, String jobId, Runnable then) {
-        Consumer<AdmissionResult> remember = rememberResponse(jobId);
+    private void sendWithRetries(int number, Request request, String jobId, Runnable then) {
+        Consumer<AdmissionResult> remember = checkAndRecordResponse(jobId);
         // The first front end shares its write limit with the leader.
         Admission frontEnd = frontEnds.get(1 + number % (FRONT_ENDS - 1));
         request.send(
@@ -167,7 +167,7 @@
                     if (response instanceof AdmissionResult.RetryLater) {
                         timer.schedule(
                                 RETRY_SECONDS,
-                                () -> sendUntilAnswered(number + 1, request, jobId, then));
+                                () -> sendWithRetries(number + 1, request, jobId, then));
                     } else {
                         then.run();
                     }
@@ -175,13 +175,13 @@
     }
 
     /** Every job is known to a user who queries it twice, at any front end. */
-    void checkAllJobsKnown() {
+    void checkAllJobsFound() {
         Map<String, AdmissionResult> responses = new HashMap<>();
         for (int round = 0; round < 2; round++) {
             for (String jobId : jobs.ids()) {
                 for (int i = 0; i < FRONT_ENDS; i++) {
                     String request = jobId + " at front end " + i;
-                    Consumer<AdmissionResult> remember = rememberResponse(jobId);
+                    Consumer<AdmissionResult> remember = checkAndRecordResponse(jobId);
                     frontEnds
                             .get(i)
                             .query(
@@ -194,6 +194,6 @@
             }
             timer.pass(5);
         }
-        checker.checkFinalResponses(responses, jobs.size() * FRONT_ENDS);
+        checker.checkResponsesAtEnd(responses, jobs.size() * FRONT_ENDS);
     }
 }
--- a/src/test/java/io/kelphoist/failover/SimulatedWorker.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedWorker.java
@@ -65,7 +65,7 @@
     private boolean partitioned;
     private boolean inboundBlocked;
     private boolean outboundBlocked;
-    private double lastHeardAtSeconds;
+    private double lastHeartbeatReceivedAtSeconds;
     private boolean terminated;
     private double terminatesAtSeconds = Double.POSITIVE_INFINITY;
 
@@ -81,7 +81,7 @@
         this.tasks = tasks;
         this.fleet = fleet;
         leaseStartSeconds = context.nowSeconds();
-        lastHeardAtSeconds = context.nowSeconds();
+        lastHeartbeatReceivedAtSeconds = context.nowSeconds();
         nextHeartbeatAtSeconds =
                 scaledOut ? context.nowSeconds() : number * FIRST_HEARTBEAT_SPACING_SECONDS;
     }
@@ -159,7 +159,7 @@
 
     /** The machine is back at once, without anything that its agent knew. */
     void restart() {
-        clear();
+        removeAllTasks();
         fencingToken = 0;
         agentEpoch = 1;
         heartbeatSequence = 0;
@@ -179,11 +179,11 @@
 
     /** A heartbeat of this worker, or a copy of one, reached a leader. */
     void onHeartbeatReceived() {
-        lastHeardAtSeconds = context.nowSeconds();
+        lastHeartbeatReceivedAtSeconds = context.nowSeconds();
     }
 
-    double lastHeardAtSeconds() {
-        return lastHeardAtSeconds;
+    double lastHeartbeatReceivedAtSeconds() {
+        return lastHeartbeatReceivedAtSeconds;
     }
 
     void renewLease(double heartbeatSentAtSeconds) {
@@ -192,7 +192,7 @@
 
     void expireLease() {
         if (context.nowSeconds() > leaseStartSeconds + SimulationContext.LEASE_SECONDS) {
-            clear();
+            removeAllTasks();
             agentEpoch++;
             leaseStartSeconds = context.nowSeconds();
             context.counters().increment(Counter.LEASES_EXPIRED);
@@ -353,7 +353,7 @@
         }
     }
 
-    private void clear() {
+    private void removeAllTasks() {
         attempts.clear();
         exitReasonsByAttempt.clear();
         startedAtSeconds.clear();
--- a/src/test/java/io/kelphoist/failover/SimulationContext.java
+++ b/src/test/java/io/kelphoist/failover/SimulationContext.java
@@ -16,7 +16,7 @@
     private final SimulationSize size;
     private final SimulationCounters counters = new SimulationCounters();
     private double nowSeconds = START_SECONDS;
-    private boolean faultsEnded;
+    private boolean randomFaultsDisabled;
 
     SimulationContext(long seed, SimulationSize size) {
         random = new Random(seed);
@@ -45,11 +45,11 @@
     }
 
     /** From now on nothing is lost by chance. */
-    void endFaults() {
-        faultsEnded = true;
+    void disableRandomFaults() {
+        randomFaultsDisabled = true;
     }
 
-    boolean haveFaultsEnded() {
-        return faultsEnded;
+    boolean areRandomFaultsDisabled() {
+        return randomFaultsDisabled;
     }
 }
