--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -8,81 +8,110 @@
 /**
  * The leader election of one controller.
  *
- * <p>The leader holds a key at the state service that is bound to a short lease. It may act while
- * that lease is surely alive, or while every other controller has recently granted it not to lead,
- * so that an outage of the state service does not end the workers' leases. A candidate first stops
- * giving grants and waits until its last one has expired; so does a controller after its start, as
- * it does not remember what it granted.
+ * <p>The leader holds the leader key in the state store, which is bound to a short lease. It is
+ * authorized to act while that lease has not expired at the maximum clock drift, or while it holds
+ * an unexpired grant of every other controller. The grants let the leader keep renewing the
+ * workers' leases during an outage of the state store. A candidate first stops giving grants and
+ * waits until the last grant that it gave has expired. A controller also waits after it starts,
+ * because it does not store its grants and an earlier process may have given some.
  *
- * <p>Has no I/O and no clock: events come in with their time, in seconds of the monotonic clock,
- * and requests go to {@link Actions}. Not thread-safe: all methods are called on the event loop.
+ * <p>Performs no I/O and reads no clock: each event is passed in with its time, in seconds of the
+ * monotonic clock, and requests are sent through {@link Actions}. Not thread-safe: all methods are
+ * called on the event loop.
  */
 public final class Election {
-    /** The states of a controller; {@link #transitionTo} is the only method that changes it. */
+    /**
+     * The roles of a controller in the election. {@link #transitionTo} is the only method that
+     * changes the role.
+     */
     public enum State {
-        /** Another controller leads, or may lead; gives grants. */
+        /**
+         * Another controller leads, or this controller has not established that there is no leader.
+         * Gives grants.
+         */
         FOLLOWER,
-        /** Saw no leader; gives no grants, and waits until its last one has expired. */
+        /**
+         * There is no leader. Gives no grants, and waits until the last grant that it gave has
+         * expired.
+         */
         CANDIDATE,
-        /** Has asked the state service for the leader key. */
+        /** Has requested the leader key from the state store. */
         ACQUIRING,
-        /** Holds the leader key; may act while {@link #isLeader}. */
+        /**
+         * Has acquired the leader key. Authorized to act only while {@link #isLeader} returns true.
+         */
         LEADER
     }
 
-    /** What the election asks for. */
+    /** Carries out the requests of the election and receives its events. */
     public interface Actions {
         /**
-         * Creates a lease, checks the keys and takes the leader key under it; ends in {@link
-         * #onLeadershipAcquired} or {@link #onAcquisitionFailed}.
+         * Creates a lease, reads the leadership keys and writes the leader key under the lease. The
+         * result is passed to {@link #onLeadershipAcquired} or {@link #onAcquisitionFailed}.
          */
         void acquireLeadership();
 
-        /** Renews the lease; ends in {@link #onLeaseRenewed}, or in nothing if that is unknown. */
+        /**
+         * Renews the lease. The result is passed to {@link #onLeaseRenewed}, which is not called if
+         * the outcome is unknown.
+         */
         void renewLease(long leaseId);
 
-        /** Releases a lease that is not needed. */
+        /** Releases a lease that this controller does not need any more. */
         void releaseLease(long leaseId);
 
         /**
-         * Releases the lease and tells the other controllers that the term has ended, so that they
-         * need not wait for grants to expire.
+         * Releases the lease and notifies the other controllers that the term has ended, so that
+         * they need not wait until their grants for this term expire.
          */
         void handOverLeadership(long endedTerm, long leaseId);
 
-        /** Asks another controller for a grant; ends in {@link #onGrantReceived} if it is given. */
+        /**
+         * Requests a grant from another controller. {@link #onGrantReceived} is called if the grant
+         * is given.
+         */
         void requestGrant(String peer, long term, double sentAtSeconds);
 
         /**
-         * Whether this controller replicates the leader's state and the records. If it does not,
-         * another one would be ready to lead sooner.
+         * Whether this controller has a current replica of the leader's state and of the records.
+         * Without one it needs longer than another controller to load its state as a new leader.
          */
         boolean isReplicaCurrent();
 
-        /** This controller leads a new term. */
+        /** Called when this controller has been elected as the leader of a new term. */
         void onElected(long term);
 
-        /** This controller does not lead any more. */
+        /** Called when this controller has stopped leading its term. */
         void onLeadershipEnded();
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-    /** Leases and grants are counted shorter, and one's own grants longer, by this margin. */
+    /**
+     * Safety margin for the expiry of leases and grants: received ones are treated as shorter by
+     * this time, and grants that this controller gave as longer.
+     */
     static final double SAFETY_MARGIN_SECONDS = 0.05;
 
-    /** A leader that resigned is no candidate for so long. */
+    /** A leader that resigned does not become a candidate again for this long. */
     private static final double RESIGNATION_COOLDOWN_SECONDS = 15;
 
-    /** How long a controller that would be ready later leaves the election to the others. */
+    /**
+     * How long a controller without a current replica, or one that is not the preferred successor,
+     * waits before it becomes a candidate. The other controllers can complete the failover sooner.
+     */
     private static final double LESS_PREFERRED_DELAY_SECONDS = 0.4;
 
+    /** Delay after a failed acquisition of the leader key. */
     private static final double ACQUISITION_RETRY_SECONDS = 0.2;
 
-    /** The lease is renewed this many times in its length; the first time after a quarter of it. */
+    /** Number of lease renewals within the duration of one lease. */
     private static final double RENEWALS_PER_LEASE = 5;
 
+    /** The first renewal of a lease is sent after this fraction (1/4) of its duration. */
     private static final double FIRST_RENEWAL_DIVISOR = 4;
+
+    /** Number of grant requests to each peer within the duration of one grant. */
     private static final double GRANT_REQUESTS_PER_GRANT = 4;
 
     private final String self;
@@ -97,37 +126,53 @@
     private long leaseId;
     private double leaseExpiresAtSeconds;
 
-    /** The newest term that was heard of: the leader of an older one is none any more. */
+    /**
+     * The newest term that this controller has seen in the leadership keys, in a grant request or
+     * in a handover. The leader of any older term has been replaced.
+     */
     private long newestTerm;
 
-    /** The newest term of which its own leader said that it ended. */
+    /** The newest term that was ended by a handover message of its own leader. */
     private long newestEndedTerm;
 
     private double nextRenewalAtSeconds;
     private double nextGrantRequestAtSeconds;
     private double candidacyNotBeforeSeconds;
 
-    /** When the leader key was seen to be gone. */
+    /** When the leader key was first read as absent after it had named a leader. */
     private double leaderKeyAbsentSinceSeconds = Double.NEGATIVE_INFINITY;
 
-    /** Whether {@link #leader} is what the state service, or a leader that resigned, said last. */
+    /**
+     * Whether {@link #leader} is set from the last read of the leader key or from a handover
+     * message. False after the start and after this controller resigned, until one of these
+     * arrives.
+     */
     private boolean leaderKeyLoaded;
 
+    /** The controller that holds the leader key; null if there is none or it is not loaded. */
     private String leader;
 
+    /** The term of {@link #leader} in the leader key. */
     private long leaderTerm;
 
-    /** Whether there was a term before; if not, no grant can be outstanding. */
+    /**
+     * Whether the state store holds an earlier term. If it does not, no controller has ever led,
+     * and no grant can be outstanding.
+     */
     private boolean hasEarlierTerm = true;
 
-    /** What {@link #isLeader} was at the last tick. */
+    /** The result of {@link #isLeader} at the last tick as the leader. */
     private boolean wasLeaderAtLastTick;
 
     /**
+     * Creates the election of a process that has just started, as a follower.
+     *
      * @param self the name of this controller
      * @param peers the names of the other controllers
-     * @param startedAtSeconds when this process started; an earlier one may have given grants until
-     *     then
+     * @param leaseSeconds duration of the leader lease
+     * @param grantSeconds duration of a grant
+     * @param startedAtSeconds when this process started. An earlier process of this controller may
+     *     have given grants until then
      */
     public Election(
             String self,
@@ -145,33 +190,39 @@
         this.givenGrants = new GivenGrants(grantSeconds, startedAtSeconds);
     }
 
-    /** The role of this controller. */
+    /** Returns the current role of this controller. */
     public State state() {
         return state;
     }
 
-    /** Returns the leader that the state service last named, or null if none or unknown. */
+    /**
+     * Returns the leader that the state store last named; null if there is none or it is not
+     * loaded.
+     */
     public String leader() {
         return state == State.LEADER ? self : leader;
     }
 
-    /** The newest term that this controller led; 0: none. */
+    /** Returns the newest term that this process led; 0 if it led none. */
     public long term() {
         return term;
     }
 
-    /** Whether this controller may act as the leader now. */
+    /**
+     * Whether this controller is authorized to act as the leader now: it holds an unexpired leader
+     * lease, or unexpired grants of all other controllers.
+     */
     public boolean isLeader(double nowSeconds) {
         return state == State.LEADER
                 && (nowSeconds < leaseExpiresAtSeconds || receivedGrants.areAllValid(nowSeconds));
     }
 
-    /** The only method that changes the state. */
+    /** Changes the role and calls the actions that belong to the change. */
     private void transitionTo(State next, double nowSeconds) {
         if (state == next) {
             return;
         }
-        LOG.debug("election state changed: from={} to={}", state, next);
+        LOG.debug("election role changed: from={} to={}", state, next);
         State previous = state;
         state = next;
         if (previous == State.LEADER) {
@@ -187,10 +238,12 @@
     }
 
     /**
-     * What the state service says of the leader key.
+     * Called with the leader key as read from the state store.
      *
-     * @param holder the controller that holds it; null: the key is absent
-     * @param lastTerm the newest term; 0: there was none yet
+     * @param holder the controller that holds the key; null if the key is absent
+     * @param holderTerm the term in the leader key; 0 if the key is absent
+     * @param lastTerm the newest term that the state store holds; 0 if it holds none, or if the
+     *     caller found another holder and did not evaluate the term key
      */
     public void onLeaderKeyRead(String holder, long holderTerm, long lastTerm, double nowSeconds) {
         leaderKeyLoaded = true;
@@ -211,9 +264,10 @@
     }
 
     /**
-     * Another controller asks for a grant: the promise not to lead for a while. Refused for terms
-     * older than the newest one known: the leader of an old term may not know that it was replaced,
-     * and with grants of all others it would act beside its successor.
+     * Another controller requests a grant: the promise not to lead for the duration of a grant.
+     * Requests for a term older than the newest one seen are refused: the leader of an old term may
+     * not have learned that it was replaced, and with grants of all other controllers it would act
+     * at the same time as its successor.
      *
      * @return whether the grant is given
      */
@@ -229,12 +283,14 @@
     }
 
     /**
-     * The leader of a term says, after it stopped, that it acts no more. A grant for that term need
-     * not expire. One for an older term must: that term's leader may not know that it was replaced,
-     * and the controller that kept it from acting may have restarted.
+     * The leader of a term sent a handover message after it stopped acting. Grants for that term
+     * are void at once. A grant for an older term stays valid until it expires: the leader of that
+     * term may not have learned that it was replaced, and the controller whose refusal kept it from
+     * holding all grants may have restarted and grant again.
      *
-     * @param isPreferred whether this controller is to lead next; another one waits a moment, in
-     *     case the preferred one is down
+     * @param isPreferred whether the message names this controller as the preferred successor. Any
+     *     other controller becomes a candidate after a delay, which covers the case that the
+     *     preferred successor is down
      */
     public void onTermEnded(long endedTerm, boolean isPreferred, double nowSeconds) {
         if (endedTerm < givenGrants.newestTerm()
@@ -257,9 +313,10 @@
     }
 
     /**
-     * Another controller gave a grant.
+     * Another controller gave the grant that this leader requested.
      *
-     * @param sentAtSeconds when it was requested
+     * @param requestedTerm the term of the request
+     * @param sentAtSeconds when the request was sent
      */
     public void onGrantReceived(String peer, long requestedTerm, double sentAtSeconds) {
         if (state == State.LEADER && requestedTerm == term) {
@@ -268,7 +325,7 @@
     }
 
     /**
-     * The state service gave this controller the leader key.
+     * The state store stored the leader key and the new term for this controller.
      *
      * @param sentAtSeconds when the lease was requested
      */
@@ -287,7 +344,7 @@
         transitionTo(State.LEADER, nowSeconds);
     }
 
-    /** The leader key was not taken, or nobody knows whether it was. */
+    /** The leader key was not acquired, or the outcome of the acquisition is unknown. */
     public void onAcquisitionFailed(double nowSeconds) {
         if (state == State.ACQUIRING) {
             candidacyNotBeforeSeconds = nowSeconds + ACQUISITION_RETRY_SECONDS;
@@ -296,9 +353,9 @@
     }
 
     /**
-     * The state service's response to a renewal.
+     * The state store responded to a renewal of the lease.
      *
-     * @param isAlive false: the lease has expired
+     * @param isAlive false if the lease has expired
      * @param sentAtSeconds when the renewal was requested
      */
     public void onLeaseRenewed(
@@ -316,16 +373,20 @@
         }
     }
 
+    /**
+     * Returns when a lease expires that was granted or renewed by a request sent at this time. The
+     * duration is measured from the request, and shortened by the maximum clock drift and a margin.
+     */
     private double leaseExpiryAfter(double sentAtSeconds) {
         return sentAtSeconds
                 + leaseSeconds * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT)
                 - SAFETY_MARGIN_SECONDS;
     }
 
-    /** Gives up leading, if this controller leads, as another one can do better. */
+    /** Ends the term of this controller, if it leads, so that another controller can be elected. */
     public void resign(String reason, double nowSeconds) {
         if (state == State.LEADER) {
-            LOG.info("leadership handed over: term={} reason={}", term, reason);
+            LOG.info("leader resigned: term={} reason={}", term, reason);
             long heldLeaseId = leaseId;
             long endedTerm = term;
             candidacyNotBeforeSeconds = nowSeconds + RESIGNATION_COOLDOWN_SECONDS;
@@ -336,7 +397,10 @@
         }
     }
 
-    /** Does what is due. Called often, and after each event. */
+    /**
+     * Performs the state changes and requests that are due. Called at short intervals and after
+     * each event.
+     */
     public void tick(double nowSeconds) {
         switch (state) {
             case FOLLOWER -> tickAsFollower(nowSeconds);
@@ -356,8 +420,9 @@
     }
 
     /**
-     * A controller that replicates the leader's state goes first. The others wait only a moment, as
-     * there may be no such controller, or it may be down.
+     * Whether this controller may become a candidate already. A controller with a current replica
+     * becomes one at once. The others do so after a short delay, because no other controller may
+     * have a current replica, or the one that has it may be down.
      */
     private boolean mayBecomeCandidate(double nowSeconds) {
         return !hasEarlierTerm
@@ -386,13 +451,14 @@
                 actions.requestGrant(peer, term, nowSeconds);
             }
         }
-        logAuthorityChange(nowSeconds);
+        logAuthorizationChange(nowSeconds);
     }
 
-    private void logAuthorityChange(double nowSeconds) {
+    /** Logs when the leader becomes authorized to act, or stops being so, within its term. */
+    private void logAuthorizationChange(double nowSeconds) {
         boolean isLeader = isLeader(nowSeconds);
         if (isLeader != wasLeaderAtLastTick) {
-            LOG.info("authority to act changed: term={} leader={}", term, isLeader);
+            LOG.info("leader authorization changed: term={} authorized={}", term, isLeader);
             wasLeaderAtLastTick = isLeader;
         }
     }
--- a/src/main/java/io/kelphoist/election/GivenGrants.java
+++ b/src/main/java/io/kelphoist/election/GivenGrants.java
@@ -3,19 +3,23 @@
 import io.kelphoist.model.SchedulingPolicy;
 
 /**
- * The grants that this controller gave: promises not to lead until they expire. Only the last one
- * for the newest term, and the last one for any older term, matter.
+ * The grants that this controller gave to leaders: promises not to lead until they expire. It keeps
+ * the time of only two grants: the last one for the newest term, and the last one for any older
+ * term.
  */
 final class GivenGrants {
     private final double grantSeconds;
     private long newestTerm;
     private double lastGrantAtSeconds;
 
-    /** When the last grant for a term older than {@link #newestTerm} was given. */
+    /** Time of the last grant for a term older than {@link #newestTerm}. */
     private double lastOlderTermGrantAtSeconds;
 
     /**
-     * @param startedAtSeconds an earlier process may have given grants until then
+     * Creates the record of grants of a new process.
+     *
+     * @param startedAtSeconds when this process started. An earlier process of this controller may
+     *     have given grants until then, so a grant is assumed to have been given at this time
      */
     GivenGrants(double grantSeconds, double startedAtSeconds) {
         this.grantSeconds = grantSeconds;
@@ -23,11 +27,12 @@
         this.lastOlderTermGrantAtSeconds = startedAtSeconds;
     }
 
-    /** The newest term that a grant was given for; 0: none. */
+    /** Returns the newest term for which this process gave a grant; 0 if it gave none. */
     long newestTerm() {
         return newestTerm;
     }
 
+    /** Records a grant that is given now to the leader of a term. */
     void recordGrant(long term, double nowSeconds) {
         if (term > newestTerm) {
             lastOlderTermGrantAtSeconds = lastGrantAtSeconds;
@@ -36,14 +41,19 @@
         lastGrantAtSeconds = nowSeconds;
     }
 
-    /** The leader of a term acts no more: a grant for it is void, one for an older term is not. */
+    /**
+     * Voids the grants for a term whose leader has stopped acting. Grants for older terms remain
+     * valid until they expire.
+     */
     void onTermEnded(long endedTerm) {
         if (endedTerm == newestTerm) {
             lastGrantAtSeconds = lastOlderTermGrantAtSeconds;
         }
     }
 
-    /** Whether the last grant has surely expired, however the clocks drift. */
+    /**
+     * Whether the last grant has expired by the receiver's clock too, at the maximum clock drift.
+     */
     boolean haveExpired(double nowSeconds) {
         return nowSeconds
                 > lastGrantAtSeconds
--- a/src/main/java/io/kelphoist/election/ReceivedGrants.java
+++ b/src/main/java/io/kelphoist/election/ReceivedGrants.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The grants that the other controllers gave to the term that this controller leads. */
+/** The grants that this leader received from the other controllers for its current term. */
 final class ReceivedGrants {
     private final List<String> peers;
     private final double grantSeconds;
@@ -16,7 +16,10 @@
         this.grantSeconds = grantSeconds;
     }
 
-    /** Counts from when the grant was requested, and shorter than it is by the clocks' drift. */
+    /**
+     * Records a grant. Its duration is measured from the time of the request and shortened by the
+     * maximum clock drift and a margin, so that it expires here before it expires at the peer.
+     */
     void onReceived(String peer, double sentAtSeconds) {
         expiresAtSeconds.merge(
                 peer,
@@ -26,7 +29,7 @@
                 Math::max);
     }
 
-    /** Whether the grants of all other controllers are surely valid. */
+    /** Whether a grant of every other controller is still valid, at the maximum clock drift. */
     boolean areAllValid(double nowSeconds) {
         for (String peer : peers) {
             if (nowSeconds >= expiresAtSeconds.getOrDefault(peer, 0.0)) {
@@ -36,6 +39,7 @@
         return true;
     }
 
+    /** Discards all grants, because the term has ended. */
     void clear() {
         expiresAtSeconds.clear();
     }
--- a/src/test/java/io/kelphoist/election/ElectionCounters.java
+++ b/src/test/java/io/kelphoist/election/ElectionCounters.java
@@ -2,17 +2,22 @@
 
 import io.kelphoist.simulation.EventCounts;
 
-/** Counts of what happened in simulated elections. */
+/** Counters of the events in simulated elections. */
 final class ElectionCounters extends EventCounts<ElectionCounters.Counter> {
     /** An event that is counted. */
     enum Counter {
+        /** A controller was elected. */
         TERMS,
+        /** A leader resigned and sent handover messages. */
         HANDOVERS,
-        /** Leadership was acquired by a transaction that was carried out late. */
+        /** The leader key was acquired by a transaction that was committed after its timeout. */
         DELAYED_ACQUISITIONS,
-        /** Leadership was acquired by a transaction whose response was lost. */
+        /** The leader key was acquired by a transaction whose response was lost. */
         ACQUISITIONS_WITHOUT_RESPONSE,
-        /** Steps in which a controller led by grants alone, without the leader key. */
+        /**
+         * A simulation step in which a controller led by grants alone, because it did not hold the
+         * leader key or the state store was down.
+         */
         STEPS_LED_BY_GRANTS_ALONE
     }
 
--- a/src/test/java/io/kelphoist/election/ElectionSimulation.java
+++ b/src/test/java/io/kelphoist/election/ElectionSimulation.java
@@ -8,29 +8,41 @@
 import java.util.Random;
 
 /**
- * Elections of three controllers over a simulated state store and network, with faults: clocks
- * drift, messages are held and delivered late, in one direction or both, processes freeze, crash
- * and restart at once, leases last through an outage, transactions get no response and are carried
- * out late, and the state store refuses one controller. Time is true time in seconds, which only
- * the check sees: no two controllers lead at once.
+ * Simulates elections of three controllers over a simulated state store and network, and checks in
+ * each step that at most one controller leads.
+ *
+ * <p>The faults are: clocks drift; messages are delayed in one direction or both; processes freeze,
+ * crash and restart immediately; leases do not expire during an outage of the state store;
+ * transactions get no response and are committed after a delay; the state store refuses the
+ * requests of one controller. Times are in seconds of simulated true time, which the controllers
+ * cannot read.
  */
 public final class ElectionSimulation {
-    /** Receives what happens to terms, at the instant at which it happens. */
+    /** Receives the events of terms at the simulated time at which they occur. */
     public interface Listener {
-        /** The leader key and the term are stored; the controller may not know it yet. */
+        /**
+         * The leader key and the term were stored. The controller may not have received the
+         * response yet.
+         */
         default void onTermStored(String controller, long term) {}
 
+        /** The controller received the response and leads the term. */
         default void onElected(String controller, long term) {}
 
-        /** The controller knows that its term is over, or its process has crashed. */
+        /** The controller stopped leading its term, or its process crashed. */
         default void onLeadershipEnded(String controller) {}
     }
 
+    /** The names of the controllers. */
     public static final List<String> NAMES = List.of("n0", "n1", "n2");
 
     private static final double STEP_SECONDS = 0.05;
     private static final double CLOCK_OFFSET_SPACING_SECONDS = 1000;
+
+    /** A controller reads the leadership keys in one of this many steps on average. */
     private static final int MEAN_STEPS_PER_KEY_READ = 40;
+
+    /** Time after the last fault within which a leader must have been elected. */
     private static final double CONVERGENCE_SECONDS = 40;
 
     private final SimulatedTimeline timeline = new SimulatedTimeline();
@@ -40,7 +52,7 @@
     private final List<SimulatedController> controllers = new ArrayList<>();
     private final ElectionCounters counters = new ElectionCounters();
 
-    /** NaN: a controller leads. */
+    /** Since when no controller leads; NaN while one does. */
     private double leaderlessSinceSeconds = Double.NaN;
 
     private double longestLeaderlessSeconds;
@@ -49,6 +61,7 @@
         this(seed, new Listener() {});
     }
 
+    /** Starts three controllers without a leader. */
     public ElectionSimulation(long seed, Listener listener) {
         random = new Random(seed);
         store =
@@ -77,7 +90,10 @@
 
     // ---- faults ----
 
-    /** Blocks messages in one direction; unblocked, what was held is delivered. */
+    /**
+     * Blocks or unblocks messages in one direction. Held messages are delivered when the link is
+     * unblocked.
+     */
     public void setLinkBlocked(int from, int to, boolean blocked) {
         links.setBlocked(controllers.get(from), controllers.get(to), blocked);
     }
@@ -94,6 +110,7 @@
         controllers.get(controller).resign();
     }
 
+    /** Starts or ends an outage of the state store. */
     public void setStoreDown(boolean down) {
         store.setDown(down);
     }
@@ -102,36 +119,39 @@
         controllers.get(controller).setRefusedByStore(refused);
     }
 
-    /** The state store refuses whichever controller is in the leader's state. */
+    /** Makes the state store refuse the requests of each controller that is in the state LEADER. */
     public void setLeaderRefusedByStore() {
         controllers.stream()
                 .filter(controller -> controller.election().state() == Election.State.LEADER)
                 .forEach(controller -> controller.setRefusedByStore(true));
     }
 
-    /** Of ten transactions, how many get no response and are carried out late. */
-    void setDelayedTransactions(int ofTen) {
-        store.setDelayedTransactions(ofTen);
+    /** Sets how many of ten transactions get no response and are committed after a delay. */
+    void setDelayedTransactions(int perTen) {
+        store.setDelayedTransactions(perTen);
     }
 
-    /** Of ten requests to the state store, how many are carried out without a response. */
-    public void setLostResponses(int ofTen) {
-        store.setLostResponses(ofTen);
+    /** Sets how many of ten requests to the state store are carried out without a response. */
+    public void setLostResponses(int perTen) {
+        store.setLostResponses(perTen);
     }
 
+    /** Pauses the leader's process. */
     public void freezeLeader(double seconds) {
         leader().ifPresent(leader -> leader.freeze(seconds));
     }
 
+    /** Crashes the leader's process and restarts it after a delay. */
     public void crashLeader(double restartSeconds) {
         leader().ifPresent(leader -> leader.crash(restartSeconds));
     }
 
+    /** Makes the leader resign. */
     public void resignLeader() {
         leader().ifPresent(SimulatedController::resign);
     }
 
-    /** All faults end now. */
+    /** Ends all faults. */
     public void endFaults() {
         for (int from = 0; from < NAMES.size(); from++) {
             setRefusedByStore(from, false);
@@ -145,18 +165,18 @@
         setStoreDown(false);
     }
 
-    /** All faults end: soon a controller leads. */
+    /** Ends all faults and checks that a controller leads after {@link #CONVERGENCE_SECONDS}. */
     void endFaultsAndCheckLeader() {
         endFaults();
         advance(CONVERGENCE_SECONDS);
         if (leader().isEmpty()) {
-            throw new AssertionError("no leader at the end: " + this);
+            throw new AssertionError("no leader after all faults ended, expected one: " + this);
         }
     }
 
     // ---- time ----
 
-    /** Time passes. */
+    /** Advances the simulated time. */
     public void advance(double seconds) {
         for (double end = timeline.nowSeconds() + seconds; timeline.nowSeconds() < end; ) {
             step();
@@ -189,7 +209,10 @@
     private void checkOneLeader(List<SimulatedController> leading) {
         if (leading.size() > 1) {
             throw new AssertionError(
-                    "several leaders at once, at " + timeline.nowSeconds() + ": " + leading);
+                    "expected at most one leader: atSeconds="
+                            + timeline.nowSeconds()
+                            + " leaders="
+                            + leading);
         }
     }
 
@@ -215,12 +238,13 @@
         return controllers.stream().filter(SimulatedController::isLeading).findFirst();
     }
 
-    /** Whether this controller leads in this term now. */
+    /** Whether this controller leads this term now. */
     public boolean isLeading(String name, long term) {
         SimulatedController controller = controller(name);
         return controller.isLeading() && controller.election().term() == term;
     }
 
+    /** Whether the state store refuses this controller's requests. */
     public boolean isRefusedByStore(String name) {
         return controller(name).isRefusedByStore();
     }
@@ -237,7 +261,7 @@
         return counters.get(counter);
     }
 
-    /** The longest time without a leader. */
+    /** Returns the longest time so far without a leader. */
     double longestLeaderlessSeconds() {
         return longestLeaderlessSeconds;
     }
--- a/src/test/java/io/kelphoist/election/ElectionTest.java
+++ b/src/test/java/io/kelphoist/election/ElectionTest.java
@@ -12,11 +12,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whatever faults a run combines, at most one controller leads at a time, and one in the end. */
+/**
+ * Runs simulated elections with random combinations of faults. At most one controller may be leader
+ * at any time, and one must lead after the faults have ended.
+ */
 class ElectionTest {
     private static final ElectionCounters COUNTERS = new ElectionCounters();
 
-    /** A number's rest modulo 21 selects the kind of event, its quotients the arguments. */
+    /**
+     * Applies one random event and advances the time: {@code step % 21} selects the kind of event,
+     * quotients of {@code step} its arguments.
+     */
     private static void applyStep(ElectionSimulation simulation, int step) {
         int controller = step / 20 % 3;
         int argument = step / 60;
@@ -66,9 +72,10 @@
     }
 
     /**
-     * Leadership is acquired and only the response is lost, as are the responses to half of the
-     * renewals: the controller that acquired it finds that out, or its lease ends. The time without
-     * a leader is bounded by a crash, a lease and two acquisitions.
+     * Guards against an election that stalls because a controller acquired the leader key without
+     * receiving the response. The responses to half of the renewals are lost too. The controller
+     * must read that it holds the key, or the key's lease must expire. The time without a leader is
+     * bounded by one crash, one lease and two acquisitions.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
@@ -80,17 +87,21 @@
             simulation.crash(i % 3, 0.3);
             simulation.advance(13);
         }
-        int unseen = simulation.count(Counter.ACQUISITIONS_WITHOUT_RESPONSE);
-        double leaderless = simulation.longestLeaderlessSeconds();
+        int withoutResponse = simulation.count(Counter.ACQUISITIONS_WITHOUT_RESPONSE);
+        double leaderlessSeconds = simulation.longestLeaderlessSeconds();
         assertTrue(
-                unseen > 5 && leaderless < 13,
-                unseen + " unseen acquisitions, without a leader for " + leaderless + " s");
+                withoutResponse > 5 && leaderlessSeconds < 13,
+                withoutResponse
+                        + " acquisitions without a response, expected over 5; without a leader for "
+                        + leaderlessSeconds
+                        + " s, expected under 13 s");
         simulation.endFaultsAndCheckLeader();
     }
 
     /**
-     * Leaders crash or resign every five seconds, also inside an outage: never two lead, and one
-     * does soon after.
+     * The leader crashes or resigns every five seconds, also during outages of the state store.
+     * There must never be two leaders, and a new one must be elected after at least half of the 24
+     * changes.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
@@ -108,13 +119,13 @@
             simulation.advance(5);
         }
         int terms = simulation.count(Counter.TERMS) - before;
-        assertTrue(terms >= 12, terms + " terms");
+        assertTrue(terms >= 12, terms + " terms, expected at least 12");
         simulation.endFaultsAndCheckLeader();
     }
 
     /**
-     * The property would hold as well if no controller ever led, handed over, or led by grants
-     * alone.
+     * Checks that the simulated faults had an effect. Without this check the property would also
+     * hold if no controller ever led, handed over its term, or led by grants alone.
      */
     @AfterContainer
     static void faultsAndTheirEffectsOccurred() {
--- a/src/test/java/io/kelphoist/election/SimulatedController.java
+++ b/src/test/java/io/kelphoist/election/SimulatedController.java
@@ -7,9 +7,12 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** A controller's process with its clock, its election and its requests to the state store. */
+/**
+ * A controller's process: its clock, its election, and its requests to the state store and to other
+ * controllers.
+ */
 final class SimulatedController implements Election.Actions {
-    /** What controllers share. */
+    /** The parts of the simulation that all controllers share. */
     record Environment(
             SimulatedTimeline timeline,
             Random random,
@@ -50,6 +53,7 @@
         store = environment.store();
     }
 
+    /** The name of this controller. */
     String name() {
         return name;
     }
@@ -58,10 +62,12 @@
         return election;
     }
 
+    /** Number of the current process of this controller. */
     long incarnation() {
         return incarnation;
     }
 
+    /** This controller's own clock, which drifts. */
     double clock() {
         return clockOffsetSeconds + timeline.nowSeconds() * clockRate;
     }
@@ -76,7 +82,7 @@
 
     // ---- the process ----
 
-    /** A new process starts and knows nothing. */
+    /** Starts a new process without any state of an earlier one. */
     void start() {
         incarnation++;
         up = true;
@@ -99,17 +105,17 @@
     void crash(double restartSeconds) {
         up = false;
         environment.listener().onLeadershipEnded(name);
-        long crashed = incarnation;
+        long crashedIncarnation = incarnation;
         timeline.schedule(
                 restartSeconds,
                 () -> {
-                    if (incarnation == crashed) {
+                    if (incarnation == crashedIncarnation) {
                         start();
                     }
                 });
     }
 
-    /** The process stands still while its clock runs on. */
+    /** Pauses the process while its clock continues to run. */
     void freeze(double seconds) {
         frozenUntilSeconds = timeline.nowSeconds() + seconds;
     }
@@ -128,19 +134,23 @@
         return refusedByStore;
     }
 
-    /** Runs later in this process, if it still exists; a frozen process runs it when it goes on. */
+    /**
+     * Runs an action in this process after a delay. It is dropped if the process has ended by then,
+     * and run after the pause if the process is frozen.
+     */
     void schedule(double delaySeconds, Runnable action) {
-        long scheduledIn = incarnation;
-        timeline.schedule(delaySeconds, () -> runIn(scheduledIn, action));
+        long scheduledIncarnation = incarnation;
+        timeline.schedule(delaySeconds, () -> runIn(scheduledIncarnation, action));
     }
 
-    private void runIn(long scheduledIn, Runnable action) {
-        if (incarnation != scheduledIn || !up) {
+    private void runIn(long scheduledIncarnation, Runnable action) {
+        if (incarnation != scheduledIncarnation || !up) {
             return;
         }
         double now = timeline.nowSeconds();
         if (now < frozenUntilSeconds) {
-            timeline.schedule(frozenUntilSeconds - now + 0.001, () -> runIn(scheduledIn, action));
+            timeline.schedule(
+                    frozenUntilSeconds - now + 0.001, () -> runIn(scheduledIncarnation, action));
         } else {
             action.run();
         }
@@ -152,7 +162,10 @@
         return !store.isDown() && !refusedByStore;
     }
 
-    /** A request and its response; empty: it was refused and not carried out. */
+    /**
+     * Sends a request to the state store. The response is empty if the request was refused and not
+     * carried out.
+     */
     private <T> void request(Supplier<T> carryOut, Consumer<Optional<T>> onResponse) {
         timeline.schedule(
                 random.nextInt(20) / 100.0,
@@ -189,7 +202,8 @@
         newestRevision = keys.revision();
         SimulatedElectionStore.Key leader = keys.leader();
         if (keys.isHeldBy(name) && !hasTriedToAcquire && !hasReleasedOldLease) {
-            // An earlier process of this controller was the leader.
+            // An earlier process of this controller was the leader; its lease is not needed any
+            // more.
             hasReleasedOldLease = true;
             releaseLease(leader.leaseId());
         }
@@ -261,14 +275,17 @@
         }
     }
 
-    private void countIfCommitted(
-            Counter counter, boolean isCarriedOut, Supplier<Long> transaction) {
-        if (isCarriedOut && transaction.get() != 0) {
+    /** Runs a transaction whose response is lost or late, and counts it if it was committed. */
+    private void countIfCommitted(Counter counter, boolean isReceived, Supplier<Long> transaction) {
+        if (isReceived && transaction.get() != 0) {
             environment.counters().increment(counter);
         }
     }
 
-    /** After a transaction without a response: finds out whether it was carried out. */
+    /**
+     * Reads the leadership keys after a transaction without a response, to find out whether it was
+     * committed.
+     */
     private void resolveUnknownOutcome(long leaseId, long term, double sentAt) {
         request(
                 store::read,
@@ -384,6 +401,6 @@
 
     @Override
     public String toString() {
-        return name + " " + election.state() + " sees " + election.leader();
+        return name + " state=" + election.state() + " leader=" + election.leader();
     }
 }
--- a/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
+++ b/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
@@ -5,22 +5,22 @@
 import java.util.Map;
 import java.util.Random;
 
-/** The state store's part in elections: leases, the leader key and the term key. */
+/** The part of the state store that elections use: leases, the leader key and the term key. */
 final class SimulatedElectionStore {
     static final double LEASE_SECONDS = 3;
 
     /**
-     * A key's value.
+     * The value of a leadership key.
      *
-     * @param leaseId the lease that it is bound to; 0: none
+     * @param leaseId the lease that the key is bound to; 0 if it has none
      */
     record Key(String controller, long term, long leaseId, long revision) {}
 
     /**
-     * Both keys at one revision.
+     * Both leadership keys at one revision.
      *
-     * @param leader null: the key is absent
-     * @param term null: the key is absent
+     * @param leader the leader key; null if it is absent
+     * @param term the term key; null if it is absent
      */
     record Snapshot(Key leader, Key term, long revision) {
         long lastTerm() {
@@ -46,8 +46,8 @@
     private Key leader;
     private Key term;
     private boolean down;
-    private int delayedTransactionsOfTen;
-    private int lostResponsesOfTen;
+    private int delayedTransactionsPerTen;
+    private int lostResponsesPerTen;
 
     SimulatedElectionStore(
             SimulatedTimeline timeline,
@@ -64,7 +64,7 @@
         return down;
     }
 
-    /** After an outage all leases have their full time again. */
+    /** Starts or ends an outage. When it ends, each lease gets its full duration again. */
     void setDown(boolean down) {
         if (this.down && !down) {
             leaseExpiries.replaceAll((leaseId, expiry) -> timeline.nowSeconds() + LEASE_SECONDS);
@@ -72,20 +72,20 @@
         this.down = down;
     }
 
-    void setDelayedTransactions(int ofTen) {
-        delayedTransactionsOfTen = ofTen;
+    void setDelayedTransactions(int perTen) {
+        delayedTransactionsPerTen = perTen;
     }
 
-    void setLostResponses(int ofTen) {
-        lostResponsesOfTen = ofTen;
+    void setLostResponses(int perTen) {
+        lostResponsesPerTen = perTen;
     }
 
     boolean drawDelayedTransaction() {
-        return random.nextInt(10) < delayedTransactionsOfTen;
+        return random.nextInt(10) < delayedTransactionsPerTen;
     }
 
     boolean drawLostResponse() {
-        return random.nextInt(10) < lostResponsesOfTen;
+        return random.nextInt(10) < lostResponsesPerTen;
     }
 
     Snapshot read() {
@@ -97,13 +97,17 @@
         return lastLeaseId;
     }
 
-    /** Returns false if the lease has ended. */
+    /** Returns false if the lease has expired or was revoked. */
     boolean renewLease(long leaseId) {
         return leaseExpiries.computeIfPresent(
                         leaseId, (id, expiry) -> timeline.nowSeconds() + LEASE_SECONDS)
                 != null;
     }
 
+    /**
+     * Removes a lease that has expired or is revoked, and deletes the leader key if it is bound to
+     * it.
+     */
     void removeLease(long leaseId) {
         boolean existed = leaseExpiries.remove(leaseId) != null;
         if (existed && leader != null && leader.leaseId() == leaseId) {
@@ -113,7 +117,10 @@
         }
     }
 
-    /** Leases end up to 100 ms late, but never early, and not during an outage. */
+    /**
+     * Removes expired leases, each up to 100 ms late but never early. Leases do not expire during
+     * an outage.
+     */
     void expireLeases(double stepSeconds) {
         if (down) {
             return;
@@ -126,10 +133,10 @@
     }
 
     /**
-     * The transaction that acquires leadership for the term after {@code lastTerm}. A put under a
-     * lease that has ended is refused whatever the conditions.
+     * Runs the transaction that acquires the leader key for the term after {@code lastTerm}. It is
+     * refused if the lease has expired, whether or not its conditions hold.
      *
-     * @return its revision; 0: a condition does not hold
+     * @return the revision of the transaction; 0 if it was refused
      */
     long acquire(String controller, long leaseId, long lastTerm, long termVersion) {
         if (!leaseExpiries.containsKey(leaseId)
--- a/src/test/java/io/kelphoist/election/SimulatedLinks.java
+++ b/src/test/java/io/kelphoist/election/SimulatedLinks.java
@@ -8,8 +8,9 @@
 import java.util.Random;
 import java.util.Set;
 
-/** One-way links between controllers; messages over a blocked link wait until it is unblocked. */
+/** One-way links between controllers. Messages on a blocked link are held until it is unblocked. */
 final class SimulatedLinks {
+    /** One direction between two controllers. */
     private record Link(SimulatedController from, SimulatedController to) {}
 
     private static final double HELD_MESSAGE_DELAY_SECONDS = 0.01;
@@ -37,11 +38,13 @@
         }
     }
 
+    /** Delivers a message after up to 70 ms, or holds it while the link is blocked. */
     void send(SimulatedController from, SimulatedController to, Runnable onArrival) {
         long incarnation = to.incarnation();
         Runnable message =
                 () -> {
-                    // A restarted process has new connections; messages on old ones are lost.
+                    // A restarted process has new connections; messages on its old connections are
+                    // lost.
                     if (to.incarnation() == incarnation) {
                         to.schedule(0, onArrival);
                     }
--- a/src/test/java/io/kelphoist/election/SimulatedTimeline.java
+++ b/src/test/java/io/kelphoist/election/SimulatedTimeline.java
@@ -2,7 +2,10 @@
 
 import io.kelphoist.simulation.ScheduledEvents;
 
-/** True time in seconds, and what is scheduled in it; events of one instant keep their order. */
+/**
+ * The simulated true time in seconds and the events scheduled in it. Events at the same time run in
+ * the order in which they were scheduled.
+ */
 final class SimulatedTimeline {
     private static final double START_SECONDS = 100;
 
