--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -15,39 +15,49 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The failover of one term: from the election of this controller to its first decision.
+ * The failover of one term: from the election of this controller to its first scheduling decision.
  *
- * <p>Before a leader decides it must know what runs where. Instead of waiting for one round of
- * regular heartbeats it requests one from each known machine, under the fencing token of its term;
- * from its answer on the machine refuses whatever an earlier leader sent. A machine that does not
- * answer counts with all that is recorded for it until its lease has certainly expired. So
- * decisions rest on records and on such heartbeats alone; which machines to ask is only a hint.
+ * <p>Before a leader starts or stops tasks it must know which task attempts run on which machine.
+ * Instead of waiting for one round of regular heartbeats, it sends a status request to each machine
+ * that it has a record or a replica of. The request carries the fencing token of the term, and the
+ * machine responds with a heartbeat. From its response on, the machine refuses the commands of
+ * earlier leaders. If a machine does not respond, all task attempts that are recorded for it are
+ * assumed to be running until its worker lease has expired at the maximum clock drift. Decisions
+ * are therefore based only on the records and on these heartbeats; the list of machines only
+ * determines which machines receive a status request.
  *
- * <p>Owns the state of the failover and of the heartbeat requests. Pure: events and times, in
- * seconds of the event loop's clock, come in as arguments; confined to one thread.
+ * <p>Owns the state of the failover and of the status requests. Performs no I/O: events and times,
+ * in seconds of the event loop's clock, are passed in. Confined to one thread.
  */
 public final class Failover implements PromotionGate {
-    /** The states, in their order; only {@link #transitionTo} changes them. */
+    /**
+     * The states of the failover, in the order in which they follow. {@link #transitionTo} is the
+     * only method that changes the state.
+     */
     public enum State {
-        /** The records are being read, or verified to be current. */
+        /**
+         * The records are being read from the state store, or a replica of them is being verified
+         * to be current.
+         */
         LOADING_RECORDS,
-        /** Heartbeats are being requested from machines. */
+        /** Status requests are sent to machines, or their regular heartbeats are awaited. */
         REQUESTING_STATUS,
-        /** The leader may decide. */
+        /** The failover is complete: the leader may start and stop tasks. */
         ACTIVE
     }
 
-    /** Sends heartbeat requests; the outcome of each goes to {@link #onStatusRequestOutcome}. */
+    /** Sends status requests. The outcome of each is passed to {@link #onStatusRequestOutcome}. */
     public interface StatusRequester {
         /**
-         * Requests a heartbeat.
+         * Sends a status request, to which the machine responds with a heartbeat.
          *
-         * @param agentEpoch the epoch of the machine's agent as far as it is known, otherwise 0
+         * @param agentEpoch the newest agent epoch of the machine that this leader or an earlier
+         *     one has received; 0 if there is none
          */
         void requestStatus(Machine machine, long agentEpoch);
     }
 
-    /** How far the request to one machine is. */
+    /** The state of the status request to one machine. */
     private enum RequestState {
         NOT_SENT,
         IN_FLIGHT,
@@ -55,7 +65,7 @@
         FAILED
     }
 
-    /** The request to one machine, with its retries. */
+    /** The status request to one machine, with its retries. */
     private static final class StatusRequest {
         private RequestState state = RequestState.NOT_SENT;
         private long agentEpoch;
@@ -74,12 +84,16 @@
             state = RequestState.FAILED;
         }
 
-        /** The agent has another epoch than was named, and so did not look at the token. */
-        void onEpochMismatch(long answeredEpoch) {
-            agentEpoch = answeredEpoch;
+        /**
+         * The agent's epoch differs from the one in the request, so it did not check the fencing
+         * token.
+         */
+        void onEpochMismatch(long reportedEpoch) {
+            agentEpoch = reportedEpoch;
             state = RequestState.NOT_SENT;
         }
 
+        /** The request was not sent; it does not count towards the maximum number of requests. */
         void onNotAttempted() {
             sentCount--;
             state = RequestState.NOT_SENT;
@@ -92,7 +106,10 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Failover.class);
 
-    /** After so many requests with a wrong epoch the machine's regular heartbeat must do. */
+    /**
+     * After this many requests with a wrong agent epoch, the machine's regular heartbeat is awaited
+     * instead.
+     */
     private static final int MAX_REQUESTS_PER_MACHINE = 3;
 
     private static final double HUNDREDTHS_PER_SECOND = 100.0;
@@ -102,7 +119,7 @@
     private final double timeoutSeconds;
     private final double listLagSeconds;
 
-    /** 0 if no heartbeats are requested. */
+    /** Maximum number of status requests without a response; 0 if no status requests are sent. */
     private final int maxInFlight;
 
     private final StatusRequester statusRequester;
@@ -111,22 +128,29 @@
     private State state = State.LOADING_RECORDS;
     private int inFlight;
 
-    /** The cloud or the previous leader has told which machines there are. */
+    /**
+     * Whether the list of machines has been loaded, from the cloud or from the replica of the
+     * previous leader's state.
+     */
     private boolean machineListLoaded;
 
-    /** An earlier leader has started tasks that may still run. */
+    /** Whether an earlier leader started tasks that may still run. */
     private boolean foundOutstandingStarts;
 
-    /** The replica of the previous leader's machines was complete. */
+    /** Whether the replica of the previous leader's machines was complete. */
     private boolean warmStandby;
 
     /**
      * Starts the failover of a term.
      *
-     * @param timeoutSeconds how long machines are waited for at most: one round of heartbeats
-     * @param listLagSeconds how late the cloud's instance list usually is at most
-     * @param maxInFlight requests without an answer at a time, which paces them and the heartbeats
-     *     that follow; 0 if none are sent and regular heartbeats are waited for
+     * @param term the term, whose number is the fencing token of the status requests
+     * @param timeoutSeconds maximum time to wait for the machines: one round of heartbeats
+     * @param listLagSeconds usual upper bound on the delay until the cloud's instance list contains
+     *     a new machine
+     * @param maxInFlight maximum number of status requests without a response. It limits the rate
+     *     of the requests and of the heartbeats that follow. 0: no status requests are sent and
+     *     regular heartbeats are awaited
+     * @param nowSeconds when this controller was elected
      */
     public Failover(
             long term,
@@ -144,12 +168,15 @@
         markPassed(PromotionCheck.LEADERSHIP, "", nowSeconds);
     }
 
-    /** The current state. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
 
-    /** Seconds from the start of the term until a check passed; NaN if it has not. */
+    /**
+     * Returns the seconds from the start of the term until a check passed; NaN if it has not
+     * passed.
+     */
     public double secondsUntilPassed(PromotionCheck check) {
         Double passedAtSeconds = passTimes.get(check);
         return passedAtSeconds == null ? Double.NaN : passedAtSeconds - startedAtSeconds;
@@ -171,16 +198,17 @@
     }
 
     /**
-     * All records are known as of some revision.
+     * All records have been loaded, each kind as of some revision.
      *
      * @param oldestRevision the oldest revision of any kind of record
-     * @param termRevision the revision at which the own term was stored
-     * @return whether they are recent enough; otherwise they must be read again
+     * @param termRevision the revision at which this leader's term was stored
+     * @return whether the records are at least as recent as the term; otherwise they must be read
+     *     again
      */
     public boolean onRecordsLoaded(long oldestRevision, long termRevision, double nowSeconds) {
         if (oldestRevision < termRevision) {
             LOG.error(
-                    "records are older than the term and are read again: term={} revision={}"
+                    "records are older than the term, reading them again: term={} revision={}"
                             + " termRevision={}",
                     term,
                     oldestRevision,
@@ -194,8 +222,8 @@
     }
 
     /**
-     * The machines of the previous leader are known from a complete replica: whom to ask, and what
-     * not to scale out again.
+     * The machines of the previous leader have been loaded from a complete replica. They determine
+     * which machines receive a status request, and which scale-out must not be requested again.
      */
     public void onReplicaApplied(double nowSeconds) {
         machineListLoaded = true;
@@ -203,7 +231,7 @@
         markPassed(PromotionCheck.LIST, " source=replica", nowSeconds);
     }
 
-    /** The cloud has listed its machines, with their addresses. */
+    /** The cloud has returned its instance list, which contains the addresses of the machines. */
     @Override
     public void onInstancesListed(double nowSeconds) {
         machineListLoaded = true;
@@ -215,8 +243,11 @@
     }
 
     /**
-     * Machines that an earlier leader requested last may not be listed yet: until they must be,
-     * none are requested again. Without any trace of an earlier leader there are none such.
+     * Whether machines may be requested from the cloud. The machines that an earlier leader
+     * requested shortly before the failover may not be in the instance list yet; no machine is
+     * requested until the usual delay of that list has passed, so that they are not requested
+     * twice. This wait is skipped if the records contain no outstanding starts of an earlier
+     * leader.
      */
     @Override
     public boolean mayScaleOut(double nowSeconds) {
@@ -229,7 +260,10 @@
         return passTimes.containsKey(PromotionCheck.LIST);
     }
 
-    /** Sends the requests that are due, and finds out whether the leader may decide. */
+    /**
+     * Sends the status requests that are due, and completes the failover once no response is
+     * pending or the timeout has passed.
+     */
     public void advance(Collection<Machine> machines, double nowSeconds) {
         if (state != State.REQUESTING_STATUS) {
             return;
@@ -257,15 +291,16 @@
     }
 
     /**
-     * Whether a machine may still answer. One that is recorded but whose address is unknown even to
-     * the cloud cannot be asked.
+     * Whether a machine may still respond. A machine that is in the records, but whose address is
+     * still missing after the machine list was loaded, cannot receive a request.
      */
     private boolean isPending(Machine machine, StatusRequest request) {
-        boolean mayBeAsked =
+        boolean canBeRequested =
                 machine.address() != null || (machine.hasAttempts() && !machineListLoaded);
-        return request.state != RequestState.FAILED && mayBeAsked;
+        return request.state != RequestState.FAILED && canBeRequested;
     }
 
+    /** Sends status requests by priority, up to the maximum number in flight. */
     private void sendRequests(List<Machine> dueMachines) {
         dueMachines.sort(Comparator.comparingInt(Failover::requestPriority));
         for (Machine machine : dueMachines) {
@@ -280,6 +315,12 @@
         }
     }
 
+    /**
+     * Whether no further response needs to be awaited before the timeout. With outstanding starts,
+     * the machine list must be loaded and every status request must have ended; if status requests
+     * are disabled, the failover lasts until the timeout. Without outstanding starts only pending
+     * status requests are awaited.
+     */
     private boolean areRequestsComplete(int pendingCount) {
         boolean requestsEnabled = maxInFlight > 0;
         if (foundOutstandingStarts) {
@@ -289,30 +330,37 @@
     }
 
     private void complete(Collection<Machine> machines, double nowSeconds) {
-        long silentCount =
+        long unresponsiveCount =
                 machines.stream()
                         .filter(machine -> machine.awaitsFirstHeartbeat() && machine.hasAttempts())
                         .count();
-        // Silent machines count until they answer or their lease has expired.
-        markPassed(PromotionCheck.MACHINES, " silentMachines=" + silentCount, nowSeconds);
+        // Attempts on an unresponsive machine are assumed to be running until the machine responds
+        // or its worker lease has expired.
+        markPassed(
+                PromotionCheck.MACHINES, " unresponsiveMachines=" + unresponsiveCount, nowSeconds);
         LOG.info(
-                "failover complete: term={} afterSeconds={} machines={} silentMachines={} standby={}",
+                "failover complete: term={} afterSeconds={} machines={} unresponsiveMachines={}"
+                        + " standby={}",
                 term,
                 roundToHundredths(nowSeconds - startedAtSeconds),
                 machines.size(),
-                silentCount,
+                unresponsiveCount,
                 warmStandby ? "warm" : "cold");
         transitionTo(State.ACTIVE);
     }
 
-    /** Without a formatter, as making the first one takes a tenth of the start-up time. */
+    /**
+     * Rounds without a formatter, because creating the first formatter takes a tenth of the
+     * start-up time.
+     */
     private static double roundToHundredths(double seconds) {
         return Math.round(seconds * HUNDREDTHS_PER_SECOND) / HUNDREDTHS_PER_SECOND;
     }
 
     /**
-     * First machines with services and gangs, whose loss costs most, and those with a command of
-     * the previous leader in flight; then machines with other tasks.
+     * Returns the order of status requests; the lowest number is sent first. First come machines
+     * with tasks of services and gangs, whose loss is the most expensive, and machines with a
+     * command of the previous leader in flight; then machines with other tasks; then all others.
      */
     private static int requestPriority(Machine machine) {
         if (machine.hasGangOrServiceTask() || machine.hasUnansweredCommandOfPreviousLeader()) {
@@ -322,9 +370,10 @@
     }
 
     /**
-     * A heartbeat request has ended.
+     * A status request has ended.
      *
-     * @param heartbeat the machine's answer; null if there was none
+     * @param outcome how the delivery of the request ended
+     * @param heartbeat the machine's response; null if it did not respond
      */
     public void onStatusRequestOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
@@ -333,10 +382,10 @@
             return;
         }
         inFlight--;
-        boolean isAnswer = heartbeat != null && heartbeat.machineName().equals(machineName);
-        if (isAnswer && heartbeat.fencingToken() >= term) {
+        boolean isResponse = heartbeat != null && heartbeat.machineName().equals(machineName);
+        if (isResponse && heartbeat.fencingToken() >= term) {
             request.onResponded();
-        } else if (isAnswer && request.canResend()) {
+        } else if (isResponse && request.canResend()) {
             request.onEpochMismatch(heartbeat.agentEpoch());
         } else if (outcome == DeliveryOutcome.NOT_ATTEMPTED) {
             request.onNotAttempted();
--- a/src/main/java/io/kelphoist/failover/PromotionCheck.java
+++ b/src/main/java/io/kelphoist/failover/PromotionCheck.java
@@ -1,25 +1,29 @@
 package io.kelphoist.failover;
 
 /**
- * What must hold before the first decision of a term. Each check is logged when it passes. Names
- * are values of a metric's label, and so part of the interface to the operators.
+ * The checks that must pass before the first scheduling decision of a term. Each check is logged
+ * when it passes. The names are values of a metric label and therefore part of the operators'
+ * interface.
  */
 public enum PromotionCheck {
-    /** The term was taken by compare-and-swap, and this controller may act as the leader. */
+    /**
+     * This controller stored the term by compare-and-swap and is authorized to act as the leader.
+     */
     LEADERSHIP,
-    /** Each kind of record is known as of a revision not older than the term. */
+    /** Each kind of record was loaded as of a revision that is not older than the term. */
     RECORDS,
     /**
-     * All starts are known that an earlier leader may have sent. A start is stored under the term
-     * of its leader before it is sent, so that this follows from {@link #RECORDS}; each start that
-     * may still be executed counts.
+     * All start commands that an earlier leader may have sent are loaded. A start is stored under
+     * the term of its leader before it is sent, so this follows from {@link #RECORDS}. Each start
+     * that may still be executed is treated as a running task.
      */
     ORDERS,
     /**
-     * Each machine that may run a task has answered under the fencing token of the term, or counts
-     * until its lease has certainly expired.
+     * Each machine that may run a task has responded under the fencing token of the term. The tasks
+     * of any other machine are assumed to be running until its worker lease has expired at the
+     * maximum clock drift.
      */
     MACHINES,
-    /** The machines that the cloud runs are known well enough to request more. */
+    /** The list of machines in the cloud is complete enough to request further machines. */
     LIST
 }
--- a/src/main/java/io/kelphoist/failover/package-info.java
+++ b/src/main/java/io/kelphoist/failover/package-info.java
@@ -1,9 +1,8 @@
 /**
- * What happens between the election of a leader and its first decision: the checks that must pass,
- * and the heartbeats that are requested for them.
+ * The failover, from the election of a leader to its first scheduling decision: the checks that
+ * must pass, and the status requests to machines that they need.
  *
- * <p>Owns the state of one failover. Pure: it does no input or output, and takes events and times
- * as arguments. It runs on the event loop, and must not depend on leadership, the state store or
- * wire formats.
+ * <p>Owns the state of one failover. Performs no I/O: events and times are passed in. It runs on
+ * the event loop, and must not depend on leadership, the state store or wire formats.
  */
 package io.kelphoist.failover;
