--- a/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
@@ -7,31 +7,35 @@
 import java.util.Map;
 
 /**
- * The moment up to which the leader of one term knows all cancellations that any user was told of.
- * Leases are renewed and tasks started only within {@link DelegationTiming#renewalWindowSeconds}
- * after this moment.
+ * The time up to which the leader of one term has received all cancellations that any controller
+ * acknowledged to a user, called confirmed cancellations. Leases are renewed and tasks started only
+ * within {@link DelegationTiming#renewalWindowSeconds} after this time.
  *
  * <p>Two sources advance the watermark:
  *
  * <ul>
- *   <li>A completed read of the jobs, as of when it was requested, because a cancellation is stored
- *       before a user is told of it.
- *   <li>A {@link ConfirmedCancellations.Statement} of every other controller, as of when the oldest
- *       of those requests was sent. The state store may be down, or unreachable from the leader
- *       alone, for longer than a cancellation may take.
+ *   <li>A completed read of the jobs. It advances the watermark to the time of the request, because
+ *       a cancellation is stored before it is acknowledged to a user.
+ *   <li>A {@link ConfirmedCancellations.Statement} of every other controller. They advance the
+ *       watermark to the time when the oldest of the requests for them was sent. This source is
+ *       needed because the state store may be down, or unreachable only from the leader, for longer
+ *       than the time in which a cancelled job's tasks must stop.
  * </ul>
  *
- * <p>Cancellations that this controller confirms itself must be applied at once by the caller.
+ * <p>The caller must apply the cancellations that this controller confirms itself immediately.
  *
- * <p>Owns the progress per controller. Performs no I/O: events and the time (the leader's monotonic
- * clock, in seconds) are passed in. Confined to the controller's event loop.
+ * <p>Owns the progress of each other controller. Performs no I/O: events and the time (the leader's
+ * monotonic clock, in seconds) are passed in. Confined to the controller's event loop.
  */
 public final class CancellationWatermark {
+    /** The cancellations of one other controller that this leader has received. */
     private static final class PeerProgress {
-        /** All cancellations that the controller confirmed before this moment are known here. */
+        /** All cancellations that the controller confirmed before this time have been received. */
         double completeUntilSeconds = Double.NEGATIVE_INFINITY;
 
+        /** When the newest request to which the controller responded was sent. */
         double newestSentAtSeconds = Double.NEGATIVE_INFINITY;
+
         long incarnation;
         long acknowledgedSequenceNumber;
     }
@@ -40,7 +44,7 @@
     private double jobsReadAtSeconds = Double.NEGATIVE_INFINITY;
 
     /**
-     * Starts a term in which nothing is known.
+     * Starts a term in which no cancellation has been received.
      *
      * @param otherControllers names of all other controllers, reachable or not
      */
@@ -48,7 +52,7 @@
         otherControllers.forEach(name -> peers.put(name, new PeerProgress()));
     }
 
-    /** All changes of jobs that were stored before this moment have been applied. */
+    /** All job changes that were stored before this time have been read and applied. */
     public void onJobsRead(double requestedAtSeconds) {
         if (requestedAtSeconds <= jobsReadAtSeconds) {
             return;
@@ -61,9 +65,10 @@
     }
 
     /**
-     * A controller responded to a request of this term. The cancellations in the statement must
-     * have been applied before. A statement that does not cover the time since the watermark, as
-     * the controller's process or its list started later, does not advance it.
+     * A controller responded to a request of this term. The caller must have applied the
+     * cancellations in the statement. A statement that does not cover the whole time since the
+     * watermark, because the controller's process or its list started later, does not advance the
+     * watermark.
      *
      * @param sentAtSeconds when the request was sent
      */
@@ -100,19 +105,25 @@
         progress.newestSentAtSeconds = Math.max(progress.newestSentAtSeconds, sentAtSeconds);
     }
 
-    /** The process of a controller that responded last in this term; 0 if none did. */
+    /**
+     * Returns the incarnation of the process of a controller that responded last in this term; 0 if
+     * none did.
+     */
     public long incarnation(String peer) {
         return peers.get(peer).incarnation;
     }
 
-    /** Sequence number up to which the cancellations confirmed by that process are known here. */
+    /**
+     * Returns the sequence number up to which the cancellations confirmed by that process have been
+     * received.
+     */
     public long acknowledgedSequenceNumber(String peer) {
         return peers.get(peer).acknowledgedSequenceNumber;
     }
 
     /**
-     * The watermark: all cancellations that any user was told of before this moment are known here.
-     * Without other controllers that is {@code nowSeconds}.
+     * Returns the watermark: all cancellations that were acknowledged to any user before this time
+     * have been received. Without other controllers this is {@code nowSeconds}.
      */
     public double watermarkSeconds(double nowSeconds) {
         return peers.values().stream()
--- a/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
@@ -8,22 +8,25 @@
 import java.util.Optional;
 
 /**
- * The cancellations that this controller has confirmed to users, added before the user is told and
- * kept until the leader has acknowledged them. A leader that can't reach the state store learns of
- * them only from here. The list is bounded; a statement does not cover what was dropped from it.
+ * The cancellations that this controller has confirmed, that is, acknowledged to users. Each is
+ * added before the response to the user is sent, and kept until the leader has acknowledged it. A
+ * leader that cannot reach the state store receives them only from this list. The list is bounded;
+ * a statement does not cover entries that were dropped from it.
  *
  * <p>Owns the list. Performs no I/O: events and the time (this process's monotonic clock, in
  * seconds) are passed in. Confined to the controller's event loop.
  */
 public final class ConfirmedCancellations {
     /**
-     * A controller's statement to the leader: all cancellations that it confirmed within the last
-     * {@code coveredSeconds} and that the leader has not acknowledged.
+     * A controller's statement to the leader. It contains all cancellations that the controller
+     * confirmed within the last {@code coveredSeconds} and that the leader has not acknowledged.
      *
      * @param incarnation identifies the process of the controller
-     * @param coveredSeconds length of the covered time by the controller's own clock
-     * @param lastSequenceNumber sequence number of the newest of {@code jobIds}, to be acknowledged
-     * @param complete false if there are more cancellations than these, so that nothing is covered
+     * @param coveredSeconds length of the covered time, measured by the controller's own clock
+     * @param lastSequenceNumber sequence number of the newest of {@code jobIds}, which the leader
+     *     acknowledges
+     * @param complete false if the list holds more cancellations than the statement, so that the
+     *     statement covers no time
      * @param jobIds the cancelled jobs, oldest confirmation first
      */
     public record Statement(
@@ -38,29 +41,33 @@
         }
     }
 
+    /** An entry of the list: when the cancellation of a job was confirmed. */
     private record Confirmation(long sequenceNumber, double confirmedAtSeconds) {}
 
-    /** Enough for many users that cancel during a long outage; older entries are dropped. */
+    /**
+     * Maximum length of the list; the oldest entries are dropped. It suffices for many users who
+     * cancel jobs during a long outage.
+     */
     public static final int MAX_ENTRIES = 4000;
 
-    /** Entries of one statement, which is then about 20 KB. */
+    /** Maximum number of entries in one statement, which is then about 20 KB. */
     static final int MAX_STATEMENT_ENTRIES = 1000;
 
     private final long incarnation;
 
-    /** By job, the oldest first. */
+    /** The entries by job id, oldest first. */
     private final Map<String, Confirmation> confirmations = new LinkedHashMap<>();
 
     private long lastSequenceNumber;
     private long newestTerm;
 
     /**
-     * All cancellations confirmed since then are in the list or were acknowledged by the leader of
-     * the newest term.
+     * All cancellations confirmed since this time are in the list or were acknowledged by the
+     * leader of the newest term.
      */
     private double completeSinceSeconds;
 
-    /** When the newest of the entries that were removed on acknowledgement was confirmed. */
+    /** When the newest of the entries that were removed after an acknowledgement was confirmed. */
     private double newestAcknowledgedAtSeconds;
 
     /**
@@ -75,7 +82,10 @@
         this.newestAcknowledgedAtSeconds = nowSeconds;
     }
 
-    /** A user is about to be told that this job is cancelled; repetitions have no effect. */
+    /**
+     * Adds a cancellation that is about to be acknowledged to a user. Has no effect if the job is
+     * in the list already.
+     */
     public void add(String jobId, double nowSeconds) {
         if (confirmations.containsKey(jobId)) {
             return;
@@ -86,7 +96,7 @@
         }
     }
 
-    /** Returns when the removed entry was confirmed. */
+    /** Removes the oldest entry and returns when it was confirmed. */
     private double removeOldest() {
         Iterator<Confirmation> iterator = confirmations.values().iterator();
         double confirmedAtSeconds = iterator.next().confirmedAtSeconds;
@@ -95,8 +105,9 @@
     }
 
     /**
-     * A term exists. The leader of an older term may have failed before it passed on what it
-     * acknowledged, so statements to a newer leader do not cover that.
+     * This controller received a message of this term or leads it. If the term is newer than all
+     * earlier ones, statements no longer cover the cancellations that earlier leaders acknowledged:
+     * such a leader may have failed before it replicated them to its successor.
      */
     public void onTermObserved(long term) {
         if (term > newestTerm) {
@@ -106,11 +117,12 @@
     }
 
     /**
-     * Removes what the leader of a term has acknowledged and returns the statement for it; empty if
-     * a newer term is known.
+     * Removes the entries that the leader of a term has acknowledged, and returns the statement for
+     * that leader; empty if a newer term was seen.
      *
-     * @param acknowledgedIncarnation the process that the acknowledgement is about
-     * @param acknowledgedSequenceNumber up to where the leader knows that process's confirmations
+     * @param acknowledgedIncarnation the process to which the acknowledgement applies
+     * @param acknowledgedSequenceNumber the sequence number up to which the leader has received
+     *     that process's confirmations
      */
     public Optional<Statement> statementFor(
             long leaderTerm,
@@ -121,7 +133,7 @@
         if (leaderTerm < newestTerm) {
             return Optional.empty();
         }
-        // Numbers of another process, and numbers not yet assigned, mean nothing here.
+        // Sequence numbers of another process, and numbers not yet assigned, acknowledge nothing.
         long acknowledgedHere =
                 acknowledgedIncarnation == incarnation
                         ? Math.min(acknowledgedSequenceNumber, lastSequenceNumber)
@@ -156,12 +168,12 @@
                 jobIds);
     }
 
-    /** All jobs in the list, the oldest confirmation first. */
+    /** Returns the ids of all jobs in the list, oldest confirmation first. */
     public List<String> jobIds() {
         return List.copyOf(confirmations.keySet());
     }
 
-    /** Number of confirmed cancellations that no leader has acknowledged. */
+    /** Returns the number of confirmed cancellations that no leader has acknowledged. */
     public int size() {
         return confirmations.size();
     }
--- a/src/main/java/io/kelphoist/delegation/DelegationRecord.java
+++ b/src/main/java/io/kelphoist/delegation/DelegationRecord.java
@@ -1,20 +1,22 @@
 package io.kelphoist.delegation;
 
 /**
- * A change of what the state store has on record about the delegation of one controller, for the
- * next leader.
+ * A write to the state store about the delegation of one controller, which the next leader reads.
  *
  * @param peerName the controller that may hold the delegation
- * @param startsAtSeconds latest start of the delegation on the leader's monotonic clock, in
- *     seconds; NaN if the record is to be cleared
+ * @param startsAtSeconds latest possible start of the delegation on the leader's monotonic clock,
+ *     in seconds; NaN if the stored record is to be cleared
  */
 public record DelegationRecord(String peerName, double startsAtSeconds) {
-    /** A record that clears what is stored: the controller holds no delegation of unknown start. */
+    /**
+     * Returns a write that clears the stored record: there is no delegation of the controller whose
+     * start the next leader needs to read.
+     */
     static DelegationRecord cleared(String peerName) {
         return new DelegationRecord(peerName, Double.NaN);
     }
 
-    /** Whether this record clears what is stored. */
+    /** Whether this write clears the stored record. */
     public boolean isCleared() {
         return Double.isNaN(startsAtSeconds);
     }
--- a/src/main/java/io/kelphoist/delegation/HeldDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/HeldDelegation.java
@@ -4,23 +4,25 @@
 
 /**
  * State machine of the delegation that this controller holds. While the delegation is {@link
- * State#ACTIVE} and no leader is heard, the controller may renew the leases of the workers in its
- * zone, under the fencing token that they already hold and without any command. It never starts or
- * stops a task under a delegation.
+ * State#ACTIVE}, because no message of a leader arrives, the controller may renew the worker leases
+ * in its zone. It responds with the fencing token that the workers already hold and sends no
+ * commands: it never starts or stops a task under a delegation.
  *
  * <p>Owns the state of the held delegation. Performs no I/O: events and the time (this process's
  * monotonic clock, in seconds) are passed in. Confined to the controller's event loop.
  */
 public final class HeldDelegation {
-    /** States of the delegation; {@link #transitionTo} is the only method that changes them. */
+    /**
+     * States of the delegation. {@link #transitionTo} is the only method that changes the state.
+     */
     public enum State {
-        /** No delegation was received, or a newer term has ended it. */
+        /** No delegation was received, or a newer term ended it. */
         NONE,
-        /** A delegation is held and the leader was heard recently. */
+        /** A delegation is held, and a message of the leader arrived recently. */
         HELD,
-        /** The leader is silent: leases may be renewed. */
+        /** A delegation is held, and no message of the leader arrives: leases may be renewed. */
         ACTIVE,
-        /** The delegation's time has run out. */
+        /** The duration of the delegation has ended. */
         EXPIRED
     }
 
@@ -35,13 +37,13 @@
     private double lastLeaderMessageAtSeconds = Double.NEGATIVE_INFINITY;
     private double lastRenewalAtSeconds = Double.NEGATIVE_INFINITY;
 
-    /** Whether the delegation was given by this controller to itself while it was the leader. */
+    /** Whether this controller offered the delegation to itself while it was the leader. */
     private boolean selfOffered;
 
     /**
      * Creates the state machine without a delegation.
      *
-     * @param localZone the zone whose workers this controller may serve
+     * @param localZone the zone in which this controller may renew worker leases
      * @param incarnation unique among all processes of this controller
      */
     public HeldDelegation(DelegationTiming timing, String localZone, long incarnation) {
@@ -54,7 +56,7 @@
         state = nextState;
     }
 
-    /** Returns the state at a moment, after the transitions that are due by then. */
+    /** Returns the state at a time, after performing the transitions that are due by then. */
     public State state(double nowSeconds) {
         boolean isLeaderSilent =
                 selfOffered
@@ -68,21 +70,21 @@
         return state;
     }
 
-    /** The newest term that was seen here. */
+    /** Returns the newest term that this controller has seen. */
     public long term() {
         return term;
     }
 
     /**
-     * When this controller last renewed a lease under a delegation; negative infinity if this
-     * process never did.
+     * Returns when this process last renewed a lease under a delegation; negative infinity if it
+     * never did.
      */
     public double lastRenewalAtSeconds() {
         return lastRenewalAtSeconds;
     }
 
     /**
-     * A message of a leader arrived. A newer term ends a delegation of an older one at once;
+     * A message of a leader arrived. A newer term ends a delegation of an older one immediately;
      * messages of older terms are ignored.
      */
     public void onLeaderMessage(long leaderTerm, double nowSeconds) {
@@ -97,10 +99,13 @@
         }
     }
 
-    /** A term exists; if it is newer than the held delegation's, that delegation ends. */
-    public void onTermObserved(long newerTerm) {
-        if (newerTerm > term) {
-            term = newerTerm;
+    /**
+     * A message or a worker's fencing token contained a term. If the term is newer than the one of
+     * the held delegation, that delegation ends.
+     */
+    public void onTermObserved(long observedTerm) {
+        if (observedTerm > term) {
+            term = observedTerm;
             sequenceNumber = 0;
             selfOffered = false;
             transitionTo(State.NONE);
@@ -108,8 +113,8 @@
     }
 
     /**
-     * The leader gives, renews or revokes a delegation; call {@link #onLeaderMessage} first. Offers
-     * of another term, for another process or older than the newest one are ignored.
+     * The leader offered, renewed or revoked a delegation. {@link #onLeaderMessage} must be called
+     * first. Offers of another term, for another process or older than the newest one are ignored.
      */
     public void onOffer(DelegationOffer offer, double nowSeconds) {
         if (offer.term() != term
@@ -122,8 +127,8 @@
     }
 
     /**
-     * This controller is the leader and gives itself a delegation, to be used when it can no longer
-     * act as leader.
+     * This controller is the leader and offers a delegation to itself. It is used once this
+     * controller is no longer authorized to act as the leader.
      */
     public void onOwnOffer(DelegationOffer offer, double nowSeconds) {
         if (offer.term() >= term) {
@@ -135,21 +140,22 @@
 
     private void apply(DelegationOffer offer, double nowSeconds) {
         sequenceNumber = offer.sequenceNumber();
-        // The start is a clock value that this process reported, so it can't be in its future; the
-        // bound protects against a leader that sends another value.
+        // The start is a clock value that this process reported, so it cannot be in the future
+        // here.
+        // The bound protects against a leader that sends another value.
         expiresAtSeconds =
                 Math.min(offer.startsAtSeconds(), nowSeconds) + timing.delegationSeconds();
         excludedMachines = offer.excludedMachines();
         transitionTo(State.HELD);
     }
 
-    /** Sequence number of the newest offer accepted from a term; 0 if there is none. */
+    /** Returns the sequence number of the newest offer accepted from a term; 0 if there is none. */
     public long sequenceNumberOf(long leaderTerm) {
         return leaderTerm == term ? sequenceNumber : 0;
     }
 
     /**
-     * What this controller reports about itself to the leader of a term.
+     * Returns the status that this controller reports to the leader of a term.
      *
      * @param uptimeSeconds time since this process started
      */
@@ -162,15 +168,15 @@
                 sequenceNumberOf(leaderTerm));
     }
 
-    /** Identifies this process among all processes of this controller. */
+    /** Returns the number that identifies this process among all processes of this controller. */
     public long incarnation() {
         return incarnation;
     }
 
     /**
-     * Whether a worker's lease may be renewed here now: the delegation is active, the worker is in
-     * this zone, is not excluded and holds the delegation's term. A newer term in the worker's
-     * fencing token ends the delegation.
+     * Whether this controller may renew a worker's lease now: the delegation is active, and the
+     * worker is in this zone, is not excluded and holds the fencing token of the delegation's term.
+     * If the worker's fencing token is of a newer term, the delegation ends.
      */
     public boolean allowsRenewal(
             String machineName, String machineZone, long fencingToken, double nowSeconds) {
@@ -183,7 +189,7 @@
                 && !excludedMachines.contains(machineName);
     }
 
-    /** A lease was renewed under the delegation. */
+    /** This controller renewed a lease under the delegation. */
     public void onRenewal(double nowSeconds) {
         lastRenewalAtSeconds = nowSeconds;
     }
--- a/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
+++ b/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
@@ -11,12 +11,12 @@
 import java.util.Optional;
 
 /**
- * The leader's side of lease delegation in one term: the delegations that it offered to other
- * controllers and to itself, and the leases that may have been renewed under them.
+ * The delegations that the leader of one term offered to other controllers and to itself, and the
+ * worker leases that may have been renewed under them.
  *
- * <p>Every bound errs to the safe side: an offer without a response may have been accepted, a
- * delayed offer counts from a clock value that its receiver reported, and a delegation of an
- * earlier leader is only known to expire by a time that follows from the settings.
+ * <p>Every bound is conservative: an offer without a response may have been accepted; the duration
+ * of a delayed offer is measured from a clock value that its receiver reported; and a delegation of
+ * an earlier leader is assumed to last until the latest expiry that the settings allow.
  *
  * <p>Owns one {@link PeerDelegation} per controller. Performs no I/O: events and the time (the
  * leader's monotonic clock, in seconds) are passed in. Confined to the controller's event loop.
@@ -41,18 +41,18 @@
     private long ownSequenceNumber;
 
     /**
-     * State of the record that an earlier leader wrote about this controller. The record says
-     * nothing about what this controller may do once it is a leader that is cut off, so it must be
-     * cleared before this controller gives itself a delegation.
+     * State of the record that an earlier leader wrote about this controller. The record does not
+     * cover the delegation that this controller uses as a leader that lost its authorization, so it
+     * must be cleared before this controller offers a delegation to itself.
      */
     private RecordState ownRecordState = RecordState.ABSENT;
 
     /**
      * Starts a term.
      *
-     * @param timing durations by the settings; they bound delegations of earlier leaders even where
-     *     this leader gives none
-     * @param isEnabled whether this leader gives delegations
+     * @param timing durations derived from the settings; they bound the delegations of earlier
+     *     leaders even if this leader offers none
+     * @param isEnabled whether this leader offers delegations
      * @param term number of the term
      * @param members the controllers of the deployment
      * @param nowSeconds when the term started
@@ -77,7 +77,8 @@
     }
 
     /**
-     * A controller responded to a grant request of this term. Unknown controllers are ignored.
+     * A controller responded to a grant request of this term. A response of a controller that is
+     * not in the configuration is ignored.
      *
      * @param sentAtSeconds when the request was sent
      */
@@ -98,8 +99,9 @@
     }
 
     /**
-     * Whether delegations may be given: only where every controller, any of which may be the next
-     * leader, is known to account for them.
+     * Whether delegations may be offered. Any controller may be the next leader and must then
+     * account for delegated renewals, so every other controller must have responded with a version
+     * that supports delegation.
      */
     public boolean canOfferDelegations() {
         if (!isEnabled) {
@@ -114,26 +116,30 @@
     }
 
     /**
-     * Returns the offer to send with a grant request, if one may be given now.
+     * Returns the offer to send with a grant request; empty if the controller must not receive one
+     * now.
      *
      * @param excludedMachines machines whose leases the controller must not renew
-     * @param knownUntilSeconds the moment up to which the leader knows all cancellations
+     * @param watermarkSeconds the leader's cancellation watermark
      */
     public Optional<DelegationOffer> offerTo(
-            String peerName, Collection<String> excludedMachines, double knownUntilSeconds) {
+            String peerName, Collection<String> excludedMachines, double watermarkSeconds) {
         PeerDelegation peer = peers.get(peerName);
         if (peer == null || !canOfferDelegations() || !peer.canReceiveOffer()) {
             return Optional.empty();
         }
-        return Optional.of(peer.nextOffer(term, excludedMachines, knownUntilSeconds));
+        return Optional.of(peer.nextOffer(term, excludedMachines, watermarkSeconds));
     }
 
     /**
-     * Returns the offer of this leader to itself, to be used when it can no longer act as leader;
-     * empty if it must not have one now.
+     * Returns the offer of this leader to itself, which it uses once it is no longer authorized to
+     * act as the leader; empty if there must be none now.
+     *
+     * @param excludedMachines machines whose leases must not be renewed under it
+     * @param watermarkSeconds the leader's cancellation watermark
      */
     public Optional<DelegationOffer> offerToSelf(
-            Collection<String> excludedMachines, double knownUntilSeconds, double nowSeconds) {
+            Collection<String> excludedMachines, double watermarkSeconds, double nowSeconds) {
         if (!canOfferDelegations() || ownRecordState != RecordState.ABSENT) {
             return Optional.empty();
         }
@@ -142,12 +148,13 @@
                         term,
                         0,
                         ++ownSequenceNumber,
-                        Math.min(knownUntilSeconds, nowSeconds),
+                        Math.min(watermarkSeconds, nowSeconds),
                         ImmutableSet.copyOf(excludedMachines)));
     }
 
     /**
-     * An earlier leader put on record that a controller's delegation started then at the latest.
+     * A record that an earlier leader stored was loaded: the controller's delegation started at
+     * {@code startsAtSeconds} at the latest.
      */
     public void onRecordLoaded(String peerName, double startsAtSeconds) {
         PeerDelegation peer = peers.get(peerName);
@@ -159,11 +166,12 @@
     }
 
     /**
-     * Returns the records to write now: for a controller that became silent, the latest start of
-     * its delegation, so that the next leader need not count from the start of its own term; for
-     * one that is heard again, that nothing is on record. A controller gets no offer until its
-     * record is cleared, so that a record never names too early a start. Records are written only
-     * when a controller is lost or found.
+     * Returns the records to write now. For a controller that stopped responding, the record
+     * contains the latest start of its delegation, so that the next leader need not assume that the
+     * delegation started with its own term. For a controller that responds again, the record is
+     * cleared. A controller gets no offer until its record is cleared, so that a record never
+     * contains a start that is too early. Records are therefore written only when a controller
+     * stops or resumes responding.
      */
     public List<DelegationRecord> dueRecords(double nowSeconds) {
         List<DelegationRecord> due = new ArrayList<>();
@@ -190,11 +198,11 @@
     /**
      * A write of a record of {@link #dueRecords} ended.
      *
-     * @param isCertain false if it is unknown whether the record was stored; it then counts as
-     *     present
+     * @param isOutcomeKnown false if it is unknown whether the record was stored; a record is then
+     *     assumed to be present
      */
-    public void onRecordStored(DelegationRecord record, boolean isCertain) {
-        boolean isCleared = isCertain && record.isCleared();
+    public void onRecordStored(DelegationRecord record, boolean isOutcomeKnown) {
+        boolean isCleared = isOutcomeKnown && record.isCleared();
         if (record.peerName().equals(localName)) {
             ownRecordTransitionTo(isCleared ? RecordState.ABSENT : RecordState.PRESENT);
         } else {
@@ -207,13 +215,14 @@
     }
 
     /**
-     * This controller renewed a lease under its own delegation, while it could not act as leader.
+     * This controller renewed a lease under its own delegation while it was not authorized to act
+     * as the leader.
      */
     public void onLocalRenewal(double nowSeconds) {
         ownLastRenewalAtSeconds = nowSeconds;
     }
 
-    /** The zone of a known controller. */
+    /** Returns the zone of another controller of the deployment. */
     public String zoneOf(String peerName) {
         return peers.get(peerName).zone();
     }
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -6,40 +6,49 @@
 import java.util.Collection;
 
 /**
- * What the leader of a term knows about the delegations of one other controller: the offers sent to
- * it, the machines whose leases it may have renewed and until when, and what the state store has on
- * record. Owns this state; {@link LeaseDelegations} has one instance per controller.
+ * The leader's state about the delegations of one other controller, the peer: the offers sent to
+ * it, the machines whose leases it may have renewed and until when, and the state of its record in
+ * the state store. Owns this state; {@link LeaseDelegations} has one instance per peer.
  *
- * <p>Every bound errs to the safe side: an offer without a response may have arrived. Times are
+ * <p>Every bound is conservative: an offer without a response may have arrived. Times are in
  * seconds of the leader's monotonic clock unless stated otherwise.
  */
 final class PeerDelegation {
-    /** What this term knows about the controller; {@link #transitionTo} is the only writer. */
+    /**
+     * Whether the peer has responded in this term, and with which version. {@link #transitionTo} is
+     * the only method that changes the state.
+     */
     enum State {
-        /** No response in this term yet: it may hold a delegation of an earlier term. */
+        /** The peer has not responded in this term: it may hold a delegation of an earlier term. */
         NO_RESPONSE,
-        /** Runs a version without delegation. */
+        /** The peer runs a version without delegation. */
         UNSUPPORTED,
-        /** Has responded in this term: it holds nothing but what this term gave it. */
+        /**
+         * The peer has responded in this term: it holds no delegation other than one offered in
+         * this term.
+         */
         SUPPORTED
     }
 
-    /** What is on record about the delegation; {@link #recordTransitionTo} is the only writer. */
+    /**
+     * State of the delegation's record in the state store. {@link #recordTransitionTo} is the only
+     * method that changes the state.
+     */
     enum RecordState {
-        /** Nothing of use is on record. */
+        /** No start of the delegation is stored. */
         ABSENT,
-        /** A write is in flight. */
+        /** A write of the record is in flight. */
         WRITING,
-        /** The latest start is on record: no newer delegation may be given. */
+        /** The latest start of the delegation is stored: no newer delegation may be offered. */
         PRESENT
     }
 
-    /** With more excluded machines than this the delegation is revoked instead. */
+    /** If more machines than this would have to be excluded, the delegation is revoked instead. */
     static final int MAX_EXCLUDED_MACHINES = 200;
 
     /**
-     * A controller that is silent for this long may stay silent: the start of its delegation is put
-     * on record for the next leader.
+     * A peer that has not responded for this long may remain unresponsive, so the start of its
+     * delegation is stored for the next leader.
      */
     private static final double RECORD_AFTER_SILENCE_SECONDS = 3;
 
@@ -48,40 +57,45 @@
     private State state = State.NO_RESPONSE;
     private RecordState recordState = RecordState.ABSENT;
 
-    /** When the newest request that was responded to was sent, and when its response arrived. */
+    /** When the newest request to which the peer responded was sent. */
     private double lastRespondedRequestSentAtSeconds = Double.NEGATIVE_INFINITY;
 
+    /** When the response to that request arrived. */
     private double lastResponseAtSeconds = Double.NEGATIVE_INFINITY;
 
-    /** The controller's own monotonic clock as of that response. */
+    /** The peer's own monotonic clock as reported in that response. */
     private double peerClockSeconds;
 
     private long incarnation;
 
-    /** Of the newest offer that was sent. */
+    /** Sequence number of the newest offer that was sent. */
     private long sequenceNumber;
 
+    /** Start of the delegation in that offer. */
     private double offeredStartAtSeconds = Double.NEGATIVE_INFINITY;
+
+    /** Machines excluded in that offer. */
     private ImmutableSet<String> offeredExclusions = ImmutableSet.of();
 
-    /** Latest possible start of the delegation that the controller holds. */
+    /** Latest possible start of the delegation that the peer holds. */
     private double latestStartAtSeconds;
 
-    /** Machines that are excluded from every delegation which the controller may hold. */
+    /** Machines that are excluded from every delegation that the peer may hold. */
     private ImmutableSet<String> excludedMachines = ImmutableSet.of();
 
-    /**
-     * Latest possible renewal before the newest response, and the machines whose leases were
-     * certainly not renewed by then.
-     */
+    /** Latest time at which the peer may have renewed a lease before its newest response. */
     private double lastRenewalAtSeconds = Double.NEGATIVE_INFINITY;
 
+    /**
+     * Machines whose leases the peer cannot have renewed by then, because every delegation that it
+     * held excluded them.
+     */
     private ImmutableSet<String> notRenewedMachines = ImmutableSet.of();
 
     /**
-     * Starts a term in which nothing is known about the controller.
+     * Starts a term in which the peer has not responded yet.
      *
-     * @param zone the zone whose workers the controller may serve
+     * @param zone the zone in which the peer may renew worker leases
      * @param latestStartAtSeconds latest possible start of a delegation of an earlier term
      */
     PeerDelegation(DelegationTiming timing, String zone, double latestStartAtSeconds) {
@@ -98,16 +112,20 @@
         recordState = nextState;
     }
 
+    /** The zone in which the peer may renew worker leases. */
     String zone() {
         return zone;
     }
 
-    /** Whether the controller responded in this term with a version that supports delegation. */
+    /** Whether the peer has responded in this term with a version that supports delegation. */
     boolean isSupported() {
         return state == State.SUPPORTED;
     }
 
-    /** A response to a request of this term arrived. Responses to older requests are ignored. */
+    /**
+     * The peer responded to a grant request of this term. A response to an older request than the
+     * newest one responded to is ignored.
+     */
     void onResponse(double sentAtSeconds, PeerStatus status, double nowSeconds) {
         if (sentAtSeconds < lastRespondedRequestSentAtSeconds) {
             return;
@@ -125,18 +143,19 @@
         }
     }
 
-    /** A response of a version without delegation arrived. */
+    /** The peer responded with a version that does not support delegation. */
     void onUnsupportedResponse(double sentAtSeconds, double nowSeconds) {
         if (sentAtSeconds >= lastRespondedRequestSentAtSeconds) {
-            // An earlier process of this controller may have run a version with delegation.
+            // An earlier process of the peer may have run a version with delegation.
             recordResponse(sentAtSeconds, nowSeconds, State.UNSUPPORTED, nowSeconds);
             latestStartAtSeconds = Double.NEGATIVE_INFINITY;
         }
     }
 
     /**
-     * A response bounds the renewals so far: none was later than {@code latestRenewalAtSeconds},
-     * nor than the delegation allowed. An earlier process ended before this one started.
+     * Takes the bound on earlier renewals from a response: the peer renewed no lease after {@code
+     * latestRenewalAtSeconds}, nor after its delegation expired. Renewals by an earlier process of
+     * the peer took place before the current process started.
      */
     private void recordResponse(
             double sentAtSeconds,
@@ -145,7 +164,7 @@
             double nowSeconds) {
         double boundedRenewalAtSeconds = Math.min(latestRenewalAtSeconds, expiresAtSeconds());
         if (state == State.NO_RESPONSE) {
-            // The first request of this term ended what it held of an earlier one.
+            // The first request of this term ended a delegation of an earlier term at the peer.
             latestStartAtSeconds = Double.NEGATIVE_INFINITY;
         }
         if (boundedRenewalAtSeconds > lastRenewalAtSeconds) {
@@ -161,37 +180,40 @@
         lastResponseAtSeconds = nowSeconds;
     }
 
+    /** Returns when the delegation that the peer holds expires at the latest. */
     private double expiresAtSeconds() {
         return latestStartAtSeconds
                 + timing.delegationSeconds() * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT);
     }
 
-    /** Whether an offer may be sent: no start of an older delegation is on record. */
+    /** Whether an offer may be sent: no start of an older delegation is stored. */
     boolean canReceiveOffer() {
         return recordState == RecordState.ABSENT;
     }
 
     /**
-     * Creates the next offer and takes into account that it may be accepted from now on.
+     * Creates the next offer. From now on the peer is assumed to have possibly accepted it.
      *
-     * @param exclusions machines to exclude; too many of them revoke the delegation
-     * @param knownUntilSeconds the moment up to which the leader knows all cancellations
+     * @param exclusions machines to exclude; if there are more than {@link #MAX_EXCLUDED_MACHINES},
+     *     the offer revokes the delegation
+     * @param watermarkSeconds the leader's cancellation watermark
      */
-    DelegationOffer nextOffer(long term, Collection<String> exclusions, double knownUntilSeconds) {
+    DelegationOffer nextOffer(long term, Collection<String> exclusions, double watermarkSeconds) {
         sequenceNumber++;
         if (exclusions.size() > MAX_EXCLUDED_MACHINES) {
             offeredStartAtSeconds = Double.NEGATIVE_INFINITY;
             offeredExclusions = ImmutableSet.of();
             return newOffer(term, DelegationOffer.REVOKED_START_SECONDS);
         }
-        // Cancellations that the leader may not have seen when the peer read its clock shorten the
-        // delegation.
-        double unseenSeconds = Math.max(0, lastResponseAtSeconds - knownUntilSeconds);
-        offeredStartAtSeconds = lastResponseAtSeconds - unseenSeconds;
+        // The delegation is shortened by the time between the watermark and the peer's clock
+        // reading:
+        // the leader may not have received the cancellations acknowledged in that time.
+        double unknownCancellationSeconds = Math.max(0, lastResponseAtSeconds - watermarkSeconds);
+        offeredStartAtSeconds = lastResponseAtSeconds - unknownCancellationSeconds;
         offeredExclusions = ImmutableSet.copyOf(exclusions);
         latestStartAtSeconds = Math.max(latestStartAtSeconds, offeredStartAtSeconds);
         excludedMachines = Sets.intersection(excludedMachines, offeredExclusions).immutableCopy();
-        return newOffer(term, peerClockSeconds - unseenSeconds);
+        return newOffer(term, peerClockSeconds - unknownCancellationSeconds);
     }
 
     private DelegationOffer newOffer(long term, double startsAtSeconds) {
@@ -199,7 +221,10 @@
                 term, incarnation, sequenceNumber, startsAtSeconds, offeredExclusions);
     }
 
-    /** An earlier leader put on record that the delegation started then at the latest. */
+    /**
+     * A record that an earlier leader stored was loaded: the delegation started at this time at the
+     * latest.
+     */
     void onRecordLoaded(double startsAtSeconds) {
         recordTransitionTo(RecordState.PRESENT);
         if (state == State.NO_RESPONSE) {
@@ -207,12 +232,12 @@
         }
     }
 
-    /** Whether a record is to be cleared, as the controller is heard again. */
+    /** Whether the stored record must be cleared, because the peer responds again. */
     boolean isClearDue(double nowSeconds) {
         return recordState == RecordState.PRESENT && isResponding(nowSeconds);
     }
 
-    /** Whether the start of the delegation is to be put on record, as the controller is silent. */
+    /** Whether the start of the delegation must be stored, because the peer does not respond. */
     boolean isRecordDue(double nowSeconds, double termStartedAtSeconds) {
         return recordState == RecordState.ABSENT
                 && isUnresponsive(nowSeconds, termStartedAtSeconds);
@@ -222,14 +247,18 @@
         return nowSeconds < lastRespondedRequestSentAtSeconds + timing.leaderSilenceSeconds();
     }
 
+    /**
+     * Whether the peer has not responded for {@link #RECORD_AFTER_SILENCE_SECONDS}, while its
+     * delegation may not have expired.
+     */
     private boolean isUnresponsive(double nowSeconds, double termStartedAtSeconds) {
-        double silentSinceSeconds =
+        double unresponsiveSinceSeconds =
                 Math.max(lastRespondedRequestSentAtSeconds, termStartedAtSeconds);
-        return nowSeconds > silentSinceSeconds + RECORD_AFTER_SILENCE_SECONDS
+        return nowSeconds > unresponsiveSinceSeconds + RECORD_AFTER_SILENCE_SECONDS
                 && nowSeconds < expiresAtSeconds();
     }
 
-    /** A record is being written. */
+    /** A write of the record was started. */
     void onRecordWriting() {
         recordTransitionTo(RecordState.WRITING);
     }
@@ -237,20 +266,21 @@
     /**
      * A write of the record ended.
      *
-     * @param isCleared whether it is certain that nothing is on record any more
+     * @param isCleared true if the record was cleared; false if it was stored or the outcome is
+     *     unknown
      */
     void onRecordWritten(boolean isCleared) {
         recordTransitionTo(isCleared ? RecordState.ABSENT : RecordState.PRESENT);
     }
 
-    /** Latest possible start of the delegation that the controller holds. */
+    /** Returns the latest possible start of the delegation that the peer holds. */
     double latestStartAtSeconds() {
         return latestStartAtSeconds;
     }
 
-    /** Latest moment at which the controller may have renewed a machine's lease. */
+    /** Returns the latest time at which the peer may have renewed a machine's lease. */
     double latestRenewalAtSeconds(String machineName, double nowSeconds) {
-        double knownRenewalAtSeconds =
+        double renewalBeforeResponseAtSeconds =
                 notRenewedMachines.contains(machineName)
                         ? Double.NEGATIVE_INFINITY
                         : lastRenewalAtSeconds;
@@ -258,8 +288,8 @@
                 lastRespondedRequestSentAtSeconds
                         + timing.leaderSilenceSeconds() * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT);
         if (nowSeconds < mayRenewAfterSeconds || excludedMachines.contains(machineName)) {
-            return knownRenewalAtSeconds;
+            return renewalBeforeResponseAtSeconds;
         }
-        return Math.max(knownRenewalAtSeconds, Math.min(nowSeconds, expiresAtSeconds()));
+        return Math.max(renewalBeforeResponseAtSeconds, Math.min(nowSeconds, expiresAtSeconds()));
     }
 }
--- a/src/main/java/io/kelphoist/delegation/PeerStatus.java
+++ b/src/main/java/io/kelphoist/delegation/PeerStatus.java
@@ -1,10 +1,10 @@
 package io.kelphoist.delegation;
 
 /**
- * What a controller reports about itself in its response to a grant request. Times are in seconds.
+ * The status that a controller reports in its response to a grant request. Times are in seconds.
  *
  * @param incarnation identifies the process of the controller
- * @param clockSeconds the controller's monotonic clock
+ * @param clockSeconds current value of the controller's monotonic clock
  * @param uptimeSeconds time since the process started
  * @param sinceRenewalSeconds time since it last renewed a lease under a delegation; infinite if
  *     this process never did
--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -19,12 +19,12 @@
  *
  * <p>Before a leader starts or stops tasks it must know which task attempts run on which machine.
  * Instead of waiting for one round of regular heartbeats, it sends a status request to each machine
- * that it has a record or a replica of. The request carries the fencing token of the term, and the
- * machine responds with a heartbeat. From its response on, the machine refuses the commands of
- * earlier leaders. If a machine does not respond, all task attempts that are recorded for it are
- * assumed to be running until its worker lease has expired at the maximum clock drift. Decisions
- * are therefore based only on the records and on these heartbeats; the list of machines only
- * determines which machines receive a status request.
+ * that it has loaded from the records, the replica or the cloud's instance list. The request
+ * carries the fencing token of the term, and the machine responds with a heartbeat. From its
+ * response on, the machine refuses the commands of earlier leaders. If a machine does not respond,
+ * all task attempts that are recorded for it are assumed to be running until its worker lease has
+ * expired at the maximum clock drift. Decisions are therefore based only on the records and on
+ * these heartbeats; the list of machines only determines which machines receive a status request.
  *
  * <p>Owns the state of the failover and of the status requests. Performs no I/O: events and times,
  * in seconds of the event loop's clock, are passed in. Confined to one thread.
