--- a/src/test/java/io/kelphoist/failover/FailoverSimulation.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulation.java
@@ -7,24 +7,28 @@
 import io.kelphoist.statestore.StateStoreSimulation;
 
 /**
- * Leaders one after the other over a handful of workers, in virtual time, with faults of the
- * network, the machines, the state store and the controllers.
+ * Simulates successive leaders that schedule tasks on a few workers, in virtual time, with faults
+ * of the network, the machines, the state store and the controllers.
  *
  * <ul>
- *   <li>Requests of earlier leaders arrive late; copies of heartbeats arrive up to three leases
- *       late, or first of all at the next leader; connectivity may be lost in one direction only.
- *   <li>Workers restart and count their agent epochs from 1 again; the cloud terminates machines
- *       with a notice or without, and its responses to scale-out requests may be lost.
- *   <li>The state store is down, refuses the leader alone, carries transactions out late, or loses
- *       their responses.
- *   <li>Users submit, cancel and query jobs at all front ends, also just as the leader changes.
+ *   <li>Commands of earlier leaders arrive after a delay. Copies of heartbeats arrive up to three
+ *       lease durations late, or are the first messages that the next leader receives. Connectivity
+ *       may be lost in one direction only.
+ *   <li>Workers restart and number their agent epochs from 1 again. The cloud terminates machines
+ *       with or without a termination notice, and its responses to scale-out requests may be lost.
+ *   <li>The state store is down, refuses only the leader's requests, commits transactions after a
+ *       delay, or loses the responses to them.
+ *   <li>Users submit, cancel and query jobs at all front ends, also while the leader changes.
  * </ul>
  *
  * <p>{@link SafetyChecker} checks every start, record and response against the rules. At the end of
- * a run, with all faults over, as much runs as the limit allows.
+ * a run, after all faults have ended, as many tasks must run as the team's limit allows.
  */
 final class FailoverSimulation {
-    /** Time in which the system settles after the last fault, before and after a last listing. */
+    /**
+     * Time within which the system must converge after the last fault. It passes twice: before and
+     * after a last instance list.
+     */
     private static final double CONVERGENCE_SECONDS = 45;
 
     private final SimulationContext context;
@@ -41,14 +45,17 @@
     private final ReplicaHandover replicaHandover;
     private final SimulatedUsers users;
 
-    /** The leader changes when the test says so. */
+    /** Creates a run of the usual size in which the test changes the leader. */
     FailoverSimulation(long seed) {
         this(seed, 2, SimulationSize.USUAL, false);
     }
 
     /**
-     * @param maxStatusRequests status requests that a leader may have open at a time
-     * @param elected whether three controllers elect the leader; else the test changes it
+     * Creates a run and its first leader or its controllers.
+     *
+     * @param maxStatusRequests maximum number of status requests without a response; 0 disables
+     *     them
+     * @param elected whether three controllers elect the leader; otherwise the test changes it
      */
     FailoverSimulation(long seed, int maxStatusRequests, SimulationSize size, boolean elected) {
         context = new SimulationContext(seed, size);
@@ -100,21 +107,21 @@
     // ---- time ----
 
     /**
-     * Time passes.
+     * Advances the virtual time.
      *
-     * @param lateOfTen of ten requests to workers, how many are held back for another step
+     * @param delayedPerTen how many of ten requests to workers are delayed by a step
      */
-    void advance(double seconds, int lateOfTen) {
+    void advance(double seconds, int delayedPerTen) {
         for (double end = context.nowSeconds() + seconds; context.nowSeconds() < end; ) {
-            step(lateOfTen);
+            step(delayedPerTen);
         }
     }
 
-    private void step(int lateOfTen) {
+    private void step(int delayedPerTen) {
         context.advance();
         leadership.advance(SimulationContext.STEP_SECONDS);
         fleet.advance();
-        network.deliver(lateOfTen);
+        network.deliver(delayedPerTen);
         store.pass(context.nowSeconds() - store.nowSeconds());
         network.reportOutcomes();
         heartbeats.deliverCopies();
@@ -125,8 +132,9 @@
     }
 
     /**
-     * All faults end: after a while as much runs as the limit and the work that is left allow,
-     * every machine is known to the leader and every job to every front end.
+     * Ends all faults and checks that the system converges: as many tasks run as the team's limit
+     * and the remaining work allow, the leader tracks every machine, and every front end finds
+     * every job.
      */
     void endFaultsAndCheckConvergence() {
         fleet.endFaults();
@@ -145,7 +153,10 @@
                 leadership
                         .actingLeader()
                         .orElseThrow(
-                                () -> new AssertionError("no leader at the end: " + leadership));
+                                () ->
+                                        new AssertionError(
+                                                "no leader after all faults ended, expected one: "
+                                                        + leadership));
         checker.checkAllMachinesTracked(fleet.workers(), leader);
         users.checkAllJobsFound();
         checker.checkCapacityIsUsed(fleet.workers(), leadership.newestLeader());
@@ -165,12 +176,12 @@
         leadership.setLinkBlocked(fromController, toController, blocked);
     }
 
-    /** The leader sends its machines to a follower, in an update that may be lost. */
+    /** The leader replicates its machines to a follower, in an update that may be lost. */
     void replicateMachines() {
         leadership.actingLeader().ifPresent(replicaHandover::replicateFrom);
     }
 
-    /** The leader receives the cloud's list of machines. */
+    /** The leader receives the cloud's instance list. */
     void listInstances() {
         leadership
                 .actingLeader()
@@ -180,15 +191,15 @@
 
     // ---- the state store ----
 
-    /** Of ten transactions, how many get no response and are carried out late. */
-    void setDelayedTransactions(int ofTen) {
-        store.faults().setLateWritesPerTen(ofTen);
+    /** Sets how many of ten transactions get no response and are committed after a delay. */
+    void setDelayedTransactions(int perTen) {
+        store.faults().setLateWritesPerTen(perTen);
     }
 
-    /** Of ten transactions, how many are carried out and get no response. */
-    void setLostResponses(int ofTen) {
-        store.faults().setLostResponsesPerTen(ofTen);
-        leadership.setLostResponses(ofTen);
+    /** Sets how many of ten transactions are committed and get no response. */
+    void setLostResponses(int perTen) {
+        store.faults().setLostResponsesPerTen(perTen);
+        leadership.setLostResponses(perTen);
     }
 
     void setStateStoreDown(boolean down) {
@@ -196,7 +207,7 @@
         leadership.setStateStoreDown(down);
     }
 
-    /** The state store refuses the leader alone. */
+    /** Sets whether the state store refuses only the leader's requests. */
     void setLeaderRefusedByStore(boolean refused) {
         leadership.setLeaderRefusedByStore(refused);
     }
@@ -224,14 +235,17 @@
         fleet.finishTaskOn(fleet.worker(worker));
     }
 
-    /** The cloud will terminate a machine; 0: without a notice. */
+    /**
+     * The cloud terminates a machine after its termination notice; with 0 seconds, without a
+     * notice.
+     */
     void terminateMachine(int worker, double noticeSeconds) {
         fleet.worker(worker).terminateAt(context.nowSeconds() + noticeSeconds);
     }
 
-    /** Whether copies of heartbeats are kept for the next leader. */
-    void setKeepHeartbeatsForNextLeader(boolean keep) {
-        heartbeats.setKeepForNextLeader(keep);
+    /** Sets whether copies of heartbeats are kept and delivered to the next leader. */
+    void setKeepHeartbeatsForNextLeader(boolean keepForNextLeader) {
+        heartbeats.setKeepForNextLeader(keepForNextLeader);
     }
 
     // ---- users ----
@@ -248,7 +262,10 @@
         users.queryInBurst(number);
     }
 
-    /** The leader changes right after a cancellation, followed by another one and queries. */
+    /**
+     * Changes the leader shortly after a cancellation. Another cancellation and queries follow
+     * immediately.
+     */
     void cancelDuringFailover(int number) {
         cancel(number);
         advance(number % 7 / 10.0, 0);
@@ -257,7 +274,7 @@
         queryInBurst(number);
     }
 
-    /** A user submits a job of one task; it is cancelled after a while unless that is infinite. */
+    /** A user submits a job of one task, and cancels it after a delay unless that is infinite. */
     void submit(int number, Priority priority, double durationSeconds, double cancelAfterSeconds) {
         tasks.setDuration(
                 SimulatedTasks.taskName("job-" + (SimulatedTasks.INITIAL_JOBS + number), 0),
@@ -265,13 +282,16 @@
         users.submit(number, priority, durationSeconds, cancelAfterSeconds);
     }
 
-    /** Checks that all jobs have ended; of those not cancelled, the longest wait for a start. */
+    /**
+     * Checks that all jobs have ended, and returns the longest wait until the first start among the
+     * jobs that were not cancelled.
+     */
     double longestWaitSeconds(Priority priority) {
         checker.checkAllJobsEnded(jobs.all(), queueWaits);
         return queueWaits.longestSeconds(priority, jobId -> !cancellations.contains(jobId));
     }
 
-    // ---- what happened ----
+    // ---- results ----
 
     int count(Counter counter) {
         return context.counters().get(counter);
@@ -289,22 +309,24 @@
         return (int) leadership.termCount();
     }
 
-    /** Seconds from the newest leader's election to its first decision. */
+    /** Returns the seconds from the newest leader's election to its first scheduling decision. */
     double newestFirstDecisionAfterSeconds() {
         return leadership.newestLeader().firstDecisionAfterSeconds();
     }
 
-    /** Transactions that were carried out late, with their conditions met. */
+    /** Returns the number of transactions that were committed after a delay. */
     int delayedTransactionCount() {
         return store.lateWrites();
     }
 
-    /** Transactions that were carried out and whose response was lost. */
+    /** Returns the number of transactions that were committed and whose response was lost. */
     int lostResponseCount() {
         return store.lostResponses();
     }
 
-    /** Transactions that the state store refused as too many. */
+    /**
+     * Returns the number of transactions that the state store refused because of its write limit.
+     */
     int throttledTransactionCount() {
         return store.rateLimitedWrites();
     }
--- a/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Whatever faults a run combines, no rule of {@link SafetyChecker} is broken: in particular, what
- * an earlier leader started is settled before a task starts elsewhere.
+ * Runs simulated failovers with random combinations of faults and checks the rules of {@link
+ * SafetyChecker}. In particular, a new leader must not start a task on another machine while an
+ * attempt that an earlier leader started may still run.
  */
 class FailoverSimulationTest {
     private static final SimulationCounters SCRIPTED_RUN_COUNTERS = new SimulationCounters();
@@ -40,8 +41,8 @@
     }
 
     /**
-     * The same with three controllers that elect the leader, and crash, freeze, resign and lose
-     * messages to each other.
+     * The same property when three controllers elect the leader. They crash, freeze and resign, and
+     * messages between them are delayed.
      */
     @Property(tries = 800, seed = "20261207")
     void noTaskRunsTwiceAcrossElections(
@@ -56,8 +57,8 @@
     }
 
     /**
-     * The properties would hold as well if no task were ever started, or every failover waited for
-     * a full heartbeat round.
+     * Checks that the simulated faults had an effect. Without this check the properties would also
+     * hold if no task were ever started, or if every failover waited for a full heartbeat round.
      */
     @AfterContainer
     static void faultsAndTheirEffectsOccurred() {
@@ -70,20 +71,27 @@
         SCRIPTED_RUN_COUNTERS.assertMoreThan(1000, Counter.JOBS_CANCELLED);
         SCRIPTED_RUN_COUNTERS.assertMoreThan(500, Counter.JOBS_DONE);
         assertTrue(
-                delayedTransactions > 100, delayedTransactions + " transactions carried out late");
+                delayedTransactions > 100,
+                delayedTransactions + " transactions committed after a delay, expected over 100");
         assertTrue(
                 electedTerms > 1500 && tasksStartedByElectedLeaders > 5000,
-                electedTerms + " terms, " + tasksStartedByElectedLeaders + " tasks started");
+                electedTerms
+                        + " terms, expected over 1500; "
+                        + tasksStartedByElectedLeaders
+                        + " tasks started, expected over 5000");
         SCRIPTED_RUN_COUNTERS.assertMoreThan(100, Counter.TASKS_STARTED_WITHOUT_HEARTBEATS);
         SCRIPTED_RUN_COUNTERS.assertMoreThan(1000, Counter.MACHINES_SCALED_OUT);
         SCRIPTED_RUN_COUNTERS.assertMoreThan(1000, Counter.HEARTBEATS_KEPT_FOR_NEXT_LEADER);
         SCRIPTED_RUN_COUNTERS.assertMoreThan(1000, Counter.QUERY_BURSTS);
-        assertTrue(lostResponses > 700, lostResponses + " responses lost");
+        assertTrue(lostResponses > 700, lostResponses + " responses lost, expected over 700");
         SCRIPTED_RUN_COUNTERS.assertMoreThan(200, Counter.GANGS_DONE);
         SCRIPTED_RUN_COUNTERS.assertMoreThan(80, Counter.CHECKPOINTS_SAVED);
     }
 
-    /** Without status requests a new leader waits for a full heartbeat round. */
+    /**
+     * If status requests are disabled, a new leader waits for a full heartbeat round before it
+     * decides.
+     */
     @Test
     void withoutStatusRequestsALeaderWaitsForAHeartbeatRound() {
         FailoverSimulation simulation = new FailoverSimulation(3, 0, SimulationSize.USUAL, false);
@@ -94,8 +102,9 @@
     }
 
     /**
-     * The leader changes ten times in two minutes, also inside an outage, with cancellations and
-     * queries just before and after each change, and heartbeats that are kept for the next leader.
+     * The leader changes at least ten times within two minutes, also during an outage of the state
+     * store. Jobs are cancelled and queried shortly before and after each change, and copies of
+     * heartbeats are delivered to the next leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
@@ -115,11 +124,19 @@
         }
         simulation.endFaultsAndCheckConvergence();
         int cancelled = simulation.count(Counter.JOBS_CANCELLED);
-        int kept = simulation.count(Counter.HEARTBEATS_KEPT_FOR_NEXT_LEADER);
-        assertTrue(cancelled >= 5 && kept > 10, cancelled + " cancelled, " + kept + " kept");
+        int keptHeartbeats = simulation.count(Counter.HEARTBEATS_KEPT_FOR_NEXT_LEADER);
+        assertTrue(
+                cancelled >= 5 && keptHeartbeats > 10,
+                cancelled
+                        + " jobs cancelled, expected at least 5; "
+                        + keptHeartbeats
+                        + " heartbeats kept, expected over 10");
     }
 
-    /** Records that were read before the term was stored are read again. */
+    /**
+     * Guards against a leader that decides on stale records: records that were read before its term
+     * was stored must be read again.
+     */
     @Test
     void recordsOlderThanTheTermAreReadAgain() {
         Failover failover = new Failover(3, 5, 4, 10, (machine, agentEpoch) -> {}, 100);
--- a/src/test/java/io/kelphoist/failover/FailoverSteps.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSteps.java
@@ -1,15 +1,19 @@
 package io.kelphoist.failover;
 
 /**
- * Turns random numbers into events of a {@link FailoverSimulation}. A number's rest modulo 30
- * selects the kind of event, the quotient its arguments.
+ * Maps random numbers to events of a {@link FailoverSimulation}: {@code step % 30} selects the kind
+ * of event, and quotients of {@code step} its arguments.
  */
 final class FailoverSteps {
+    /** Number of kinds of events. */
     private static final int KINDS = 30;
 
     private FailoverSteps() {}
 
-    /** One event; then time passes, with the leader's machines replicated before and after. */
+    /**
+     * Applies one event and advances the time. The leader's machines are replicated before and
+     * after.
+     */
     static void apply(FailoverSimulation simulation, int step) {
         int argument = step / KINDS;
         int kind = step % KINDS;
--- a/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
@@ -9,17 +9,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Jobs of one task are submitted four a second for minutes, a quarter of them cancelled within
- * seconds, at the smallest write limit of any deployment (15 changes a second, 8 to a transaction),
- * and the leader fails over in the middle: no rule of {@link SafetyChecker} is broken, every job
- * ends, and urgent jobs do not start later than the others.
+ * Submits four jobs of one task per second for three minutes and cancels a quarter of them within
+ * seconds, at the smallest write limit of any deployment (15 changes per second, 8 per
+ * transaction), with a failover in the middle. The rules of {@link SafetyChecker} must hold, every
+ * job must end, and high-priority jobs must not wait longer for their start than the others.
  */
 class JobStreamSimulationTest {
     private static final int SECONDS = 180;
 
     /**
-     * @param writesPerSecond that smallest limit, and one that the stream alone nearly uses up, so
-     *     that transactions are throttled all the time
+     * Runs the job stream.
+     *
+     * @param writesPerSecond the smallest limit (15), or a limit that the job stream alone nearly
+     *     uses up (9), so that transactions are throttled throughout the run
      */
     @ParameterizedTest
     @CsvSource({"1, 15", "2, 15", "3, 15", "4, 9", "5, 9"})
@@ -42,20 +44,25 @@
             simulation.advance(0.25, 0);
         }
         simulation.endFaultsAndCheckConvergence();
-        double urgentWait = simulation.longestWaitSeconds(Priority.HIGH);
-        double normalWait = simulation.longestWaitSeconds(Priority.NORMAL);
+        double highPriorityWaitSeconds = simulation.longestWaitSeconds(Priority.HIGH);
+        double normalWaitSeconds = simulation.longestWaitSeconds(Priority.NORMAL);
         assertTrue(
                 simulation.acceptedJobCount() == 4 * SECONDS
                         && simulation.count(Counter.JOBS_CANCELLED) > SECONDS / 2,
                 simulation.acceptedJobCount()
-                        + " accepted, "
+                        + " jobs accepted, expected 720; "
                         + simulation.count(Counter.JOBS_CANCELLED)
-                        + " cancelled");
+                        + " cancelled, expected over 90");
         assertTrue(
                 writesPerSecond > 10 || simulation.throttledTransactionCount() > 20,
-                simulation.throttledTransactionCount() + " throttled");
+                simulation.throttledTransactionCount()
+                        + " transactions throttled, expected over 20");
         assertTrue(
-                normalWait < 15 && urgentWait < 10,
-                "longest wait " + normalWait + " s, of urgent jobs " + urgentWait + " s");
+                normalWaitSeconds < 15 && highPriorityWaitSeconds < 10,
+                "longest wait of normal jobs: "
+                        + normalWaitSeconds
+                        + " s, expected under 15 s; of high-priority jobs: "
+                        + highPriorityWaitSeconds
+                        + " s, expected under 10 s");
     }
 }
--- a/src/test/java/io/kelphoist/failover/QueueWaitRecorder.java
+++ b/src/test/java/io/kelphoist/failover/QueueWaitRecorder.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** When the jobs that users submitted were accepted, and when each job was first started. */
+/**
+ * Records when the jobs that users submitted were accepted, and when a task of each job was first
+ * started.
+ */
 final class QueueWaitRecorder {
     private final Map<String, Double> startedAtSeconds = new HashMap<>();
     private final Map<String, Double> acceptedAtSeconds = new HashMap<>();
@@ -27,12 +30,15 @@
         return acceptedAtSeconds.size();
     }
 
-    /** The longest wait from acceptance to the first start, of the jobs that are counted. */
-    double longestSeconds(Priority priority, Predicate<String> isCounted) {
+    /**
+     * Returns the longest wait from acceptance to the first start among the jobs of a priority that
+     * pass the filter.
+     */
+    double longestSeconds(Priority priority, Predicate<String> filter) {
         double longest = 0;
         for (Map.Entry<String, Double> accepted : acceptedAtSeconds.entrySet()) {
             String jobId = accepted.getKey();
-            if (priorities.get(jobId) == priority && isCounted.test(jobId)) {
+            if (priorities.get(jobId) == priority && filter.test(jobId)) {
                 longest = Math.max(longest, startedAtSeconds.get(jobId) - accepted.getValue());
             }
         }
@@ -40,9 +46,9 @@
     }
 
     String describe(String jobId) {
-        return "accepted at "
+        return "acceptedAtSeconds="
                 + acceptedAtSeconds.get(jobId)
-                + ", first started at "
+                + " firstStartedAtSeconds="
                 + startedAtSeconds.get(jobId);
     }
 }
--- a/src/test/java/io/kelphoist/failover/SafetyChecker.java
+++ b/src/test/java/io/kelphoist/failover/SafetyChecker.java
@@ -9,16 +9,20 @@
 import java.util.Map;
 
 /**
- * The rules of a simulated run, checked as things happen: each method throws an {@link
+ * Checks the rules of a simulated run at the time of each event. Each method throws an {@link
  * AssertionError} if its rule is broken.
  */
 final class SafetyChecker {
-    /** Time after its acknowledgement in which a cancelled job's tasks must have stopped. */
+    /**
+     * Time after the acknowledgement of a cancellation within which the job's tasks must have
+     * stopped.
+     */
     static final double CANCELLATION_TIMEOUT_SECONDS = 30;
 
     /**
-     * Time for which heartbeats of a machine may be missing before no task is started there: a
-     * heartbeat round with late ones, and the steps of the simulation.
+     * Time for which the heartbeats of a machine may be missing while tasks may still be started on
+     * it: a heartbeat round that allows for late heartbeats, plus the granularity of the
+     * simulation's steps.
      */
     private static final double MAX_HEARTBEAT_GAP_SECONDS =
             1.25 * SimulationContext.HEARTBEAT_INTERVAL_SECONDS + 2.5;
@@ -41,7 +45,10 @@
 
     // ---- starts ----
 
-    /** No task runs on two machines, and none starts before the jobs that its job depends on. */
+    /**
+     * A task must not run on two machines, and must not start before the jobs that its job depends
+     * on are done.
+     */
     void checkTaskStart(String task, SimulatedWorker worker, List<SimulatedWorker> workers) {
         for (SimulatedWorker other : workers) {
             if (other.attempts().containsKey(task)) {
@@ -70,7 +77,7 @@
         }
     }
 
-    /** The team does not run more tasks than its limit. */
+    /** The team must not run more tasks than its limit. */
     void checkTeamLimit(List<SimulatedWorker> workers) {
         int running = runningTasks(workers);
         if (running > context.size().taskLimit()) {
@@ -79,13 +86,13 @@
         }
     }
 
-    /** A leader does not start a job that it knows to be acknowledged as cancelled. */
+    /** A leader must not start a job whose acknowledged cancellation it has received. */
     void checkNoCancelledStart(List<WorkerCommand> commands, int knownCancellations) {
         for (WorkerCommand command : commands) {
             if (command instanceof WorkerCommand.Start
                     && cancellations.firstContain(knownCancellations, command.jobId())) {
                 throw new AssertionError(
-                        "leader starts a job whose cancellation it knows: command="
+                        "leader starts a job whose cancellation it has received: command="
                                 + command
                                 + " at="
                                 + context.nowSeconds());
@@ -94,8 +101,9 @@
     }
 
     /**
-     * No task is started by a direct order on a machine whose heartbeats have been missing for
-     * long: the lease that only heartbeats renew would end it.
+     * A leader must not start a task by a direct command on a machine whose heartbeats have been
+     * missing for longer than {@link #MAX_HEARTBEAT_GAP_SECONDS}. Only heartbeats renew the worker
+     * lease, so the task would be stopped when the lease expires.
      */
     void checkHeartbeatsBeforeStart(CommandDelivery delivery) {
         SimulatedWorker worker = delivery.worker();
@@ -119,9 +127,10 @@
     // ---- records and responses ----
 
     /**
-     * A final record is not replaced, and a job is recorded as done only when all its tasks are.
+     * A record with a final status must not be replaced, and a job must be recorded as done only
+     * after all its tasks are done.
      *
-     * @param before null: the job's first record
+     * @param before the previous record; null if this is the job's first
      */
     void checkStoredRecord(JobRecord before, JobRecord stored) {
         if (before != null && before.status().isFinal()) {
@@ -148,11 +157,13 @@
     }
 
     /**
-     * A response about an accepted job finds it, does not contradict a final one that the user had
-     * before the request, and says cancelled only if that was noted before.
+     * A response about an accepted job must find the job. It must not contradict a final phase that
+     * the user had received before the request, and must report the job as cancelled only after the
+     * cancellation was added to the log of acknowledged cancellations.
      *
-     * @param before the newest phase that a user had been answered when the request was sent; null:
-     *     none
+     * @param before the newest phase in a response that a user had received when the request was
+     *     sent; null if there was none
+     * @return the phase in the response
      */
     AdmissionResult.Phase checkResponse(
             String jobId, AdmissionResult.Phase before, AdmissionResult response) {
@@ -171,12 +182,17 @@
                             + phase);
         }
         if (phase == AdmissionResult.Phase.CANCELLED && !cancellations.contains(jobId)) {
-            throw new AssertionError("cancellation is answered before it is noted: job=" + jobId);
+            throw new AssertionError(
+                    "cancellation is acknowledged to a user before it is added to the log: job="
+                            + jobId);
         }
         return phase;
     }
 
-    /** Tasks of a cancelled job have stopped some time after the user was answered. */
+    /**
+     * The tasks of a cancelled job must have stopped {@link #CANCELLATION_TIMEOUT_SECONDS} after
+     * the acknowledgement.
+     */
     void checkCancelledTasksStopped(List<SimulatedWorker> workers) {
         double now = context.nowSeconds();
         for (SimulatedWorker worker : workers) {
@@ -200,7 +216,7 @@
 
     // ---- at the end of a run ----
 
-    /** As many tasks run as the limit and the work that is left allow. */
+    /** As many tasks must run as the team's limit and the remaining work allow. */
     void checkCapacityIsUsed(List<SimulatedWorker> workers, SimulatedLeader leader) {
         int running = runningTasks(workers);
         int unfinished = 0;
@@ -210,10 +226,10 @@
                 unfinished += isReady(job) ? countUnfinishedTasks(job, running) : 0;
             }
         }
-        // What is left may be a gang of two, and one free place.
+        // The remaining work may be a gang of two while there is capacity for only one task.
         if (running < Math.min(unfinished, context.size().taskLimit() - 1)) {
             throw new AssertionError(
-                    "capacity is not used at the end: running="
+                    "capacity is not used after all faults ended: running="
                             + running
                             + " unfinished="
                             + unfinished
@@ -236,8 +252,10 @@
     }
 
     /**
-     * A result whose heartbeat was lost is found by starting the task again, for which there must
-     * be capacity: one place may be kept free for a gang of two that waits for another.
+     * Returns how many tasks of the job have not finished. If the heartbeat with a task's result
+     * was lost, the leader receives the result by starting the task again. That requires capacity,
+     * of which the capacity for one task may be reserved for a gang of two that waits for a second
+     * place.
      */
     private int countUnfinishedTasks(JobRecord job, int running) {
         int unfinished = 0;
@@ -246,28 +264,32 @@
         }
         if (unfinished == 0 && running < context.size().taskLimit() - 1) {
             throw new AssertionError(
-                    "finished job is not recorded as done at the end: job=" + job.id());
+                    "finished job is not recorded as done after all faults ended: job=" + job.id());
         }
         return unfinished;
     }
 
-    /** The leader knows every machine that is paid for. */
+    /** The leader must track every machine that is paid for. */
     void checkAllMachinesTracked(List<SimulatedWorker> workers, SimulatedLeader leader) {
         for (SimulatedWorker worker : workers) {
             if (!leader.hasMachine(worker.name())) {
                 throw new AssertionError(
-                        "machine is unknown to the leader at the end: machine=" + worker.name());
+                        "leader does not track the machine after all faults ended: machine="
+                                + worker.name());
             }
         }
     }
 
-    /** Every front end answers about every job. */
+    /**
+     * Every front end must respond to the query of every job, and must not ask the user to retry
+     * later.
+     */
     void checkResponsesAtEnd(Map<String, AdmissionResult> responses, int expectedCount) {
         responses.forEach(
                 (request, response) -> {
                     if (response instanceof AdmissionResult.RetryLater) {
                         throw new AssertionError(
-                                "request is put off at the end: request="
+                                "request must be retried later after all faults ended: request="
                                         + request
                                         + " response="
                                         + response);
@@ -275,23 +297,23 @@
                 });
         if (responses.size() != expectedCount) {
             throw new AssertionError(
-                    "requests are not answered at the end: responses="
+                    "requests without a response after all faults ended: responses="
                             + responses.size()
                             + " expected="
                             + expectedCount);
         }
     }
 
-    /** Every job has ended. */
+    /** Every job must have ended. */
     void checkAllJobsEnded(Collection<JobRecord> records, QueueWaitRecorder queueWaits) {
         for (JobRecord job : records) {
             if (job.status() == JobStatus.ACTIVE) {
                 throw new AssertionError(
                         "job has not ended: job="
                                 + job.id()
-                                + ", "
+                                + " "
                                 + queueWaits.describe(job.id())
-                                + ", now "
+                                + " nowSeconds="
                                 + context.nowSeconds());
             }
         }
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -25,7 +25,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One leader's term: the scheduler's state, its failover checks and its record store. */
+/** The term of one leader: the scheduler's state, the failover and the record store. */
 final class SimulatedLeader {
     static final MachineType MACHINE_TYPE =
             new MachineType("m", new Resources(8, 2, 64), 50, 1, 8, 3, 25, List.of("a"));
@@ -33,18 +33,23 @@
     private static final double HEARTBEAT_ROUND_SECONDS =
             1.25 * SimulationContext.HEARTBEAT_INTERVAL_SECONDS;
 
-    /** Leaders that decide earlier did not wait for a full heartbeat round. */
+    /**
+     * A leader whose first decision is earlier than this did not wait for a full heartbeat round.
+     */
     private static final double QUICK_FAILOVER_SECONDS = HEARTBEAT_ROUND_SECONDS - 0.2;
 
     private static final int MAX_VALUE_BYTES = 600;
 
-    /** A leader reads changes, and acknowledged cancellations, in one of so many steps. */
+    /**
+     * A leader reads changes, and receives acknowledged cancellations, in one of this many steps on
+     * average.
+     */
     private static final int MEAN_STEPS_PER_READ = 4;
 
     /**
-     * What leaders work with.
+     * The parts of the simulation that all leaders share.
      *
-     * @param maxStatusRequests status requests that a leader may have open at a time
+     * @param maxStatusRequests maximum number of status requests without a response
      */
     record Dependencies(
             SimulationContext context,
@@ -75,7 +80,9 @@
     private double firstDecisionAfterSeconds = Double.NaN;
 
     /**
-     * @param controllerName null: the run has no elections
+     * Starts a term.
+     *
+     * @param controllerName the controller that was elected; null in a run without elections
      */
     SimulatedLeader(
             Dependencies dependencies, Leadership leadership, long term, String controllerName) {
@@ -151,7 +158,7 @@
         return term;
     }
 
-    /** Null: the run has no elections. */
+    /** Returns the controller that was elected; null in a run without elections. */
     String controllerName() {
         return controllerName;
     }
@@ -160,17 +167,22 @@
         return recordsLoaded;
     }
 
-    /** It processes heartbeats: its process is not frozen, and it has seen no newer term. */
+    /**
+     * Whether it processes heartbeats: its process is not frozen, and it has not seen a newer term.
+     */
     boolean acceptsHeartbeats() {
         return context.nowSeconds() >= frozenUntilSeconds && !schedulerState.isDeposed();
     }
 
-    /** When it last could learn of a machine that sends no heartbeats. */
+    /**
+     * Returns when it last received the instance list, which contains machines whose heartbeats are
+     * lost too.
+     */
     double listedAtSeconds() {
         return listedAtSeconds;
     }
 
-    /** Seconds from its election to its first decision; NaN: it has not decided yet. */
+    /** Returns the seconds from its election to its first decision; NaN before that. */
     double firstDecisionAfterSeconds() {
         return firstDecisionAfterSeconds;
     }
@@ -183,7 +195,7 @@
         return machineStatePublisher;
     }
 
-    /** Its process is paused and then continues as if no time had passed. */
+    /** Pauses its process until the given time. It then continues in the state before the pause. */
     void freezeUntil(double atSeconds) {
         frozenUntilSeconds = atSeconds;
     }
@@ -192,7 +204,7 @@
         recordStore.close();
     }
 
-    /** Entries of the log of acknowledged cancellations that it has received. */
+    /** Returns how many entries of the log of acknowledged cancellations it has received. */
     int receivedCancellations() {
         return receivedCancellations;
     }
@@ -227,7 +239,8 @@
     }
 
     void tick() {
-        // A leader whose lease and grants have expired must not act; what it sent may still arrive.
+        // A leader whose lease and grants have expired must not act. Its earlier commands may still
+        // arrive.
         if (!acceptsHeartbeats() || !isLeading()) {
             return;
         }
@@ -251,8 +264,8 @@
     }
 
     /**
-     * Reads stored changes, and cancellations that front ends acknowledged, which it receives also
-     * while the state store is unreachable.
+     * Reads changed jobs from the state store, and receives the cancellations that front ends
+     * acknowledged. It receives the latter even while the state store is unreachable.
      */
     void readChanges() {
         if (context.nowSeconds() < frozenUntilSeconds || !isLeading() || !recordsLoaded) {
@@ -279,12 +292,12 @@
 
     // ---- input ----
 
-    /** Null: the heartbeat is refused. */
+    /** Returns the commands in the response; null if the heartbeat is refused. */
     List<WorkerCommand> onHeartbeat(Heartbeat heartbeat) {
         return schedulerState.onHeartbeat(heartbeat, "", context.nowSeconds());
     }
 
-    /** A copy arrives over another path than the worker's own connection. */
+    /** Processes a copy of a heartbeat, which did not arrive over the worker's own connection. */
     void onHeartbeatCopy(Heartbeat heartbeat) {
         schedulerState.onHeartbeat(heartbeat, "copy", context.nowSeconds());
     }
--- a/src/test/java/io/kelphoist/failover/SimulationContext.java
+++ b/src/test/java/io/kelphoist/failover/SimulationContext.java
@@ -3,8 +3,8 @@
 import java.util.Random;
 
 /**
- * What all parts of one simulated run share: virtual time in seconds, the source of random draws,
- * the dimensions and the counters.
+ * The state that all parts of a simulated run share: virtual time in seconds, the random number
+ * generator, the dimensions of the run and the counters.
  */
 final class SimulationContext {
     static final double HEARTBEAT_INTERVAL_SECONDS = 2;
@@ -23,7 +23,10 @@
         this.size = size;
     }
 
-    /** The one source of random draws: their order is part of a run. */
+    /**
+     * Returns the only random number generator of the run. The order of draws determines the run,
+     * so it must not change.
+     */
     Random random() {
         return random;
     }
@@ -44,7 +47,7 @@
         nowSeconds += STEP_SECONDS;
     }
 
-    /** From now on nothing is lost by chance. */
+    /** Disables the random loss of messages from now on. */
     void disableRandomFaults() {
         randomFaultsDisabled = true;
     }
--- a/src/test/java/io/kelphoist/failover/SimulationCounters.java
+++ b/src/test/java/io/kelphoist/failover/SimulationCounters.java
@@ -2,15 +2,15 @@
 
 import io.kelphoist.simulation.EventCounts;
 
-/** Counts of what happened in simulated runs of the scheduler. */
+/** Counters of the events in simulated runs of the scheduler. */
 final class SimulationCounters extends EventCounts<SimulationCounters.Counter> {
     /** An event that is counted. */
     enum Counter {
         TASKS_STARTED,
-        /** Tasks started on a worker none of whose heartbeats arrives. */
+        /** Tasks started on a worker whose heartbeats are all lost. */
         TASKS_STARTED_WITHOUT_HEARTBEATS,
         LEASES_EXPIRED,
-        /** Leaders that decided before a full heartbeat round had passed. */
+        /** Leaders that made their first decision before a full heartbeat round had passed. */
         QUICK_FAILOVERS,
         WORKER_RESTARTS,
         MACHINES_TERMINATED,
--- a/src/test/java/io/kelphoist/failover/SimulationSize.java
+++ b/src/test/java/io/kelphoist/failover/SimulationSize.java
@@ -1,13 +1,13 @@
 package io.kelphoist.failover;
 
 /**
- * Dimensions of one simulated run.
+ * Dimensions of a simulated run.
  *
- * @param workers machines that exist for the whole run
- * @param taskLimit tasks that the team may run at a time, of one GPU each
- * @param withInitialJobs whether the usual jobs are stored before the run starts
- * @param writesPerSecond changes a second that the state store accepts
- * @param operationsPerTransaction changes that one transaction may hold
+ * @param workers number of machines that exist for the whole run
+ * @param taskLimit maximum number of tasks, of one GPU each, that the team may run at a time
+ * @param withInitialJobs whether the initial jobs are stored before the run starts
+ * @param writesPerSecond maximum number of changes per second that the state store accepts
+ * @param operationsPerTransaction maximum number of changes in one transaction
  */
 record SimulationSize(
         int workers,
