--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -11,15 +11,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Cancellations that another controller confirmed and the leader cannot read: the state store
- * refuses the leader alone, another controller confirms a cancellation, and then the state store is
- * down for longer than a cancellation may take. The simulation checks that the task has stopped in
- * time; these tests check the other effects.
+ * Guards against tasks of a cancelled job that continue to run because the leader cannot read the
+ * cancellation. The state store refuses only the leader's requests, another controller acknowledges
+ * a cancellation to a user, and then the state store is down for longer than the cancellation
+ * timeout. The simulation checks that the task has stopped in time; these tests check the other
+ * effects.
  */
 class CancellationWatermarkTest {
     private static final double LONG_OUTAGE_SECONDS = 70;
 
-    /** The state store refuses the leader, whose key has not expired yet. */
+    /**
+     * Returns a simulation in which the state store refuses the leader, whose key has not expired
+     * yet.
+     */
     private static DelegationSimulation withLeaderRefused() {
         DelegationSimulation simulation = new DelegationSimulation(false, true);
         simulation.advance(10);
@@ -36,7 +40,10 @@
         simulation.advance(30);
     }
 
-    /** The other's statement reaches the leader: the task is stopped, and no lease expires. */
+    /**
+     * The leader receives the other controller's statement: it stops the task, and no lease
+     * expires.
+     */
     @Test
     void aStatementOfAnotherControllerStopsTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
@@ -49,33 +56,39 @@
     }
 
     /**
-     * The job is cancelled as the leader is refused, shortly before or after; a second later the
-     * state store is down for all.
+     * The job is cancelled shortly before, at or after the time from which the state store refuses
+     * the leader. A second later the state store is down for all controllers.
      */
     @Test
     void cancelledJobStopsWhenTheLeaderIsRefusedAtThatMoment() {
-        for (double after : new double[] {-0.5, -0.25, 0, 0.25, 0.5, 0.75}) {
+        for (double cancelDelaySeconds : new double[] {-0.5, -0.25, 0, 0.25, 0.5, 0.75}) {
             for (int controller = 0; controller < 3; controller++) {
                 DelegationSimulation simulation = new DelegationSimulation(false, true);
                 simulation.advance(10);
-                if (after < 0) {
+                if (cancelDelaySeconds < 0) {
                     simulation.cancel(controller, true);
-                    simulation.advance(-after);
+                    simulation.advance(-cancelDelaySeconds);
                 }
                 simulation.setLeaderRefusedByStore(true);
-                if (after >= 0) {
-                    simulation.advance(after);
+                if (cancelDelaySeconds >= 0) {
+                    simulation.advance(cancelDelaySeconds);
                     simulation.cancel(controller, true);
                 }
-                simulation.advance(1 - Math.max(0, after));
+                simulation.advance(1 - Math.max(0, cancelDelaySeconds));
                 passOutage(simulation);
                 assertEquals(
                         0,
                         simulation.expiredLeases(),
-                        "controller " + controller + " after " + after);
+                        "expired leases: controller="
+                                + controller
+                                + " cancelDelaySeconds="
+                                + cancelDelaySeconds);
                 assertFalse(
                         simulation.isTaskRunning() && simulation.isAcknowledged(),
-                        "controller " + controller + " after " + after);
+                        "task of a cancelled job still runs: controller="
+                                + controller
+                                + " cancelDelaySeconds="
+                                + cancelDelaySeconds);
             }
         }
     }
@@ -91,8 +104,9 @@
     }
 
     /**
-     * The response to the cancellation is lost; queried in the middle of the outage, the controller
-     * that stored it answers from memory.
+     * The response to the cancellation is lost, so the user has no acknowledgement. During the
+     * outage the user queries the job, and the controller that stored the cancellation responds
+     * from memory.
      */
     @Test
     void acknowledgedByAQueryInTheOutage() {
@@ -108,25 +122,26 @@
     }
 
     /**
-     * No process remembers what the crashed controller confirmed: past the bound no lease is
-     * renewed until records can be read.
+     * No process can report the cancellations that the crashed controller confirmed. Once the
+     * renewal window after the watermark has passed, no lease is renewed until the records can be
+     * read.
      */
     @Test
     void renewalsAreWithheldAfterTheConfirmingControllerCrashed() {
-        for (double backSeconds : new double[] {0.1, 5}) {
+        for (double restartSeconds : new double[] {0.1, 5}) {
             DelegationSimulation simulation = withLeaderRefused();
             simulation.cancel(2, true);
-            simulation.crash(2, backSeconds);
+            simulation.crash(2, restartSeconds);
             passOutage(simulation);
             assertTrue(
                     simulation.withheldRenewals() > 5,
-                    simulation.withheldRenewals() + " renewals withheld");
+                    simulation.withheldRenewals() + " renewals withheld, expected over 5");
             assertEquals(1, simulation.expiredLeases());
             assertFalse(simulation.isTaskRunning());
         }
     }
 
-    /** Statements are delayed by more than the bound. */
+    /** Statements are delayed by more than the renewal window. */
     @Test
     void delayedStatementsLetTheLeaseExpireOrStopTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
@@ -138,10 +153,13 @@
         simulation.advance(30);
         assertTrue(
                 simulation.expiredLeases() > 0 || !simulation.isTaskRunning(),
-                "the lease expired or the task stopped");
+                "expected that the lease expired or that the task stopped");
     }
 
-    /** A controller does not cover the cancellations that its full list dropped. */
+    /**
+     * The statements of a controller do not cover the cancellations that were dropped from its full
+     * list.
+     */
     @Test
     void renewalsAreWithheldAfterTheListOverflowed() {
         DelegationSimulation simulation = withLeaderRefused();
@@ -150,11 +168,14 @@
         passOutage(simulation);
         assertTrue(
                 simulation.withheldRenewals() > 5,
-                simulation.withheldRenewals() + " renewals withheld");
+                simulation.withheldRenewals() + " renewals withheld, expected over 5");
         assertFalse(simulation.isTaskRunning());
     }
 
-    /** A controller with a delegation is in a partitioned zone, where statements do not arrive. */
+    /**
+     * The worker's zone is partitioned, so the controller that holds a delegation there receives no
+     * cancellations.
+     */
     @Test
     void taskInAPartitionedZoneStops() {
         DelegationSimulation simulation = withLeaderRefused();
@@ -167,7 +188,10 @@
         assertFalse(simulation.isTaskRunning());
     }
 
-    /** The outage ends and the leader's key expires: the next leader has read the records. */
+    /**
+     * The outage ends, the leader's key expires, and the next leader reads the records before the
+     * next outage.
+     */
     @Test
     void failoverAtTheEndOfAnOutageStopsTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
@@ -187,8 +211,8 @@
     }
 
     /**
-     * While every other controller makes statements no cancellation is unknown: a fix must not let
-     * leases expire in each long outage.
+     * Guards against leases that expire in every long outage. While every other controller sends
+     * statements, the leader has received all cancellations and must continue to renew leases.
      */
     @Test
     void noLeaseExpiresInALongOutage() {
@@ -198,10 +222,13 @@
         simulation.advance(300);
         assertEquals(0, simulation.withheldRenewals());
         assertEquals(0, simulation.expiredLeases());
-        assertTrue(simulation.isTaskRunning(), "the task still runs");
+        assertTrue(simulation.isTaskRunning(), "expected that the task still runs");
     }
 
-    /** A version without the field makes no statements: then the bound limits renewals. */
+    /**
+     * A controller whose version lacks the field sends no statements, so the watermark stops and
+     * renewals end after the renewal window.
+     */
     @Test
     void renewalsAreBoundedBesideAPeerWithoutStatements() {
         CancellationWatermark watermark = new CancellationWatermark(List.of("p", "q"));
@@ -217,7 +244,10 @@
         assertFalse(timing.allowsRenewal(101, 101 + 19.5));
     }
 
-    /** Neither a new process nor an incomplete list covers more than the records did. */
+    /**
+     * Statements of a new process and incomplete statements do not advance the watermark beyond the
+     * last read of the records.
+     */
     @Test
     void incompleteStatementsDoNotAdvanceTheWatermark() {
         CancellationWatermark watermark = new CancellationWatermark(List.of("p"));
@@ -234,13 +264,14 @@
                 102,
                 102.1);
         assertEquals(101, watermark.watermarkSeconds(103), 1e-9);
-        // Started at 102.5: what its earlier process confirmed after 101 is not covered.
+        // This process started at 102.5, so the confirmations of the earlier process after 101 are
+        // not covered.
         watermark.onStatement(
                 "p", new ConfirmedCancellations.Statement(9, 0.5, 0, true, List.of()), 103, 103.1);
         assertEquals(101, watermark.watermarkSeconds(104), 1e-9);
         assertEquals(9, watermark.incarnation("p"));
         assertEquals(0, watermark.acknowledgedSequenceNumber("p"));
-        // A late statement of the earlier process does not restore its sequence numbers.
+        // A delayed statement of the earlier process does not restore its sequence numbers.
         watermark.onStatement(
                 "p", new ConfirmedCancellations.Statement(7, 51, 6, true, List.of()), 102.2, 104);
         assertEquals(9, watermark.incarnation("p"));
@@ -252,8 +283,9 @@
     }
 
     /**
-     * The next leader may not have received what an earlier one acknowledged: it must read the
-     * records for that.
+     * The next leader may not have received the cancellations that an earlier leader acknowledged.
+     * Statements to it must not cover the time of these cancellations, so that it reads the records
+     * instead.
      */
     @Test
     void acknowledgementsToAnEarlierLeaderAreNotCoveredForTheNext() {
@@ -286,7 +318,10 @@
         assertEquals(Optional.empty(), confirmed.statementFor(3, 7, 99, 121));
     }
 
-    /** Sequence numbers of another process, or that were never used, acknowledge nothing. */
+    /**
+     * Sequence numbers of another process, and numbers that were never assigned, acknowledge no
+     * cancellation.
+     */
     @Test
     void acknowledgementsOfAnotherProcessAreIgnored() {
         ConfirmedCancellations confirmed = new ConfirmedCancellations(7, 100);
--- a/src/test/java/io/kelphoist/delegation/DelegatedWorker.java
+++ b/src/test/java/io/kelphoist/delegation/DelegatedWorker.java
@@ -29,14 +29,17 @@
         leaseExpiresAtSeconds = nowSeconds + DelegationSimulation.LEASE_SECONDS;
     }
 
-    /** The leader's response renews the lease, and starts or stops the task. */
+    /** The leader's response renews the lease, and starts or isStopped the task. */
     void onLeaderResponse(long term, boolean runTask, double nowSeconds) {
         renewLease(nowSeconds);
         fencingToken = term;
         taskRunning = runTask;
     }
 
-    /** Without a lease it accepts a leader of any term. */
+    /**
+     * Discards the fencing token if the lease has expired. Without a lease, the worker accepts a
+     * leader of any term.
+     */
     void dropTokenOfExpiredLease(double nowSeconds) {
         if (!hasLease(nowSeconds)) {
             fencingToken = 0;
@@ -44,11 +47,12 @@
     }
 
     /**
-     * Returns whether a task was stopped as the lease has expired; the leader may start it again.
+     * Stops the task if the lease has expired, and returns whether it did. The leader may start the
+     * task again.
      */
     boolean stopTaskOfExpiredLease(double nowSeconds) {
-        boolean stops = taskRunning && !hasLease(nowSeconds);
-        taskRunning &= !stops;
-        return stops;
+        boolean isStopped = taskRunning && !hasLease(nowSeconds);
+        taskRunning &= !isStopped;
+        return isStopped;
     }
 }
--- a/src/test/java/io/kelphoist/delegation/DelegationController.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationController.java
@@ -2,7 +2,10 @@
 
 import io.kelphoist.cancellation.ConfirmedCancellations;
 
-/** A controller's process: its clock, its delegation and the cancellations that it confirmed. */
+/**
+ * A controller's process: its clock, the delegation that it holds and the cancellations that it
+ * confirmed.
+ */
 final class DelegationController {
     private final int index;
     private final String zone;
@@ -20,7 +23,10 @@
     private boolean workerBlocked;
     private boolean workerResponsesBlocked;
 
-    /** It has read that the job is cancelled, and can say so without the state store. */
+    /**
+     * Whether this process has read or stored the cancellation, so that it can acknowledge it
+     * without the state store.
+     */
     private boolean hasReceivedCancellation;
 
     DelegationController(
@@ -39,7 +45,10 @@
         start();
     }
 
-    /** A new process starts and knows nothing. An earlier one may have granted up to its end. */
+    /**
+     * Starts a new process without any state of an earlier one. An earlier process may have given
+     * grants until now.
+     */
     void start() {
         incarnation++;
         startedAtSeconds = network.nowSeconds();
@@ -66,6 +75,7 @@
         return zone;
     }
 
+    /** Returns the current value of this controller's own clock, which drifts. */
     double clock() {
         return clockAt(network.nowSeconds());
     }
@@ -94,6 +104,7 @@
         return confirmed;
     }
 
+    /** Returns the status that this controller reports to the leader of a term. */
     PeerStatus status(long term) {
         double renewedAt = delegation.lastRenewalAtSeconds();
         double sinceRenewal =
@@ -134,7 +145,7 @@
         return refusedByStore;
     }
 
-    /** The worker cannot reach it. */
+    /** Sets whether the worker's heartbeats to this controller are lost. */
     void setWorkerBlocked(boolean blocked) {
         workerBlocked = blocked;
     }
@@ -143,7 +154,7 @@
         return workerBlocked;
     }
 
-    /** Heartbeats of the worker arrive, and responses do not reach the worker. */
+    /** Sets whether responses to the worker's heartbeats are lost while the heartbeats arrive. */
     void setWorkerResponsesBlocked(boolean blocked) {
         workerResponsesBlocked = blocked;
     }
--- a/src/test/java/io/kelphoist/delegation/DelegationNetwork.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationNetwork.java
@@ -5,10 +5,15 @@
 import java.util.Deque;
 import java.util.PriorityQueue;
 
-/** True time in seconds, and messages between controllers, which wait while a link is blocked. */
+/**
+ * The simulated true time in seconds, and messages between controllers, which are held while a link
+ * is blocked.
+ */
 final class DelegationNetwork {
-    private static final double MESSAGE_SECONDS = 0.01;
+    /** Delivery time of a message. */
+    private static final double MESSAGE_DELIVERY_SECONDS = 0.01;
 
+    /** An action that is scheduled at a time. */
     private record Event(double atSeconds, Runnable action) {}
 
     private final PriorityQueue<Event> events =
@@ -39,7 +44,10 @@
         }
     }
 
-    /** Blocks one direction; when any link is unblocked, held messages are delivered. */
+    /**
+     * Blocks or unblocks messages in one direction. When any link is unblocked, all held messages
+     * are delivered.
+     */
     void setBlocked(int from, int to, boolean isBlocked) {
         blocked[from][to] = isBlocked;
         if (!isBlocked) {
@@ -52,8 +60,8 @@
         long incarnation = to.incarnation();
         Runnable message =
                 () -> {
-                    // A restarted process has new connections, but in the worst case it reads what
-                    // was sent on an old one.
+                    // A restarted process has new connections. In the worst case it still receives
+                    // messages that were sent on an old connection.
                     if (to.isUp() && to.incarnation() >= incarnation) {
                         onArrival.run();
                     }
@@ -61,7 +69,7 @@
         if (blocked[from.index()][to.index()]) {
             heldMessages.add(message);
         } else {
-            schedule(MESSAGE_SECONDS, message);
+            schedule(MESSAGE_DELIVERY_SECONDS, message);
         }
     }
 }
--- a/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
@@ -6,13 +6,15 @@
 import java.util.List;
 
 /**
- * Two zones, three controllers, one worker, a state store and users, with faults: clocks drift,
- * messages are held, processes crash, and the state store refuses one controller or is down. Users
- * cancel the job through any controller and query any. The rules on leases and cancellations are
- * checked in each step. Time is true time in seconds, which only the checks see.
+ * Simulates lease delegation with two zones, three controllers, one worker, a state store and
+ * users, and checks the rules for leases and cancellations in each step.
  *
- * <p>Controller 0 leads first, from zone {@code b} or from outside it. The worker is in zone {@code
- * b}, where controller 1 is, and runs a task of the one job as long as the leader wants it to.
+ * <p>The faults are: clocks drift, messages are held, processes crash, and the state store refuses
+ * one controller or is down. Users cancel the job and query it through any controller. Times are in
+ * seconds of simulated true time, which the controllers cannot read.
+ *
+ * <p>Controller 0 is the first leader, in zone {@code b} or outside it. The worker and controller 1
+ * are in zone {@code b}. The worker runs the task of the only job until the leader stops it.
  */
 final class DelegationSimulation {
     static final double LEASE_SECONDS = 22;
@@ -36,7 +38,7 @@
     private double nextHeartbeatAtSeconds;
     private double nextGrantRequestAtSeconds;
 
-    /** When a user was first answered that the job is cancelled; infinite: never. */
+    /** When the cancellation was first acknowledged to a user; infinite before that. */
     private double acknowledgedAtSeconds = Double.POSITIVE_INFINITY;
 
     private int delegatedRenewals;
@@ -72,13 +74,18 @@
 
     // ---- faults ----
 
-    /** Blocks messages in both directions; unblocked, what was held is delivered. */
+    /**
+     * Blocks or unblocks messages in both directions. Held messages are delivered when the link is
+     * unblocked.
+     */
     void setLinkBlocked(int first, int second, boolean blocked) {
         network.setBlocked(second, first, blocked);
         network.setBlocked(first, second, blocked);
     }
 
-    /** Blocks messages in one direction, such as responses to requests that arrive. */
+    /**
+     * Blocks or unblocks messages in one direction, for example responses to requests that arrive.
+     */
     void setOneWayBlocked(int from, int to, boolean blocked) {
         network.setBlocked(from, to, blocked);
     }
@@ -87,13 +94,16 @@
         controllers.get(controller).setWorkerBlocked(blocked);
     }
 
-    /** The worker's heartbeats reach a controller, whose responses do not reach the worker. */
+    /** Sets whether the worker's heartbeats arrive at a controller while its responses are lost. */
     void setWorkerResponsesBlocked(int controller, boolean blocked) {
         controllers.get(controller).setWorkerResponsesBlocked(blocked);
     }
 
     /**
-     * @param restartSeconds after which the process is back, perhaps before anybody noticed
+     * Crashes a controller's process and restarts it.
+     *
+     * @param restartSeconds delay until the restart, which may be too short for other controllers
+     *     to detect the crash
      */
     void crash(int controller, double restartSeconds) {
         DelegationController crashed = controllers.get(controller);
@@ -101,7 +111,10 @@
         network.schedule(restartSeconds, crashed::start);
     }
 
-    /** A controller takes over once the leader key and its own last grant have expired. */
+    /**
+     * A controller becomes the leader if the leader key and the last grant that it gave have
+     * expired.
+     */
     void failOver(int controller) {
         DelegationController next = controllers.get(controller);
         boolean leadsAlready = next == term.leader() && term.isLeaderRunning();
@@ -115,7 +128,7 @@
         }
     }
 
-    /** For as long as a leader's lease may last, it does not read what others store. */
+    /** For the duration of a leader lease, the leader's reads of job records are stale. */
     void makeReadsStale() {
         readsStaleUntilSeconds = network.nowSeconds() + DelegationTerm.KEY_SECONDS;
     }
@@ -137,20 +150,23 @@
     /**
      * A user cancels the job through a controller.
      *
-     * @param answered false: the response is lost, and the user may query later
+     * @param isAcknowledged false if the response is lost; the user may query the job later
      */
-    void cancel(int controller, boolean answered) {
+    void cancel(int controller, boolean isAcknowledged) {
         DelegationController frontEnd = controllers.get(controller);
         if (frontEnd.isUp() && store.isReachableBy(frontEnd)) {
             store.putCancellation();
             frontEnd.onCancellationReceived();
-            if (answered) {
+            if (isAcknowledged) {
                 acknowledge(frontEnd);
             }
         }
     }
 
-    /** A user queries: a controller that has read the end of a job answers also in an outage. */
+    /**
+     * A user queries the job. A controller that has read the cancellation responds even during an
+     * outage.
+     */
     void query(int controller) {
         DelegationController frontEnd = controllers.get(controller);
         if (frontEnd.isUp() && store.isReachableBy(frontEnd) && store.isCancelled()) {
@@ -175,7 +191,10 @@
         }
     }
 
-    /** Users cancel more jobs through one controller than it remembers. */
+    /**
+     * Users cancel more jobs through one controller than its list of confirmed cancellations can
+     * hold.
+     */
     void overflowConfirmedCancellations(int controller) {
         DelegationController frontEnd = controllers.get(controller);
         for (int i = 0; frontEnd.isUp() && i <= ConfirmedCancellations.MAX_ENTRIES; i++) {
@@ -185,7 +204,7 @@
 
     // ---- time ----
 
-    /** Time passes. */
+    /** Advances the simulated time. */
     void advance(double seconds) {
         double end = network.nowSeconds() + seconds;
         while (network.nowSeconds() < end) {
@@ -221,17 +240,20 @@
             if (controller.isWorkerBlocked() || !controller.isUp()) {
                 continue;
             }
-            boolean isAnswered =
+            boolean isResponseReceived =
                     (controller == term.leader() && term.mayAct())
                             ? sendToLeader(controller)
                             : sendToDelegate(controller);
-            if (isAnswered) {
+            if (isResponseReceived) {
                 return;
             }
         }
     }
 
-    /** A renewal whose response is lost counts for the leader, and the worker tries the next. */
+    /**
+     * Returns whether the worker receives a response. If the response is lost, the leader has
+     * recorded the renewal nevertheless, and the worker tries the next controller.
+     */
     private boolean sendToLeader(DelegationController leader) {
         if (!timing.allowsRenewal(term.watermarkSeconds(), leader.clock())) {
             withheldRenewals++;
@@ -247,6 +269,7 @@
         return true;
     }
 
+    /** Returns whether the worker receives a response that renews its lease under a delegation. */
     private boolean sendToDelegate(DelegationController controller) {
         double now = network.nowSeconds();
         HeldDelegation delegation = controller.delegation();
@@ -278,7 +301,7 @@
             assumedLeaseExpirations++;
             if (worker.hasLease(now)) {
                 throw new AssertionError(
-                        "worker is counted as lost before its lease expires: at="
+                        "leader assumes that the lease has expired before it does: at="
                                 + now
                                 + " leaseExpiresAt="
                                 + worker.leaseExpiresAtSeconds());
@@ -298,42 +321,49 @@
         }
     }
 
-    // ---- what happened ----
+    // ---- results ----
 
     boolean isTaskRunning() {
         return worker.isTaskRunning();
     }
 
-    /** Whether some user was answered that the job is cancelled. */
+    /** Whether the cancellation was acknowledged to a user. */
     boolean isAcknowledged() {
         return acknowledgedAtSeconds < Double.POSITIVE_INFINITY;
     }
 
+    /** Returns the number of the newest term. */
     long term() {
         return termCount;
     }
 
-    /** Leases that another controller than the acting leader renewed. */
+    /** Returns the number of lease renewals under a delegation. */
     int delegatedRenewals() {
         return delegatedRenewals;
     }
 
-    /** Leases that a leader counted as expired. */
+    /** Returns how often a leader assumed that the lease has expired. */
     int assumedLeaseExpirations() {
         return assumedLeaseExpirations;
     }
 
-    /** Heartbeats that the leader did not answer as it may not know all cancellations. */
+    /**
+     * Returns the number of heartbeats to which the leader did not respond, because its
+     * cancellation watermark was too old.
+     */
     int withheldRenewals() {
         return withheldRenewals;
     }
 
-    /** First acknowledgements by another controller while the leader could not read them. */
+    /**
+     * Returns the number of first acknowledgements by another controller while the leader could not
+     * read the state store.
+     */
     int acknowledgementsUnknownToLeader() {
         return acknowledgementsUnknownToLeader;
     }
 
-    /** Leases that expired while the task ran. */
+    /** Returns how often the lease expired while the task was running. */
     int expiredLeases() {
         return expiredLeases;
     }
--- a/src/test/java/io/kelphoist/delegation/DelegationStore.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationStore.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 import java.util.function.BiConsumer;
 
-/** What the state store holds: delegation records, and whether the job is cancelled. */
+/** The contents of the state store: delegation records and the cancellation of the job. */
 final class DelegationStore {
     private final DelegationNetwork network;
 
-    /** True times from which delegations are recorded, by peer. */
+    /** Recorded starts of delegations in simulated true time, by peer. */
     private final Map<String, Double> delegationStartsSeconds = new LinkedHashMap<>();
 
     private boolean down;
@@ -39,7 +39,9 @@
     }
 
     /**
-     * @param startsAtSeconds NaN: the delegation has ended
+     * Stores or clears a delegation record.
+     *
+     * @param startsAtSeconds latest start of the delegation; NaN clears the record
      */
     void putDelegation(String peer, double startsAtSeconds) {
         if (Double.isNaN(startsAtSeconds)) {
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -13,7 +13,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One leader's term: its key and grants, its offers to peers, and what it knows of cancellations.
+ * The term of one leader: its leader key and grants, its delegation offers to peers, and the
+ * cancellations that it has received.
  */
 final class DelegationTerm {
     static final double KEY_SECONDS = 3;
@@ -22,13 +23,16 @@
     /** Wall clocks differ from true time by at most this. */
     private static final double WALL_CLOCK_ERROR_SECONDS = 0.25;
 
-    /** A worker that had no response for a heartbeat round and this long is not delegated. */
+    /**
+     * A worker is excluded from delegation if the leader did not renew its lease for a heartbeat
+     * round and this time.
+     */
     private static final double SILENCE_MARGIN_SECONDS = 1.5;
 
     private static final double HEARTBEAT_ROUND_SECONDS =
             1.25 * DelegationSimulation.HEARTBEAT_INTERVAL_SECONDS;
 
-    /** As the leader counts a lease, see {@code LeaseMonitor}. */
+    /** Time after which the leader assumes that a lease has expired, see {@code LeaseMonitor}. */
     private static final double ASSUMED_LEASE_SECONDS =
             DelegationSimulation.LEASE_SECONDS * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT) + 0.25;
 
@@ -44,7 +48,10 @@
     private final CancellationWatermark watermark;
     private final Map<String, Double> grantExpiries = new HashMap<>();
 
-    /** Time that the leader key has left; it does not pass while the state store is down. */
+    /**
+     * Remaining duration of the leader key. It does not decrease during an outage of the state
+     * store.
+     */
     private double keySecondsLeft = KEY_SECONDS;
 
     private double leaseExpiresAtSeconds;
@@ -52,7 +59,7 @@
     private boolean hasReceivedCancellation;
     private boolean leaseAssumedExpired;
 
-    /** What a term works with. */
+    /** The parts of the simulation that all terms share. */
     record Environment(
             DelegationNetwork network,
             DelegationStore store,
@@ -60,6 +67,8 @@
             DelegationTiming timing) {}
 
     /**
+     * Starts a term.
+     *
      * @param isCurrent whether no later term has begun
      */
     DelegationTerm(
@@ -115,7 +124,7 @@
         return leader.isUp() && leader.incarnation() == leaderIncarnation;
     }
 
-    /** The leader may act by its lease, or by grants of all peers. */
+    /** Whether the leader is authorized to act, by its lease or by grants of all peers. */
     boolean mayAct() {
         double now = network.nowSeconds();
         boolean isGranted =
@@ -133,7 +142,10 @@
         }
     }
 
-    /** The leader renews its key if it can, and reads job records unless reads are stale. */
+    /**
+     * The leader renews its key if it can access the state store, and reads job records unless
+     * reads are stale.
+     */
     void renewKey(boolean readsAreStale) {
         if (!isLeaderRunning() || !store.isReachableBy(leader) || isKeyExpired()) {
             return;
@@ -154,7 +166,10 @@
                 .ifPresent(offer -> leader.delegation().onOwnOffer(offer, leader.clock()));
     }
 
-    /** A machine is not delegated if its job is cancelled, or if it has long been silent. */
+    /**
+     * Returns the machines to exclude from delegation: the worker is excluded if it runs a task of
+     * a cancelled job, or if its heartbeats have been missing for too long.
+     */
     private Set<String> excludedMachines() {
         boolean isCancelled = worker.isTaskRunning() && hasReceivedCancellation;
         boolean isSilent =
@@ -163,7 +178,10 @@
         return isCancelled || isSilent ? Set.of(DelegatedWorker.NAME) : Set.of();
     }
 
-    /** Records take a while to be stored, and are refused after a later term has begun. */
+    /**
+     * Writes the records that are due. A write takes up to three seconds, and is refused after a
+     * later term has begun.
+     */
     void storeRecords() {
         double now = network.nowSeconds();
         for (DelegationRecord record : delegations.dueRecords(leader.clock())) {
@@ -223,6 +241,7 @@
                 });
     }
 
+    /** A peer's response to a grant request. */
     private record Response(
             PeerStatus status,
             Optional<ConfirmedCancellations.Statement> statement,
@@ -259,7 +278,7 @@
 
     // ---- cancellations and leases ----
 
-    /** Up to when the leader knows all confirmed cancellations, by its clock. */
+    /** Returns the leader's cancellation watermark, by its clock. */
     double watermarkSeconds() {
         return watermark.watermarkSeconds(leader.clock());
     }
@@ -284,19 +303,21 @@
         delegations.onLocalRenewal(leader.clock());
     }
 
-    /** Returns true once the leader counts the worker's lease as expired. */
+    /**
+     * Returns true once for each time that the leader assumes the worker's lease to have expired.
+     */
     boolean assumesLeaseExpired() {
         if (!mayAct() || leaseAssumedExpired) {
             return false;
         }
         double clock = leader.clock();
-        boolean isLost =
+        boolean isExpired =
                 clock >= lastRenewalAtSeconds + ASSUMED_LEASE_SECONDS
                         && clock
                                 >= delegations.latestRenewalAtSeconds(
                                                 DelegatedWorker.NAME, DelegatedWorker.ZONE, clock)
                                         + ASSUMED_LEASE_SECONDS;
-        leaseAssumedExpired = isLost;
-        return isLost;
+        leaseAssumedExpired = isExpired;
+        return isExpired;
     }
 }
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -17,8 +17,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whatever faults a run combines, no lease outlives the time that the leader counts for it, and no
- * task of a cancelled job outlives the time that a cancellation may take.
+ * Runs simulated lease delegation with random combinations of faults. No worker lease may last
+ * longer than the leader assumes, and no task of a cancelled job may run longer than the
+ * cancellation timeout.
  */
 class LeaseDelegationTest {
     private static int withheldRenewals;
@@ -26,7 +27,10 @@
     private static int delegatedRenewals;
     private static int assumedLeaseExpirations;
 
-    /** A number's rest modulo 10 selects the kind of event, its quotients the arguments. */
+    /**
+     * Applies one random event and advances the time: {@code step % 10} selects the kind of event,
+     * quotients of {@code step} its arguments.
+     */
     private static void applyStep(DelegationSimulation simulation, int step) {
         int controller = step / 20 % 3;
         boolean enabled = step / 60 % 2 == 0;
@@ -53,7 +57,10 @@
         }
     }
 
-    /** Controller 1 is alone in the worker's zone: it reaches the worker, and nobody else does. */
+    /**
+     * Separates the worker's zone from the rest: only controller 1, which is in that zone, can
+     * exchange messages with the worker.
+     */
     private static void setWorkersZoneCutOff(DelegationSimulation simulation, boolean cutOff) {
         for (int outside : new int[] {0, 2}) {
             simulation.setLinkBlocked(1, outside, cutOff);
@@ -101,24 +108,30 @@
     }
 
     /**
-     * The property would hold as well if no cancellation were ever unknown to the leader, or no
-     * renewal were ever withheld.
+     * Checks that the simulated faults had an effect. Without this check the property would also
+     * hold if the leader received every cancellation immediately, or if no renewal were ever
+     * withheld.
      */
     @AfterContainer
     static void faultsAndTheirEffectsOccurred() {
-        assertTrue(withheldRenewals > 100, withheldRenewals + " renewals withheld");
+        assertTrue(
+                withheldRenewals > 100, withheldRenewals + " renewals withheld, expected over 100");
         assertTrue(
                 acknowledgementsUnknownToLeader > 200,
-                acknowledgementsUnknownToLeader + " acknowledgements unseen by the leader");
-        assertTrue(delegatedRenewals > 500, delegatedRenewals + " delegated renewals");
+                acknowledgementsUnknownToLeader
+                        + " acknowledgements unknown to the leader, expected over 200");
+        assertTrue(
+                delegatedRenewals > 500,
+                delegatedRenewals + " delegated renewals, expected over 500");
         assertTrue(
                 assumedLeaseExpirations > 500,
-                assumedLeaseExpirations + " workers counted as lost");
+                assumedLeaseExpirations + " leases assumed to have expired, expected over 500");
     }
 
     /**
-     * The property above would hold as well if no lease were ever renewed by delegation, or no
-     * worker were ever counted as lost.
+     * Checks a single partition in detail, because the property above would also hold if no lease
+     * were ever renewed under a delegation, or if the leader never assumed that a lease has
+     * expired.
      */
     @Test
     void leasesInAPartitionedZoneAreRenewedByDelegationAndThenExpire() {
@@ -129,12 +142,18 @@
             simulation.setWorkerBlocked(outside, true);
         }
         simulation.advance(25);
-        assertTrue(simulation.delegatedRenewals() >= 4, simulation.delegatedRenewals() + " times");
+        assertTrue(
+                simulation.delegatedRenewals() >= 4,
+                simulation.delegatedRenewals() + " delegated renewals, expected at least 4");
         assertEquals(0, simulation.assumedLeaseExpirations());
         simulation.advance(25);
         assertEquals(1, simulation.assumedLeaseExpirations());
     }
 
+    /**
+     * If the cancellation timeout is barely longer than a lease, a delegation would let a task of a
+     * cancelled job run too long.
+     */
     @Test
     void isDisabledWhereCancellationTimeoutIsTooShort() {
         assertFalse(DelegationTiming.of(22, 22).isEnabled());
@@ -142,7 +161,10 @@
         assertTrue(DelegationTiming.of(47, 22).delegationSeconds() + 22 < 47);
     }
 
-    /** A version without delegation may lead next, and would not account for delegated renewals. */
+    /**
+     * Guards against delegation during an upgrade: a controller whose version has no delegation may
+     * lead next, and would not account for delegated renewals.
+     */
     @Test
     void offersNothingBesideAVersionWithoutDelegation() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
@@ -158,8 +180,9 @@
     }
 
     /**
-     * Before its first response a peer may still renew under an earlier leader's delegation, which
-     * the settings alone bound, without any record.
+     * Before its first response in a term a peer may still renew leases under a delegation of an
+     * earlier leader. Without a stored record, the end of that delegation is bounded only by the
+     * settings.
      */
     @Test
     void accountsForDelegationsOfThePredecessor() {
@@ -181,8 +204,8 @@
     }
 
     /**
-     * A peer renews only while the leader is silent, and only under a delegation that this process
-     * received.
+     * A peer renews leases only while it receives no message of the leader, and only under a
+     * delegation that was offered to its current process.
      */
     @Test
     void allowsRenewalOnlyWhileTheLeaderIsSilent() {
@@ -200,14 +223,18 @@
                 delegation.allowsRenewal(
                         "vm-1", "b", 3, 99.5 + DelegationTiming.of(47, 22).delegationSeconds()));
         assertEquals(HeldDelegation.State.EXPIRED, delegation.state(140));
-        // A worker that has seen a newer leader ends the delegation for all workers.
+        // A worker with the fencing token of a newer term ends the delegation for all workers.
         delegation.onOffer(new DelegationOffer(3, 7, 2, 139.5, ImmutableSet.of()), 140);
         assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 142));
         assertFalse(delegation.allowsRenewal("vm-2", "b", 4, 142));
         assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 142));
     }
 
-    /** A second failover in the same partition does not count from its own start. */
+    /**
+     * Guards against a second failover in the same partition that assumes the delegation to have
+     * started with its own term, which would delay the expiry of the leases: the next leader must
+     * use the stored start.
+     */
     @Test
     void theNextLeaderLoadsTheStartOfASilentPeersDelegation() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
@@ -225,18 +252,21 @@
                 110.1 + timing.delegationSeconds(),
                 next.latestRenewalAtSeconds("vm-1", "b", 140),
                 0.1);
-        // After contact it is offered nothing until the record has been removed.
+        // After the peer responds again it gets no offer until the record has been cleared.
         next.onResponse("p", 141, new PeerStatus(1, 36, 81, 5, 0), 141.1);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
-        DelegationRecord removal = next.dueRecords(141.3).get(0);
+        DelegationRecord clearedRecord = next.dueRecords(141.3).get(0);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
-        next.onRecordStored(removal, false);
+        next.onRecordStored(clearedRecord, false);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
         next.onRecordStored(next.dueRecords(141.6).get(0), true);
         assertEquals(1, next.offerTo("p", Set.of(), 142).orElseThrow().sequenceNumber());
     }
 
-    /** For machines that were silent before contact was lost, only own responses count. */
+    /**
+     * The peer must not renew the leases of machines that were silent before the partition, so
+     * their leases expire by the leader's own renewals alone.
+     */
     @Test
     void leasesOfSilentMachinesAreNotDelegated() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
@@ -246,7 +276,7 @@
                 "p", 100, new PeerStatus(1, 5, 50, Double.POSITIVE_INFINITY, 0), 100.1);
         DelegationOffer offer = delegations.offerTo("p", Set.of("vm-1"), 101).orElseThrow();
         assertEquals(ImmutableSet.of("vm-1"), offer.excludedMachines());
-        // The offer may not have arrived.
+        // The peer has not acknowledged the offer, so its exclusions may not apply yet.
         assertEquals(110, delegations.latestRenewalAtSeconds("vm-1", "b", 110));
         delegations.onResponse(
                 "p",
--- a/src/test/java/io/kelphoist/failover/AcknowledgedCancellationLog.java
+++ b/src/test/java/io/kelphoist/failover/AcknowledgedCancellationLog.java
@@ -7,14 +7,18 @@
 import java.util.Map;
 
 /**
- * Jobs that some user was answered to be cancelled, in the order of the first such answer. Leaders
- * receive it by position, also while the state store is unreachable.
+ * The jobs whose cancellation was acknowledged to a user, in the order of the first
+ * acknowledgement. Leaders read the log from a position on, even while the state store is
+ * unreachable.
  */
 final class AcknowledgedCancellationLog {
     private final List<String> jobIds = new ArrayList<>();
     private final Map<String, Double> acknowledgedAtSeconds = new HashMap<>();
 
-    /** Returns whether this is the job's first acknowledgement. */
+    /**
+     * Adds the cancellation of a job that is about to be acknowledged. Returns whether this is its
+     * first acknowledgement.
+     */
     boolean add(String jobId, double nowSeconds) {
         if (acknowledgedAtSeconds.putIfAbsent(jobId, nowSeconds) != null) {
             return false;
@@ -36,11 +40,14 @@
         return jobIds.subList(0, count).contains(jobId);
     }
 
+    /** Returns the entries from a position on. */
     List<String> from(int position) {
         return Collections.unmodifiableList(jobIds.subList(position, jobIds.size()));
     }
 
-    /** {@code otherwise}: the job's cancellation was not acknowledged. */
+    /**
+     * Returns when the job's cancellation was first acknowledged; {@code otherwise} if it was not.
+     */
     double acknowledgedAtSeconds(String jobId, double otherwise) {
         return acknowledgedAtSeconds.getOrDefault(jobId, otherwise);
     }
--- a/src/test/java/io/kelphoist/failover/CommandDelivery.java
+++ b/src/test/java/io/kelphoist/failover/CommandDelivery.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * A request on its way from a leader to a worker. The leader gives it up after a while, and it may
- * still arrive later.
+ * A request in flight from a leader to a worker. After a timeout the leader stops waiting for the
+ * response, but the request may still arrive later.
  */
 final class CommandDelivery {
-    /** The kind of a request to a worker. */
+    /** The kinds of requests to a worker. */
     enum Kind {
         COMMANDS,
         STATUS_REQUEST,
@@ -31,7 +31,9 @@
     private boolean lost;
 
     /**
-     * @param worker null: no machine has the address any more
+     * Creates a request that is sent now.
+     *
+     * @param worker the receiver; null if the machine with the address has been terminated
      */
     CommandDelivery(
             SimulatedLeader leader,
@@ -70,7 +72,7 @@
         return nowSeconds >= sentAtSeconds + timeout;
     }
 
-    /** The connection that it was sent on is closed. */
+    /** The connection on which it was sent was closed, so it is lost. */
     void markLost() {
         lost = true;
     }
@@ -79,7 +81,9 @@
         return lost;
     }
 
-    /** The worker executes it, or refuses it if the leader or the agent epoch is not current. */
+    /**
+     * The worker executes the request, or refuses it if its term or its agent epoch is not current.
+     */
     void deliver(SafetyChecker checker) {
         worker.expireLease();
         checker.checkHeartbeatsBeforeStart(this);
@@ -91,9 +95,9 @@
     }
 
     /**
-     * The leader learns the outcome, if it has not before.
+     * Reports the outcome to the leader, unless one was reported before.
      *
-     * @param heartbeat null: without a response of the worker
+     * @param heartbeat the worker's response; null if there is none
      */
     void complete(DeliveryOutcome outcome, Heartbeat heartbeat) {
         if (completed) {
--- a/src/test/java/io/kelphoist/failover/ElectedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ElectedLeadership.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Three controllers elect the leader, see {@link ElectionSimulation}. */
+/** Leaders that three controllers elect in an {@link ElectionSimulation}. */
 final class ElectedLeadership extends Leadership implements ElectionSimulation.Listener {
     private static final double QUICK_RESTART_SECONDS = 0.1;
     private static final double SLOW_RESTART_SECONDS = 4;
@@ -90,8 +90,8 @@
     }
 
     @Override
-    void setLostResponses(int ofTen) {
-        elections.setLostResponses(ofTen);
+    void setLostResponses(int perTen) {
+        elections.setLostResponses(perTen);
     }
 
     @Override
--- a/src/test/java/io/kelphoist/failover/HeartbeatChannel.java
+++ b/src/test/java/io/kelphoist/failover/HeartbeatChannel.java
@@ -8,16 +8,23 @@
 import java.util.Optional;
 
 /**
- * Carries heartbeats from workers to the leader and responses back, with copies that arrive up to
- * three leases late, and copies that the next leader receives first of all.
+ * Delivers heartbeats from workers to the leader, and the responses. Copies of some heartbeats
+ * arrive up to three lease durations late; copies of others are the first messages that the next
+ * leader receives.
  */
 final class HeartbeatChannel {
+    /** One of this many heartbeats is also delivered as a delayed copy, on average. */
     private static final int MEAN_HEARTBEATS_PER_COPY = 8;
+
+    /** One of this many heartbeats is kept for the next leader, on average. */
     private static final int MEAN_HEARTBEATS_PER_KEPT_COPY = 3;
+
+    /** One of this many responses to heartbeats is lost, on average. */
     private static final int MEAN_RESPONSES_PER_LOSS = 3;
+
     private static final double MAX_COPY_DELAY_SECONDS = 3 * SimulationContext.LEASE_SECONDS;
 
-    /** A copy of a heartbeat, and when it arrives. */
+    /** A copy of a heartbeat and its arrival time. */
     private record DelayedCopy(Heartbeat heartbeat, double atSeconds) {}
 
     private final SimulationContext context;
@@ -39,12 +46,12 @@
         this.cancellations = cancellations;
     }
 
-    /** Whether copies of heartbeats are kept for the next leader. */
+    /** Sets whether copies of heartbeats are kept for the next leader. */
     void setKeepForNextLeader(boolean keeping) {
         this.keepForNextLeader = keeping;
     }
 
-    /** The new leader receives the kept copies. */
+    /** Delivers the kept copies to the new leader. */
     void deliverKept(SimulatedLeader leader) {
         context.counters().add(Counter.HEARTBEATS_KEPT_FOR_NEXT_LEADER, keptForNextLeader.size());
         keptForNextLeader.forEach(leader::onHeartbeatCopy);
@@ -109,7 +116,10 @@
         }
     }
 
-    /** A leader that has not loaded its records renews leases and processes nothing. */
+    /**
+     * A leader that has not loaded its records renews worker leases but does not process
+     * heartbeats. Leases of workers with a task of a cancelled job are not renewed.
+     */
     private void renewLeaseOnly(
             SimulatedWorker worker, Heartbeat heartbeat, SimulatedLeader leader) {
         boolean runsCancelledJob =
--- a/src/test/java/io/kelphoist/failover/LeaderOutput.java
+++ b/src/test/java/io/kelphoist/failover/LeaderOutput.java
@@ -9,8 +9,12 @@
 import io.kelphoist.scheduler.reachability.DeliveryOutcome;
 import java.util.List;
 
-/** What a leader's scheduler requests: messages to workers, record writes, and the cloud. */
+/**
+ * Carries out the requests of a leader's scheduler: messages to workers, writes of records, and
+ * requests to the cloud.
+ */
 final class LeaderOutput extends RecordStoringOutput {
+    /** One of this many responses to scale-out requests is lost, on average. */
     private static final int MEAN_CLOUD_RESPONSES_PER_LOSS = 3;
 
     private final SimulatedLeader.Dependencies dependencies;
@@ -49,7 +53,7 @@
         CommandDelivery delivery =
                 new CommandDelivery(leader, worker, machine.name(), agentEpoch, commands, kind);
         if (worker == null) {
-            // The cloud has terminated it; addresses are not used again.
+            // The cloud has terminated the machine. Addresses are not reused.
             dependencies
                     .network()
                     .onNextStep(() -> delivery.complete(DeliveryOutcome.NOT_SENT, null));
--- a/src/test/java/io/kelphoist/failover/Leadership.java
+++ b/src/test/java/io/kelphoist/failover/Leadership.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The leaders of a run, one after the other, and how the next one comes to lead. */
+/** The successive leaders of a run. Subclasses determine how the leader changes. */
 abstract class Leadership {
-    /** What a new leader receives of its predecessor's replicated state. */
+    /** The part of its predecessor's replicated state that a new leader receives. */
     enum Handover {
         NOTHING,
         REPLICA,
@@ -26,7 +26,7 @@
         this.dependencies = dependencies;
     }
 
-    /** Sets what happens when a leader has loaded its records. */
+    /** Sets the callback that runs when a leader has loaded its records. */
     void setOnRecordsLoaded(Consumer<SimulatedLeader> callback) {
         onRecordsLoaded = callback;
     }
@@ -43,12 +43,12 @@
         return leaders.get(leaders.size() - 1);
     }
 
-    /** Terms that began in this run. */
+    /** Returns the number of terms that have begun in this run. */
     long termCount() {
         return newestTerm;
     }
 
-    /** Revision at which the newest term was stored. */
+    /** Returns the revision at which the newest term was stored. */
     long newestTermRevision() {
         return newestTermRevision;
     }
@@ -74,35 +74,36 @@
         leaders.add(leader);
     }
 
-    /** The leader that may act now, if any. */
+    /** Returns the leader that is authorized to act now; empty if there is none. */
     abstract Optional<SimulatedLeader> actingLeader();
 
+    /** Whether this leader is authorized to act now. */
     abstract boolean isLeading(SimulatedLeader leader);
 
-    /** Whether the state store refuses this leader alone. */
+    /** Whether the state store refuses this leader's requests. */
     abstract boolean isRefusedByStore(SimulatedLeader leader);
 
-    /** Whether the state store refuses this front end alone. */
+    /** Whether the state store refuses this front end's requests. */
     abstract boolean isFrontEndRefusedByStore(int frontEnd);
 
-    /** The leader changes; the next one receives {@code handover}. */
+    /** Changes the leader. The next one receives {@code handover}. */
     abstract void failOver(Handover handover);
 
     abstract void advance(double seconds);
 
-    /** The leader's process stands still for a while. */
+    /** Pauses the leader's process. */
     abstract void freezeLeader(double seconds);
 
-    /** Messages from one controller to another are held back. */
+    /** Sets whether messages from one controller to another are held. */
     abstract void setLinkBlocked(int from, int to, boolean blocked);
 
     abstract void setStateStoreDown(boolean down);
 
-    /** Of ten requests to the state store, how many are carried out without a response. */
-    abstract void setLostResponses(int ofTen);
+    /** Sets how many of ten requests to the state store are carried out without a response. */
+    abstract void setLostResponses(int perTen);
 
     abstract void setLeaderRefusedByStore(boolean refused);
 
-    /** All faults end. */
+    /** Ends all faults. */
     abstract void endFaults();
 }
--- a/src/test/java/io/kelphoist/failover/ReplicaHandover.java
+++ b/src/test/java/io/kelphoist/failover/ReplicaHandover.java
@@ -5,11 +5,13 @@
 import io.kelphoist.replication.MachineStateReplica;
 import java.util.Random;
 
-/** Replicates machines from the leader to a follower, and hands them to the next leader. */
+/**
+ * Replicates machines from the leader to a follower, and applies the replica to the next leader.
+ */
 final class ReplicaHandover {
     private static final String FOLLOWER = "f";
 
-    /** One of so many updates, and of corrupted machines, is lost. */
+    /** One of this many updates, and of corrupted machines, is lost on average. */
     private static final int MEAN_UPDATES_PER_LOSS = 4;
 
     private final SimulationContext context;
@@ -35,6 +37,7 @@
         }
     }
 
+    /** Applies the replica to a new leader as it is, corrupted, or not at all. */
     void handOverTo(SimulatedLeader leader, Leadership.Handover handover) {
         switch (handover) {
             case NOTHING -> {}
--- a/src/test/java/io/kelphoist/failover/SafetyChecker.java
+++ b/src/test/java/io/kelphoist/failover/SafetyChecker.java
@@ -107,12 +107,12 @@
      */
     void checkHeartbeatsBeforeStart(CommandDelivery delivery) {
         SimulatedWorker worker = delivery.worker();
-        double knownAtSeconds =
+        double lastReportedAtSeconds =
                 Math.max(
                         worker.lastHeartbeatReceivedAtSeconds(),
                         delivery.leader().listedAtSeconds());
         if (worker.isOutboundBlocked()
-                && delivery.sentAtSeconds() > knownAtSeconds + MAX_HEARTBEAT_GAP_SECONDS
+                && delivery.sentAtSeconds() > lastReportedAtSeconds + MAX_HEARTBEAT_GAP_SECONDS
                 && delivery.startsTasks()) {
             throw new AssertionError(
                     "task is started on a machine without heartbeats: machine="
--- a/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The leader changes when the test says so: the newest term leads. */
+/** Changes the leader when the test requests it. The leader of the newest term leads. */
 final class ScriptedLeadership extends Leadership {
     private boolean leaderRefused;
 
@@ -36,7 +36,7 @@
         setHandover(handover);
         SimulatedStateStore stateStore = dependencies().stateStore();
         if (stateStore.store().faults().isDown()) {
-            // Nobody can acquire leadership.
+            // No controller can acquire the leader key during an outage of the state store.
             return;
         }
         leaderRefused = false;
@@ -63,7 +63,7 @@
     void setStateStoreDown(boolean down) {}
 
     @Override
-    void setLostResponses(int ofTen) {}
+    void setLostResponses(int perTen) {}
 
     @Override
     void setLeaderRefusedByStore(boolean refused) {
--- a/src/test/java/io/kelphoist/failover/SimulatedFleet.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedFleet.java
@@ -12,11 +12,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The machines: those that always exist, those that leaders scale out, and the cloud behind. */
+/**
+ * The machines that exist for the whole run, the machines that leaders scale out, and the cloud
+ * that runs them.
+ */
 final class SimulatedFleet implements SimulatedWorker.Fleet {
-    /** Machines that leaders may scale out in addition. */
+    /** Maximum number of machines that leaders may scale out. */
     private static final int MAX_EXTRA_MACHINES = 3;
 
+    /** Machines that replace others, or are scaled out, are numbered after a gap of this size. */
     private static final int RESERVED_MACHINE_NUMBERS = 10;
 
     private final SimulationContext context;
@@ -54,7 +58,7 @@
         return Collections.unmodifiableList(workers);
     }
 
-    /** One of the machines that always exist. */
+    /** Returns one of the machines that exist for the whole run. */
     SimulatedWorker worker(int number) {
         return workers.get(number % context.size().workers());
     }
@@ -63,7 +67,7 @@
         return workers.stream().filter(worker -> worker.address().equals(address)).findFirst();
     }
 
-    /** Lets leases expire, the cloud terminate machines, and tasks run. */
+    /** Expires worker leases, terminates the machines that are due, and advances the tasks. */
     void advance() {
         workers.forEach(SimulatedWorker::expireLease);
         List.copyOf(workers).stream()
@@ -89,8 +93,8 @@
     // ---- the cloud ----
 
     /**
-     * The cloud terminates a machine with all that is on it. A machine that always exists is
-     * replaced by a new one.
+     * The cloud terminates a machine together with its tasks. If it is not one that a leader scaled
+     * out, a new machine replaces it.
      */
     void terminate(String name) {
         for (int i = 0; i < workers.size(); i++) {
@@ -107,7 +111,10 @@
         }
     }
 
-    /** Names of the machines: a repeated request has the same response. Empty: no capacity. */
+    /**
+     * Returns the names of the machines that a request launched; empty if there is no capacity. A
+     * repeated request gets the same response.
+     */
     List<String> scaleOut(ScaleOutRequest request) {
         return machinesByRequest.computeIfAbsent(request.name(), name -> launch(request.count()));
     }
@@ -147,7 +154,7 @@
 
     // ---- tasks ----
 
-    /** A task that runs on the worker finishes; a gang's tasks finish together. */
+    /** Finishes a task that runs on the worker. All tasks of a gang finish together. */
     void finishTaskOn(SimulatedWorker worker) {
         worker.attempts().keySet().stream()
                 .filter(task -> mayFinish(task, worker.attempts().get(task)))
--- a/src/test/java/io/kelphoist/failover/SimulatedJobs.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedJobs.java
@@ -14,9 +14,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The newest stored record of each job, and what the jobs depend on. */
+/** The newest stored record of each job, and the dependencies of the jobs. */
 final class SimulatedJobs {
-    /** Time that a gang needs to save a checkpoint. */
+    /** Time that the task of a gang needs to save a checkpoint. */
     static final double CHECKPOINT_SAVE_SECONDS = 1;
 
     private static final double CHECKPOINT_INTERVAL_SECONDS = 30;
@@ -26,7 +26,7 @@
     private final Map<String, JobRecord> recordsById = new LinkedHashMap<>();
     private final Map<String, List<String>> dependenciesById = new HashMap<>();
 
-    /** Returns the record before; null: this is the job's first. */
+    /** Replaces the record of a job. Returns the previous one; null if this is the job's first. */
     JobRecord replace(JobRecord stored) {
         return recordsById.put(stored.id(), stored);
     }
@@ -59,7 +59,10 @@
         return get(jobId).status() == JobStatus.CANCELLED;
     }
 
-    /** One of the jobs that are stored before a run starts: arrays, services and gangs of two. */
+    /**
+     * Creates one of the jobs that are stored before a run starts: job arrays, services and gangs
+     * of two tasks.
+     */
     JobSpec createInitialJob(int number) {
         boolean isGang = number >= SimulatedTasks.FIRST_GANG;
         JobKind kind = isGang ? JobKind.GANG : number % 4 == 3 ? JobKind.SERVICE : JobKind.ARRAY;
@@ -88,7 +91,7 @@
         return number == 9 ? List.of("job-6", "job-8") : List.of();
     }
 
-    /** A job of one task, as users submit it in the course of a run. */
+    /** Creates a job of one task, as users submit it during a run. */
     static JobSpec createSubmittedJob(String id, Priority priority, double durationSeconds) {
         return new JobSpecBuilder(id)
                 .priority(priority)
--- a/src/test/java/io/kelphoist/failover/SimulatedNetwork.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedNetwork.java
@@ -4,9 +4,11 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Requests on their way to workers, and outcomes that leaders learn in the next step. */
+/** Requests in flight to workers, and outcomes that are reported to leaders in the next step. */
 final class SimulatedNetwork {
-    /** One of so many requests that could not be delivered is dropped in a step. */
+    /**
+     * In each step, one of this many requests that could not be delivered is dropped, on average.
+     */
     private static final int MEAN_STEPS_PER_DROP = 400;
 
     private final SimulationContext context;
@@ -27,7 +29,9 @@
         nextStepOutcomes.add(outcome);
     }
 
-    /** Requests on their way to a worker that restarts are lost with their connections. */
+    /**
+     * Drops the requests in flight to a worker that restarts, because its connections are closed.
+     */
     void dropConnectionsTo(SimulatedWorker worker) {
         deliveries.stream()
                 .filter(delivery -> delivery.worker() == worker)
@@ -35,18 +39,20 @@
     }
 
     /**
-     * @param lateOfTen how many of ten requests are held back for another step
+     * Delivers requests, and reports those that have timed out.
+     *
+     * @param delayedPerTen how many of ten requests are delayed by a step
      */
-    void deliver(int lateOfTen) {
+    void deliver(int delayedPerTen) {
         for (CommandDelivery delivery : new ArrayList<>(deliveries)) {
             if (delivery.isTimedOut(context.nowSeconds())) {
                 delivery.complete(DeliveryOutcome.NO_RESPONSE, null);
             }
-            deliver(delivery, lateOfTen);
+            deliver(delivery, delayedPerTen);
         }
     }
 
-    private void deliver(CommandDelivery delivery, int lateOfTen) {
+    private void deliver(CommandDelivery delivery, int delayedPerTen) {
         SimulatedWorker worker = delivery.worker();
         if (worker.isTerminated() || delivery.isLost()) {
             deliveries.remove(delivery);
@@ -55,7 +61,7 @@
                     null);
         } else if (!worker.isPartitioned()
                 && !worker.isInboundBlocked()
-                && context.random().nextInt(10) >= lateOfTen) {
+                && context.random().nextInt(10) >= delayedPerTen) {
             deliveries.remove(delivery);
             delivery.deliver(checker);
         } else if (context.random().nextInt(MEAN_STEPS_PER_DROP) == 0) {
--- a/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
@@ -14,9 +14,9 @@
 import io.kelphoist.wire.MessageEncoding;
 import java.util.List;
 
-/** The state store as this simulation uses it: typed records, and a check of each stored one. */
+/** Typed access to the simulated state store. Each stored job record is checked. */
 final class SimulatedStateStore {
-    /** Share that each controller takes of the changes that the state store accepts. */
+    /** Each controller's share of the changes per second that the state store accepts. */
     private static final double WRITE_SHARE = 0.55;
 
     private final SimulationContext context;
@@ -45,7 +45,7 @@
                 view, store, size.writesPerSecond() * WRITE_SHARE, size.operationsPerTransaction());
     }
 
-    /** Returns the revision. */
+    /** Stores a new term and returns its revision. */
     long putTerm(long term) {
         return store.put(StateStoreKeys.TERM, MessageEncoding.newObject().put("term", term));
     }
@@ -54,7 +54,7 @@
         store.put(StateStoreKeys.jobKey(job.id()), RecordCodec.encodeActiveJob(job, 0).value());
     }
 
-    /** Called with each stored item before anybody else can read it. */
+    /** Called with each stored item before any other reader can read it. */
     void onStored(StateStoreSimulation.Item item) {
         if (!item.key().startsWith(StateStoreKeys.JOBS_PREFIX)) {
             return;
@@ -72,7 +72,7 @@
                 .toList();
     }
 
-    /** All records, as a leader loads them at the start of its term. */
+    /** Returns all records, as a leader loads them at the start of its term. */
     RecordReplica loadRecords() {
         RecordReplica records = new RecordReplica();
         store.below(StateStoreKeys.JOBS_PREFIX)
--- a/src/test/java/io/kelphoist/failover/SimulatedTasks.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedTasks.java
@@ -6,26 +6,28 @@
 import java.util.Set;
 
 /**
- * What is known of tasks apart from where they run: their names, which of them belong to gangs, how
- * long they run and which have a result.
+ * The properties of tasks that do not depend on the machine: their names, whether they belong to a
+ * gang, their run time and whether they have finished.
  *
- * <p>A task is named by its job's id and its index, such as {@code job-3/1}.
+ * <p>The name of a task consists of its job's id and its index, for example {@code job-3/1}.
  */
 final class SimulatedTasks {
-    /** Jobs from this number on are gangs, up to {@link #INITIAL_JOBS}. */
+    /** Initial jobs from this number on, below {@link #INITIAL_JOBS}, are gangs. */
     static final int FIRST_GANG = 8;
 
-    /** Jobs that a run starts with; jobs that users submit have higher numbers. */
+    /**
+     * Number of jobs that exist at the start of a run. Jobs that users submit have higher numbers.
+     */
     static final int INITIAL_JOBS = 12;
 
     static final int GANG_SIZE = 2;
 
-    /** Run times of tasks that end by themselves. */
+    /** Run times in seconds of tasks that finish by themselves, by task. */
     private final Map<String, Double> durationsSeconds = new HashMap<>();
 
     private final Set<String> finished = new HashSet<>();
 
-    /** Gang attempts all of whose tasks ran at one time. */
+    /** Attempts of gangs whose tasks have all run at the same time. */
     private final Set<Long> completeGangAttempts = new HashSet<>();
 
     static String jobOf(String task) {
@@ -40,7 +42,7 @@
         return jobId + "/" + taskIndex;
     }
 
-    /** What identifies an attempt at a task. */
+    /** Returns a key that identifies an attempt of a task. */
     static String attemptKey(String task, long attemptId) {
         return task + "@" + attemptId;
     }
@@ -54,7 +56,7 @@
         durationsSeconds.put(task, seconds);
     }
 
-    /** Infinite: it does not end by itself. */
+    /** Returns the run time of a task; infinite if it does not finish by itself. */
     double durationSeconds(String task) {
         return durationsSeconds.getOrDefault(task, Double.POSITIVE_INFINITY);
     }
@@ -71,7 +73,7 @@
         completeGangAttempts.add(attemptId);
     }
 
-    /** Whether all tasks of the attempt ran at one time. */
+    /** Whether all tasks of the gang attempt have run at the same time. */
     boolean wasGangComplete(long attemptId) {
         return completeGangAttempts.contains(attemptId);
     }
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -18,14 +18,17 @@
 import java.util.function.Consumer;
 
 /**
- * Users who submit, cancel and query jobs at three front ends, and remember the responses. Requests
- * are numbered: the number selects the front end and the job.
+ * Users who submit, cancel and query jobs at three front ends. The newest response about each job
+ * is recorded. The number of a request selects the front end and the job.
  */
 final class SimulatedUsers {
     private static final int FRONT_ENDS = 3;
     private static final int MAX_VALUE_KILOBYTES = 4;
+
+    /** Delay before a request is sent again that must be retried later. */
     private static final double RETRY_SECONDS = 1;
 
+    /** A request that can be sent to any front end. */
     private interface Request {
         void send(Admission frontEnd, Consumer<AdmissionResult> onResponse);
     }
@@ -38,11 +41,15 @@
     private final StateStoreSimulation timer;
     private final List<Admission> frontEnds = new ArrayList<>();
 
-    /** The newest phase that a user was answered, by job; a final one stays. */
+    /**
+     * The newest phase that a response to a user contained, by job. A final phase is not replaced.
+     */
     private final Map<String, AdmissionResult.Phase> acknowledgedPhases = new HashMap<>();
 
     /**
-     * @param leadership says which front end the state store refuses
+     * Creates the front ends.
+     *
+     * @param leadership determines which front ends the state store refuses
      */
     SimulatedUsers(
             SimulatedLeader.Dependencies dependencies,
@@ -81,7 +88,7 @@
                 this::beforeResponse);
     }
 
-    /** Notes a cancellation before the user is answered. */
+    /** Adds a cancellation to the log before the response is sent to the user. */
     private void beforeResponse(JobRecord job) {
         if (job.status() == JobStatus.CANCELLED
                 && cancellations.add(job.id(), context.nowSeconds())) {
@@ -103,7 +110,7 @@
         return "job-" + number / FRONT_ENDS % jobs.size();
     }
 
-    /** A user queries one job twice at all front ends within milliseconds. */
+    /** A user queries one job twice at each front end within milliseconds. */
     void queryInBurst(int number) {
         for (int i = 0; i < 2 * FRONT_ENDS; i++) {
             int frontEnd = i % FRONT_ENDS;
@@ -112,7 +119,7 @@
         context.counters().increment(Counter.QUERY_BURSTS);
     }
 
-    /** Checks the response against earlier ones and remembers it. */
+    /** Returns a handler that checks the response against earlier ones and records it. */
     private Consumer<AdmissionResult> checkAndRecordResponse(String jobId) {
         AdmissionResult.Phase before = acknowledgedPhases.get(jobId);
         return response -> {
@@ -127,7 +134,7 @@
     }
 
     /**
-     * A user submits a job of one task, again until it is accepted, and cancels it after a while
+     * A user submits a job of one task, retries until it is accepted, and cancels it after a delay
      * unless that is infinite.
      */
     void submit(int number, Priority priority, double durationSeconds, double cancelAfterSeconds) {
@@ -153,42 +160,46 @@
                 });
     }
 
-    private void sendWithRetries(int number, Request request, String jobId, Runnable then) {
-        Consumer<AdmissionResult> remember = checkAndRecordResponse(jobId);
-        // The first front end shares its write limit with the leader.
+    /** Sends a request, and again to the next front end while the response is to retry later. */
+    private void sendWithRetries(int number, Request request, String jobId, Runnable onDone) {
+        Consumer<AdmissionResult> responseHandler = checkAndRecordResponse(jobId);
+        // The first front end is not used: it shares its write limit with the leader.
         Admission frontEnd = frontEnds.get(1 + number % (FRONT_ENDS - 1));
         request.send(
                 frontEnd,
                 response -> {
-                    remember.accept(
+                    responseHandler.accept(
                             response instanceof AdmissionResult.Accepted accepted
                                     ? new AdmissionResult.Found(accepted.job())
                                     : response);
                     if (response instanceof AdmissionResult.RetryLater) {
                         timer.schedule(
                                 RETRY_SECONDS,
-                                () -> sendWithRetries(number + 1, request, jobId, then));
+                                () -> sendWithRetries(number + 1, request, jobId, onDone));
                     } else {
-                        then.run();
+                        onDone.run();
                     }
                 });
     }
 
-    /** Every job is known to a user who queries it twice, at any front end. */
+    /**
+     * Queries every job twice at each front end. The second query must find the job, even if the
+     * response to the first one was to retry later.
+     */
     void checkAllJobsFound() {
         Map<String, AdmissionResult> responses = new HashMap<>();
         for (int round = 0; round < 2; round++) {
             for (String jobId : jobs.ids()) {
                 for (int i = 0; i < FRONT_ENDS; i++) {
-                    String request = jobId + " at front end " + i;
-                    Consumer<AdmissionResult> remember = checkAndRecordResponse(jobId);
+                    String request = jobId + " frontEnd=" + i;
+                    Consumer<AdmissionResult> responseHandler = checkAndRecordResponse(jobId);
                     frontEnds
                             .get(i)
                             .query(
                                     jobId,
                                     response -> {
                                         responses.put(request, response);
-                                        remember.accept(response);
+                                        responseHandler.accept(response);
                                     });
                 }
             }
--- a/src/test/java/io/kelphoist/failover/SimulatedWorker.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedWorker.java
@@ -17,26 +17,31 @@
 import java.util.Set;
 
 /**
- * A worker's agent: it executes commands of leaders whose fencing token is not older than the
- * newest it has seen, reports in heartbeats, and stops all tasks when its lease expires.
+ * A worker's agent. It executes the commands of a leader whose fencing token is not older than the
+ * newest it has seen, reports its tasks in heartbeats, and stops all tasks when its lease expires.
  */
 final class SimulatedWorker {
-    /** The rest of the fleet, as its workers see it. */
+    /** The operations of the fleet that its workers use. */
     interface Fleet {
-        /** Whether all tasks of the gang run under this attempt, none of them saving. */
+        /**
+         * Whether all tasks of the gang run under this attempt and none of them is saving a
+         * checkpoint.
+         */
         boolean isGangComplete(String task, long attemptId);
 
         /** Called before a task starts. */
         void onTaskStarting(String task, SimulatedWorker worker);
 
-        /** Called when a task has been started and runs. */
+        /** Called after a task has started to run. */
         void onTaskRunning();
     }
 
-    /** A gang's task waits this long for the others. */
+    /** A task of a gang waits this long for the other tasks to start. */
     private static final double GANG_WAIT_SECONDS = 8;
 
-    /** A gang's task runs on for this long without the others. */
+    /**
+     * A task of a gang that was complete continues to run for this long without the other tasks.
+     */
     static final double GANG_PEER_SECONDS = 3;
 
     private static final double FIRST_HEARTBEAT_SPACING_SECONDS = 0.3;
@@ -47,14 +52,14 @@
     private final Fleet fleet;
     private final boolean scaledOut;
 
-    /** Attempts that run here, by task. */
+    /** The ids of running attempts by task. */
     private final Map<String, Long> attempts = new LinkedHashMap<>();
 
     private final Map<String, ExitReason> exitReasonsByAttempt = new LinkedHashMap<>();
     private final Map<String, Double> startedAtSeconds = new HashMap<>();
     private final Map<String, Double> saveEndsAtSeconds = new HashMap<>();
 
-    /** Exited attempts whose checkpoint was saved. */
+    /** Exited attempts that saved a checkpoint. */
     private final Set<String> savedAttempts = new HashSet<>();
 
     private long fencingToken;
@@ -98,7 +103,10 @@
         return agentEpoch;
     }
 
-    /** Whether a leader scaled it out, in addition to the machines that always exist. */
+    /**
+     * Whether a leader scaled it out; otherwise it is one of the machines that exist for the whole
+     * run.
+     */
     boolean isScaledOut() {
         return scaledOut;
     }
@@ -113,7 +121,7 @@
 
     // ---- faults ----
 
-    /** Nothing reaches it, and nothing of it arrives anywhere. */
+    /** Sets whether all messages to and from this worker are lost. */
     void setPartitioned(boolean partitioned) {
         this.partitioned = partitioned;
     }
@@ -122,7 +130,7 @@
         return partitioned;
     }
 
-    /** Its heartbeats arrive, but nothing that is sent to it does. */
+    /** Sets whether messages to this worker are lost while its heartbeats arrive. */
     void setInboundBlocked(boolean blocked) {
         inboundBlocked = blocked;
     }
@@ -131,7 +139,7 @@
         return inboundBlocked;
     }
 
-    /** What is sent to it arrives, but none of its heartbeats does. */
+    /** Sets whether this worker's heartbeats are lost while messages to it arrive. */
     void setOutboundBlocked(boolean blocked) {
         outboundBlocked = blocked;
     }
@@ -140,7 +148,10 @@
         return outboundBlocked;
     }
 
-    /** The cloud terminates it at this instant; the worker announces that in its heartbeats. */
+    /**
+     * The cloud terminates the machine at this time. The worker reports the termination notice in
+     * its heartbeats.
+     */
     void terminateAt(double atSeconds) {
         terminatesAtSeconds = atSeconds;
     }
@@ -157,7 +168,7 @@
         return terminated;
     }
 
-    /** The machine is back at once, without anything that its agent knew. */
+    /** Restarts the machine at once. Its agent loses all state. */
     void restart() {
         removeAllTasks();
         fencingToken = 0;
@@ -177,7 +188,7 @@
         nextHeartbeatAtSeconds = atSeconds;
     }
 
-    /** A heartbeat of this worker, or a copy of one, reached a leader. */
+    /** A leader received a heartbeat of this worker or a copy of one. */
     void onHeartbeatReceived() {
         lastHeartbeatReceivedAtSeconds = context.nowSeconds();
     }
@@ -186,10 +197,12 @@
         return lastHeartbeatReceivedAtSeconds;
     }
 
+    /** The lease lasts from when the heartbeat was sent. */
     void renewLease(double heartbeatSentAtSeconds) {
         leaseStartSeconds = Math.max(leaseStartSeconds, heartbeatSentAtSeconds);
     }
 
+    /** Stops all tasks and starts a new agent epoch if the lease has expired. */
     void expireLease() {
         if (context.nowSeconds() > leaseStartSeconds + SimulationContext.LEASE_SECONDS) {
             removeAllTasks();
@@ -251,7 +264,10 @@
 
     // ---- tasks ----
 
-    /** Lets tasks end, gangs begin or give up, and checkpoints complete, as time passes. */
+    /**
+     * Advances the running tasks: tasks finish, gangs start or time out, and checkpoints are
+     * completed.
+     */
     void runTasks() {
         for (Map.Entry<String, Long> attempt : List.copyOf(attempts.entrySet())) {
             runTask(attempt.getKey(), attempt.getValue());
@@ -272,16 +288,19 @@
 
     private void runGangTask(String task, long attempt) {
         double now = context.nowSeconds();
-        boolean wasComplete = tasks.wasGangComplete(attempt);
-        double patience = wasComplete ? GANG_PEER_SECONDS : GANG_WAIT_SECONDS;
+        boolean wasGangComplete = tasks.wasGangComplete(attempt);
+        double timeoutSeconds = wasGangComplete ? GANG_PEER_SECONDS : GANG_WAIT_SECONDS;
         if (fleet.isGangComplete(task, attempt)) {
             tasks.onGangComplete(attempt);
             startedAtSeconds.put(task, now);
-        } else if (!isSaving(task) && now > startedAtSeconds.get(task) + patience) {
-            exit(task, wasComplete ? ExitReason.PEER_EXITED : ExitReason.PEERS_MISSING, false);
+        } else if (!isSaving(task) && now > startedAtSeconds.get(task) + timeoutSeconds) {
+            exit(task, wasGangComplete ? ExitReason.PEER_EXITED : ExitReason.PEERS_MISSING, false);
         }
     }
 
+    /**
+     * A running attempt exits; its exit reason is reported until the leader sends a forget command.
+     */
     void exit(String task, ExitReason reason, boolean withCheckpoint) {
         String key = SimulatedTasks.attemptKey(task, attempts.remove(task));
         exitReasonsByAttempt.put(key, reason);
@@ -293,7 +312,10 @@
         }
     }
 
-    /** Returns false if the leader's term is older than the newest that the worker has seen. */
+    /**
+     * Executes commands of a leader. Returns false if its term is older than the newest that the
+     * worker has seen.
+     */
     boolean execute(long term, List<WorkerCommand> commands) {
         if (term < fencingToken) {
             return false;
@@ -306,13 +328,13 @@
     private void execute(WorkerCommand command) {
         String task = SimulatedTasks.taskName(command.jobId(), command.taskIndex());
         String key = SimulatedTasks.attemptKey(task, command.attemptId());
-        boolean runsHere = Objects.equals(attempts.get(task), command.attemptId());
+        boolean isRunning = Objects.equals(attempts.get(task), command.attemptId());
         if (command instanceof WorkerCommand.Start) {
-            if (!exitReasonsByAttempt.containsKey(key) && !runsHere) {
+            if (!exitReasonsByAttempt.containsKey(key) && !isRunning) {
                 start(task, command.attemptId());
             }
         } else if (command instanceof WorkerCommand.Stop stop) {
-            if (runsHere) {
+            if (isRunning) {
                 stop(task, stop);
             }
         } else if (command instanceof WorkerCommand.Forget) {
@@ -328,7 +350,7 @@
         }
         fleet.onTaskStarting(task, this);
         if (tasks.isFinished(task)) {
-            // Its result is kept: it exits as soon as it is started again.
+            // The result of the earlier attempt still exists, so the new attempt exits at once.
             exitReasonsByAttempt.put(key, ExitReason.DONE);
         } else {
             attempts.put(task, attempt);
@@ -341,11 +363,11 @@
     }
 
     private void stop(String task, WorkerCommand.Stop command) {
-        boolean maySave =
+        boolean canSaveCheckpoint =
                 command.graceSeconds() >= SimulatedJobs.CHECKPOINT_SAVE_SECONDS
                         && SimulatedTasks.isGangTask(task)
                         && tasks.wasGangComplete(command.attemptId());
-        if (maySave) {
+        if (canSaveCheckpoint) {
             saveEndsAtSeconds.putIfAbsent(
                     task, context.nowSeconds() + SimulatedJobs.CHECKPOINT_SAVE_SECONDS);
         } else if (!isSaving(task) || command.graceSeconds() == 0) {
