--- a/src/main/java/io/kelphoist/delegation/HeldDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/HeldDelegation.java
@@ -140,8 +140,7 @@
 
     private void apply(DelegationOffer offer, double nowSeconds) {
         sequenceNumber = offer.sequenceNumber();
-        // The start is a clock value that this process reported, so it cannot be in the future
-        // here.
+        // The start is a clock value that this process reported, so it cannot be in its future.
         // The bound protects against a leader that sends another value.
         expiresAtSeconds =
                 Math.min(offer.startsAtSeconds(), nowSeconds) + timing.delegationSeconds();
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -205,9 +205,8 @@
             offeredExclusions = ImmutableSet.of();
             return newOffer(term, DelegationOffer.REVOKED_START_SECONDS);
         }
-        // The delegation is shortened by the time between the watermark and the peer's clock
-        // reading:
-        // the leader may not have received the cancellations acknowledged in that time.
+        // The delegation is shortened by the time from the watermark to the peer's clock reading,
+        // because the leader may not have received the cancellations acknowledged in that time.
         double unknownCancellationSeconds = Math.max(0, lastResponseAtSeconds - watermarkSeconds);
         offeredStartAtSeconds = lastResponseAtSeconds - unknownCancellationSeconds;
         offeredExclusions = ImmutableSet.copyOf(exclusions);
--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -9,37 +9,24 @@
  * The leader election of one controller.
  *
  * <p>The leader holds the leader key in the state store, which is bound to a short lease. It is
- * authorized to act while that lease has not expired at the maximum clock drift, or while it holds
- * an unexpired grant of every other controller. The grants let the leader keep renewing the
- * workers' leases during an outage of the state store. A candidate first stops giving grants and
- * waits until the last grant that it gave has expired. A controller also waits after it starts,
- * because it does not store its grants and an earlier process may have given some.
+ * authorized to act while that lease is valid at the maximum clock drift, or while it holds valid
+ * grants of all other controllers, so that workers' leases do not expire during an outage of the
+ * state store. A candidate first stops giving grants and waits until the last one that it gave has
+ * expired. So does a controller after its start, because grants are not stored.
  *
- * <p>Performs no I/O and reads no clock: each event is passed in with its time, in seconds of the
- * monotonic clock, and requests are sent through {@link Actions}. Not thread-safe: all methods are
- * called on the event loop.
+ * <p>Performs no I/O and reads no clock: events are passed in with their time, in seconds of the
+ * monotonic clock, and requests go to {@link Actions}. Not thread-safe: confined to the event loop.
  */
 public final class Election {
-    /**
-     * The roles of a controller in the election. {@link #transitionTo} is the only method that
-     * changes the role.
-     */
+    /** The roles of a controller. Only {@link #transitionTo} changes the role. */
     public enum State {
-        /**
-         * Another controller leads, or this controller has not established that there is no leader.
-         * Gives grants.
-         */
+        /** Another controller leads, or the leader is not determined yet. Gives grants. */
         FOLLOWER,
-        /**
-         * There is no leader. Gives no grants, and waits until the last grant that it gave has
-         * expired.
-         */
+        /** There is no leader. Gives no grants, and waits until its last one has expired. */
         CANDIDATE,
         /** Has requested the leader key from the state store. */
         ACQUIRING,
-        /**
-         * Has acquired the leader key. Authorized to act only while {@link #isLeader} returns true.
-         */
+        /** Has acquired the leader key. Authorized to act while {@link #isLeader}. */
         LEADER
     }
 
@@ -51,10 +38,7 @@
          */
         void acquireLeadership();
 
-        /**
-         * Renews the lease. The result is passed to {@link #onLeaseRenewed}, which is not called if
-         * the outcome is unknown.
-         */
+        /** Renews the lease; {@link #onLeaseRenewed} is not called if the outcome is unknown. */
         void renewLease(long leaseId);
 
         /** Releases a lease that this controller does not need any more. */
@@ -66,10 +50,7 @@
          */
         void handOverLeadership(long endedTerm, long leaseId);
 
-        /**
-         * Requests a grant from another controller. {@link #onGrantReceived} is called if the grant
-         * is given.
-         */
+        /** Requests a grant; {@link #onGrantReceived} is called if the peer gives it. */
         void requestGrant(String peer, long term, double sentAtSeconds);
 
         /**
@@ -87,31 +68,21 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-    /**
-     * Safety margin for the expiry of leases and grants: received ones are treated as shorter by
-     * this time, and grants that this controller gave as longer.
-     */
+    /** Received leases and grants are treated as shorter by this, and given grants as longer. */
     static final double SAFETY_MARGIN_SECONDS = 0.05;
 
     /** A leader that resigned does not become a candidate again for this long. */
     private static final double RESIGNATION_COOLDOWN_SECONDS = 15;
 
-    /**
-     * How long a controller without a current replica, or one that is not the preferred successor,
-     * waits before it becomes a candidate. The other controllers can complete the failover sooner.
-     */
+    /** Candidacy delay without a current replica, or if another one is the preferred successor. */
     private static final double LESS_PREFERRED_DELAY_SECONDS = 0.4;
 
-    /** Delay after a failed acquisition of the leader key. */
     private static final double ACQUISITION_RETRY_SECONDS = 0.2;
 
-    /** Number of lease renewals within the duration of one lease. */
+    /** Renewals within the duration of a lease. The first one is sent after a quarter of it. */
     private static final double RENEWALS_PER_LEASE = 5;
 
-    /** The first renewal of a lease is sent after this fraction (1/4) of its duration. */
     private static final double FIRST_RENEWAL_DIVISOR = 4;
-
-    /** Number of grant requests to each peer within the duration of one grant. */
     private static final double GRANT_REQUESTS_PER_GRANT = 4;
 
     private final String self;
@@ -126,10 +97,7 @@
     private long leaseId;
     private double leaseExpiresAtSeconds;
 
-    /**
-     * The newest term that this controller has seen in the leadership keys, in a grant request or
-     * in a handover. The leader of any older term has been replaced.
-     */
+    /** The newest term in any key or message read. Leaders of older terms have been replaced. */
     private long newestTerm;
 
     /** The newest term that was ended by a handover message of its own leader. */
@@ -142,37 +110,24 @@
     /** When the leader key was first read as absent after it had named a leader. */
     private double leaderKeyAbsentSinceSeconds = Double.NEGATIVE_INFINITY;
 
-    /**
-     * Whether {@link #leader} is set from the last read of the leader key or from a handover
-     * message. False after the start and after this controller resigned, until one of these
-     * arrives.
-     */
+    /** Whether a key read or a handover has set {@link #leader} since the last resignation. */
     private boolean leaderKeyLoaded;
 
-    /** The controller that holds the leader key; null if there is none or it is not loaded. */
     private String leader;
 
-    /** The term of {@link #leader} in the leader key. */
     private long leaderTerm;
 
-    /**
-     * Whether the state store holds an earlier term. If it does not, no controller has ever led,
-     * and no grant can be outstanding.
-     */
+    /** Whether there was an earlier term. Without one, no grant can be outstanding. */
     private boolean hasEarlierTerm = true;
 
     /** The result of {@link #isLeader} at the last tick as the leader. */
     private boolean wasLeaderAtLastTick;
 
     /**
-     * Creates the election of a process that has just started, as a follower.
-     *
      * @param self the name of this controller
      * @param peers the names of the other controllers
-     * @param leaseSeconds duration of the leader lease
-     * @param grantSeconds duration of a grant
-     * @param startedAtSeconds when this process started. An earlier process of this controller may
-     *     have given grants until then
+     * @param startedAtSeconds when this process started; an earlier process may have given grants
+     *     until then
      */
     public Election(
             String self,
@@ -195,10 +150,7 @@
         return state;
     }
 
-    /**
-     * Returns the leader that the state store last named; null if there is none or it is not
-     * loaded.
-     */
+    /** Returns the holder of the leader key; null if there is none or it is not loaded. */
     public String leader() {
         return state == State.LEADER ? self : leader;
     }
@@ -208,10 +160,7 @@
         return term;
     }
 
-    /**
-     * Whether this controller is authorized to act as the leader now: it holds an unexpired leader
-     * lease, or unexpired grants of all other controllers.
-     */
+    /** Whether this controller is authorized to act, by its lease or by the others' grants. */
     public boolean isLeader(double nowSeconds) {
         return state == State.LEADER
                 && (nowSeconds < leaseExpiresAtSeconds || receivedGrants.areAllValid(nowSeconds));
@@ -241,9 +190,7 @@
      * Called with the leader key as read from the state store.
      *
      * @param holder the controller that holds the key; null if the key is absent
-     * @param holderTerm the term in the leader key; 0 if the key is absent
-     * @param lastTerm the newest term that the state store holds; 0 if it holds none, or if the
-     *     caller found another holder and did not evaluate the term key
+     * @param lastTerm the newest stored term; 0 if there is none or the term key was not read
      */
     public void onLeaderKeyRead(String holder, long holderTerm, long lastTerm, double nowSeconds) {
         leaderKeyLoaded = true;
@@ -264,10 +211,9 @@
     }
 
     /**
-     * Another controller requests a grant: the promise not to lead for the duration of a grant.
-     * Requests for a term older than the newest one seen are refused: the leader of an old term may
-     * not have learned that it was replaced, and with grants of all other controllers it would act
-     * at the same time as its successor.
+     * Another controller requests a grant, the promise not to lead for a while. Refused for terms
+     * older than the newest one read: the leader of an old term may not have learned that it was
+     * replaced, and with grants of all others it would act at the same time as its successor.
      *
      * @return whether the grant is given
      */
@@ -283,14 +229,12 @@
     }
 
     /**
-     * The leader of a term sent a handover message after it stopped acting. Grants for that term
-     * are void at once. A grant for an older term stays valid until it expires: the leader of that
-     * term may not have learned that it was replaced, and the controller whose refusal kept it from
-     * holding all grants may have restarted and grant again.
+     * The leader of a term stopped acting and sent a handover. Grants for that term become void. A
+     * grant for an older term must expire: its leader may not have learned that it was replaced,
+     * and the controller that refused it grants may have restarted and give them again.
      *
-     * @param isPreferred whether the message names this controller as the preferred successor. Any
-     *     other controller becomes a candidate after a delay, which covers the case that the
-     *     preferred successor is down
+     * @param isPreferred whether this controller is the preferred successor. Any other one waits
+     *     for a short delay before it becomes a candidate, in case the preferred successor is down
      */
     public void onTermEnded(long endedTerm, boolean isPreferred, double nowSeconds) {
         if (endedTerm < givenGrants.newestTerm()
@@ -315,8 +259,7 @@
     /**
      * Another controller gave the grant that this leader requested.
      *
-     * @param requestedTerm the term of the request
-     * @param sentAtSeconds when the request was sent
+     * @param sentAtSeconds when the grant was requested
      */
     public void onGrantReceived(String peer, long requestedTerm, double sentAtSeconds) {
         if (state == State.LEADER && requestedTerm == term) {
@@ -373,10 +316,7 @@
         }
     }
 
-    /**
-     * Returns when a lease expires that was granted or renewed by a request sent at this time. The
-     * duration is measured from the request, and shortened by the maximum clock drift and a margin.
-     */
+    /** Returns the expiry of a lease requested at this time, at the maximum clock drift. */
     private double leaseExpiryAfter(double sentAtSeconds) {
         return sentAtSeconds
                 + leaseSeconds * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT)
@@ -397,10 +337,7 @@
         }
     }
 
-    /**
-     * Performs the state changes and requests that are due. Called at short intervals and after
-     * each event.
-     */
+    /** Performs the transitions and requests that are due. Called often, and after each event. */
     public void tick(double nowSeconds) {
         switch (state) {
             case FOLLOWER -> tickAsFollower(nowSeconds);
@@ -420,9 +357,8 @@
     }
 
     /**
-     * Whether this controller may become a candidate already. A controller with a current replica
-     * becomes one at once. The others do so after a short delay, because no other controller may
-     * have a current replica, or the one that has it may be down.
+     * A controller with a current replica may become a candidate at once. The others wait for a
+     * short delay only, as there may be no such controller, or it may be down.
      */
     private boolean mayBecomeCandidate(double nowSeconds) {
         return !hasEarlierTerm
@@ -454,7 +390,6 @@
         logAuthorizationChange(nowSeconds);
     }
 
-    /** Logs when the leader becomes authorized to act, or stops being so, within its term. */
     private void logAuthorizationChange(double nowSeconds) {
         boolean isLeader = isLeader(nowSeconds);
         if (isLeader != wasLeaderAtLastTick) {
--- a/src/test/java/io/kelphoist/delegation/DelegatedWorker.java
+++ b/src/test/java/io/kelphoist/delegation/DelegatedWorker.java
@@ -29,7 +29,7 @@
         leaseExpiresAtSeconds = nowSeconds + DelegationSimulation.LEASE_SECONDS;
     }
 
-    /** The leader's response renews the lease, and starts or isStopped the task. */
+    /** The leader's response renews the lease, and starts or stops the task. */
     void onLeaderResponse(long term, boolean runTask, double nowSeconds) {
         renewLease(nowSeconds);
         fencingToken = term;
--- a/src/test/java/io/kelphoist/election/SimulatedController.java
+++ b/src/test/java/io/kelphoist/election/SimulatedController.java
@@ -7,10 +7,7 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/**
- * A controller's process: its clock, its election, and its requests to the state store and to other
- * controllers.
- */
+/** A controller's process with its clock, its election, its requests and its messages. */
 final class SimulatedController implements Election.Actions {
     /** The parts of the simulation that all controllers share. */
     record Environment(
@@ -53,7 +50,6 @@
         store = environment.store();
     }
 
-    /** The name of this controller. */
     String name() {
         return name;
     }
@@ -162,10 +158,7 @@
         return !store.isDown() && !refusedByStore;
     }
 
-    /**
-     * Sends a request to the state store. The response is empty if the request was refused and not
-     * carried out.
-     */
+    /** Sends a request; the response is empty if it was refused and not carried out. */
     private <T> void request(Supplier<T> carryOut, Consumer<Optional<T>> onResponse) {
         timeline.schedule(
                 random.nextInt(20) / 100.0,
@@ -202,8 +195,7 @@
         newestRevision = keys.revision();
         SimulatedElectionStore.Key leader = keys.leader();
         if (keys.isHeldBy(name) && !hasTriedToAcquire && !hasReleasedOldLease) {
-            // An earlier process of this controller was the leader; its lease is not needed any
-            // more.
+            // An earlier process of this controller was the leader; its lease is not needed.
             hasReleasedOldLease = true;
             releaseLease(leader.leaseId());
         }
@@ -282,10 +274,7 @@
         }
     }
 
-    /**
-     * Reads the leadership keys after a transaction without a response, to find out whether it was
-     * committed.
-     */
+    /** Reads from the keys whether a transaction without a response was committed. */
     private void resolveUnknownOutcome(long leaseId, long term, double sentAt) {
         request(
                 store::read,
