--- a/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
@@ -7,22 +7,22 @@
 import java.util.Map;
 
 /**
- * The time up to which the leader of one term has received all cancellations that any controller
- * acknowledged to a user, called confirmed cancellations. Leases are renewed and tasks started only
- * within {@link DelegationTiming#renewalWindowSeconds} after this time.
+ * The time up to which the leader of one term has received all confirmed cancellations, that is,
+ * all cancellations that any controller acknowledged to a user. Leases are renewed and tasks
+ * started only within {@link DelegationTiming#renewalWindowSeconds} after this time.
  *
  * <p>Two sources advance the watermark:
  *
  * <ul>
  *   <li>A completed read of the jobs. It advances the watermark to the time of the request, because
  *       a cancellation is stored before it is acknowledged to a user.
- *   <li>A {@link ConfirmedCancellations.Statement} of every other controller. They advance the
- *       watermark to the time when the oldest of the requests for them was sent. This source is
- *       needed because the state store may be down, or unreachable only from the leader, for longer
- *       than the time in which a cancelled job's tasks must stop.
+ *   <li>A {@link ConfirmedCancellations.Statement} from every other controller. Together they
+ *       advance the watermark to the time when the oldest of the corresponding requests was sent.
+ *       They are needed because the state store may be down, or unreachable only from the leader,
+ *       for longer than the time in which a cancelled job's tasks must stop.
  * </ul>
  *
- * <p>The caller must apply the cancellations that this controller confirms itself immediately.
+ * <p>The caller must immediately apply the cancellations that the leader confirms itself.
  *
  * <p>Owns the progress of each other controller. Performs no I/O: events and the time (the leader's
  * monotonic clock, in seconds) are passed in. Confined to the controller's event loop.
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -154,8 +154,9 @@
 
     /**
      * Takes the bound on earlier renewals from a response: the peer renewed no lease after {@code
-     * latestRenewalAtSeconds}, nor after its delegation expired. Renewals by an earlier process of
-     * the peer took place before the current process started.
+     * latestRenewalAtSeconds}, nor after its delegation expired. An earlier process of the peer
+     * renewed none after the current process started, so the uptime in the response bounds its
+     * renewals.
      */
     private void recordResponse(
             double sentAtSeconds,
@@ -192,7 +193,7 @@
     }
 
     /**
-     * Creates the next offer. From now on the peer is assumed to have possibly accepted it.
+     * Creates the next offer. From now on the bounds allow for the peer having accepted it.
      *
      * @param exclusions machines to exclude; if there are more than {@link #MAX_EXCLUDED_MACHINES},
      *     the offer revokes the delegation
@@ -207,12 +208,12 @@
         }
         // The delegation is shortened by the time from the watermark to the peer's clock reading,
         // because the leader may not have received the cancellations acknowledged in that time.
-        double unknownCancellationSeconds = Math.max(0, lastResponseAtSeconds - watermarkSeconds);
-        offeredStartAtSeconds = lastResponseAtSeconds - unknownCancellationSeconds;
+        double watermarkLagSeconds = Math.max(0, lastResponseAtSeconds - watermarkSeconds);
+        offeredStartAtSeconds = lastResponseAtSeconds - watermarkLagSeconds;
         offeredExclusions = ImmutableSet.copyOf(exclusions);
         latestStartAtSeconds = Math.max(latestStartAtSeconds, offeredStartAtSeconds);
         excludedMachines = Sets.intersection(excludedMachines, offeredExclusions).immutableCopy();
-        return newOffer(term, peerClockSeconds - unknownCancellationSeconds);
+        return newOffer(term, peerClockSeconds - watermarkLagSeconds);
     }
 
     private DelegationOffer newOffer(long term, double startsAtSeconds) {
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -264,8 +264,9 @@
     }
 
     /**
-     * The peer must not renew the leases of machines that were silent before the partition, so
-     * their leases expire by the leader's own renewals alone.
+     * A machine that was silent before the partition is excluded from delegation: the expiry of its
+     * lease depends only on the leader's own renewals. The exclusion applies once the peer has
+     * acknowledged the offer.
      */
     @Test
     void leasesOfSilentMachinesAreNotDelegated() {
--- a/src/test/java/io/kelphoist/election/ElectionTest.java
+++ b/src/test/java/io/kelphoist/election/ElectionTest.java
@@ -100,8 +100,8 @@
 
     /**
      * The leader crashes or resigns every five seconds, also during outages of the state store.
-     * There must never be two leaders, and a new one must be elected after at least half of the 24
-     * changes.
+     * There must never be two leaders, and a new one must be elected soon after at least half of
+     * the 24 changes.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
