--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -157,14 +157,14 @@
             double timeoutSeconds,
             double listLagSeconds,
             int maxInFlight,
-            StatusRequester heartbeatRequester,
+            StatusRequester statusRequester,
             double nowSeconds) {
         this.term = term;
         this.startedAtSeconds = nowSeconds;
         this.timeoutSeconds = timeoutSeconds;
         this.listLagSeconds = listLagSeconds;
         this.maxInFlight = maxInFlight;
-        this.statusRequester = heartbeatRequester;
+        this.statusRequester = statusRequester;
         markPassed(PromotionCheck.LEADERSHIP, "", nowSeconds);
     }
 
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -179,8 +179,8 @@
     }
 
     /**
-     * Writes the records that are due. A write takes up to three seconds, and is refused after a
-     * later term has begun.
+     * Writes the records that are due. A write takes less than three seconds, and is refused after
+     * a later term has begun.
      */
     void storeRecords() {
         double now = network.nowSeconds();
--- a/src/test/java/io/kelphoist/election/SimulatedController.java
+++ b/src/test/java/io/kelphoist/election/SimulatedController.java
@@ -267,7 +267,7 @@
         }
     }
 
-    /** Runs a transaction whose response is lost or late, and counts it if it was committed. */
+    /** Runs a transaction without a response, and counts it if it was received and committed. */
     private void countIfCommitted(Counter counter, boolean isReceived, Supplier<Long> transaction) {
         if (isReceived && transaction.get() != 0) {
             environment.counters().increment(counter);
--- a/src/test/java/io/kelphoist/failover/HeartbeatChannel.java
+++ b/src/test/java/io/kelphoist/failover/HeartbeatChannel.java
@@ -47,8 +47,8 @@
     }
 
     /** Sets whether copies of heartbeats are kept for the next leader. */
-    void setKeepForNextLeader(boolean keeping) {
-        this.keepForNextLeader = keeping;
+    void setKeepForNextLeader(boolean keep) {
+        this.keepForNextLeader = keep;
     }
 
     /** Delivers the kept copies to the new leader. */
@@ -90,12 +90,12 @@
     }
 
     private void sendHeartbeat(SimulatedWorker worker) {
-        Optional<SimulatedLeader> acting =
+        Optional<SimulatedLeader> actingLeader =
                 leadership.actingLeader().filter(SimulatedLeader::acceptsHeartbeats);
-        if (acting.isEmpty()) {
+        if (actingLeader.isEmpty()) {
             return;
         }
-        SimulatedLeader leader = acting.get();
+        SimulatedLeader leader = actingLeader.get();
         Heartbeat heartbeat = worker.createHeartbeat();
         if (!leader.areRecordsLoaded()) {
             renewLeaseOnly(worker, heartbeat, leader);
