--- a/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
@@ -12,7 +12,8 @@
  * Submits four jobs of one task per second for three minutes and cancels a quarter of them within
  * seconds, at the smallest write limit of any deployment (15 changes per second, 8 per
  * transaction), with a failover in the middle. The rules of {@link SafetyChecker} must hold, every
- * job must end, and high-priority jobs must not wait longer for their start than the others.
+ * job must end, and every job that is not cancelled must start in time: high-priority jobs within
+ * 10 s of their acceptance, the others within 15 s.
  */
 class JobStreamSimulationTest {
     private static final int SECONDS = 180;
