--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -8,78 +8,78 @@
 /**
  * The leader election of one controller.
  *
- * <p>The leader holds a key at the state service that is bound to a short lease. It may act while
- * that lease is surely alive, or while every other controller has recently granted it not to lead,
- * so that an outage of the state service does not end the workers' leases. A candidate first stops
- * giving grants and waits until its last one has expired; so does a controller after its start, as
- * it does not remember what it granted.
+ * <p>The leader holds the leader key in the state store, which is bound to a short lease. It is
+ * authorized to act while that lease is valid at the maximum clock drift, or while it holds valid
+ * grants of all other controllers, so that workers' leases do not expire during an outage of the
+ * state store. A candidate first stops giving grants and waits until the last one that it gave has
+ * expired. So does a controller after its start, because grants are not stored.
  *
- * <p>Has no I/O and no clock: events come in with their time, in seconds of the monotonic clock,
- * and requests go to {@link Actions}. Not thread-safe: all methods are called on the event loop.
+ * <p>Performs no I/O and reads no clock: events are passed in with their time, in seconds of the
+ * monotonic clock, and requests go to {@link Actions}. Not thread-safe: confined to the event loop.
  */
 public final class Election {
-    /** The states of a controller; {@link #transitionTo} is the only method that changes it. */
+    /** The roles of a controller. Only {@link #transitionTo} changes the role. */
     public enum State {
-        /** Another controller leads, or may lead; gives grants. */
+        /** Another controller leads, or the leader is not determined yet. Gives grants. */
         FOLLOWER,
-        /** Saw no leader; gives no grants, and waits until its last one has expired. */
+        /** There is no leader. Gives no grants, and waits until its last one has expired. */
         CANDIDATE,
-        /** Has asked the state service for the leader key. */
+        /** Has requested the leader key from the state store. */
         ACQUIRING,
-        /** Holds the leader key; may act while {@link #isLeader}. */
+        /** Has acquired the leader key. Authorized to act while {@link #isLeader}. */
         LEADER
     }
 
-    /** What the election asks for. */
+    /** Carries out the requests of the election and receives its events. */
     public interface Actions {
         /**
-         * Creates a lease, checks the keys and takes the leader key under it; ends in {@link
-         * #onLeadershipAcquired} or {@link #onAcquisitionFailed}.
+         * Creates a lease, reads the leadership keys and writes the leader key under the lease. The
+         * result is passed to {@link #onLeadershipAcquired} or {@link #onAcquisitionFailed}.
          */
         void acquireLeadership();
 
-        /** Renews the lease; ends in {@link #onLeaseRenewed}, or in nothing if that is unknown. */
+        /** Renews the lease; {@link #onLeaseRenewed} is not called if the outcome is unknown. */
         void renewLease(long leaseId);
 
-        /** Releases a lease that is not needed. */
+        /** Releases a lease that this controller does not need any more. */
         void releaseLease(long leaseId);
 
         /**
-         * Releases the lease and tells the other controllers that the term has ended, so that they
-         * need not wait for grants to expire.
+         * Releases the lease and notifies the other controllers that the term has ended, so that
+         * they need not wait until their grants for this term expire.
          */
         void handOverLeadership(long endedTerm, long leaseId);
 
-        /** Asks another controller for a grant; ends in {@link #onGrantReceived} if it is given. */
+        /** Requests a grant; {@link #onGrantReceived} is called if the peer gives it. */
         void requestGrant(String peer, long term, double sentAtSeconds);
 
         /**
-         * Whether this controller replicates the leader's state and the records. If it does not,
-         * another one would be ready to lead sooner.
+         * Whether this controller has a current replica of the leader's state and of the records.
+         * Without one it needs longer than another controller to load its state as a new leader.
          */
-        boolean isFollowing();
+        boolean isReplicaCurrent();
 
-        /** This controller leads a new term. */
+        /** Called when this controller has been elected as the leader of a new term. */
         void onElected(long term);
 
-        /** This controller does not lead any more. */
+        /** Called when this controller has stopped leading its term. */
         void onLeadershipEnded();
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Election.class);
 
-    /** Leases and grants are counted shorter, and one's own grants longer, by this margin. */
+    /** Received leases and grants are treated as shorter by this, and given grants as longer. */
     static final double SAFETY_MARGIN_SECONDS = 0.05;
 
-    /** A leader that resigned is no candidate for so long. */
+    /** A leader that resigned does not become a candidate again for this long. */
     private static final double RESIGNATION_COOLDOWN_SECONDS = 15;
 
-    /** How long a controller that would be ready later leaves the election to the others. */
+    /** Candidacy delay without a current replica, or if another one is the preferred successor. */
     private static final double LESS_PREFERRED_DELAY_SECONDS = 0.4;
 
     private static final double ACQUISITION_RETRY_SECONDS = 0.2;
 
-    /** The lease is renewed this many times in its length; the first time after a quarter of it. */
+    /** Renewals within the duration of a lease. The first one is sent after a quarter of it. */
     private static final double RENEWALS_PER_LEASE = 5;
 
     private static final double FIRST_RENEWAL_DIVISOR = 4;
@@ -97,37 +97,37 @@
     private long leaseId;
     private double leaseExpiresAtSeconds;
 
-    /** The newest term that was heard of: the leader of an older one is none any more. */
+    /** The newest term in any key or message read. Leaders of older terms have been replaced. */
     private long newestTerm;
 
-    /** The newest term of which its own leader said that it ended. */
+    /** The newest term that was ended by a handover message of its own leader. */
     private long newestEndedTerm;
 
     private double nextRenewalAtSeconds;
     private double nextGrantRequestAtSeconds;
     private double candidacyNotBeforeSeconds;
 
-    /** When the leader key was seen to be gone. */
-    private double leaderGoneAtSeconds = Double.NEGATIVE_INFINITY;
+    /** When the leader key was first read as absent after it had named a leader. */
+    private double leaderKeyAbsentSinceSeconds = Double.NEGATIVE_INFINITY;
 
-    /** Whether {@link #leader} is what the state service, or a leader that resigned, said last. */
-    private boolean leaderKeyKnown;
+    /** Whether a key read or a handover has set {@link #leader} since the last resignation. */
+    private boolean leaderKeyLoaded;
 
     private String leader;
 
     private long leaderTerm;
 
-    /** Whether there was a term before; if not, no grant can be outstanding. */
+    /** Whether there was an earlier term. Without one, no grant can be outstanding. */
     private boolean hasEarlierTerm = true;
 
-    /** What {@link #isLeader} was at the last tick. */
-    private boolean wasLeader;
+    /** The result of {@link #isLeader} at the last tick as the leader. */
+    private boolean wasLeaderAtLastTick;
 
     /**
      * @param self the name of this controller
      * @param peers the names of the other controllers
-     * @param startedAtSeconds when this process started; an earlier one may have given grants until
-     *     then
+     * @param startedAtSeconds when this process started; an earlier process may have given grants
+     *     until then
      */
     public Election(
             String self,
@@ -145,33 +145,33 @@
         this.givenGrants = new GivenGrants(grantSeconds, startedAtSeconds);
     }
 
-    /** The role of this controller. */
+    /** Returns the current role of this controller. */
     public State state() {
         return state;
     }
 
-    /** Returns the leader that the state service last named, or null if none or unknown. */
+    /** Returns the holder of the leader key; null if there is none or it is not loaded. */
     public String leader() {
         return state == State.LEADER ? self : leader;
     }
 
-    /** The newest term that this controller led; 0: none. */
+    /** Returns the newest term that this process led; 0 if it led none. */
     public long term() {
         return term;
     }
 
-    /** Whether this controller may act as the leader now. */
+    /** Whether this controller is authorized to act, by its lease or by the others' grants. */
     public boolean isLeader(double nowSeconds) {
         return state == State.LEADER
-                && (nowSeconds < leaseExpiresAtSeconds || receivedGrants.hasAll(nowSeconds));
+                && (nowSeconds < leaseExpiresAtSeconds || receivedGrants.areAllValid(nowSeconds));
     }
 
-    /** The only method that changes the state. */
+    /** Changes the role and calls the actions that belong to the change. */
     private void transitionTo(State next, double nowSeconds) {
         if (state == next) {
             return;
         }
-        LOG.debug("election state changed: from={} to={}", state, next);
+        LOG.debug("election role changed: from={} to={}", state, next);
         State previous = state;
         state = next;
         if (previous == State.LEADER) {
@@ -187,15 +187,15 @@
     }
 
     /**
-     * What the state service says of the leader key.
+     * Called with the leader key as read from the state store.
      *
-     * @param holder the controller that holds it; null: the key is absent
-     * @param lastTerm the newest term; 0: there was none yet
+     * @param holder the controller that holds the key; null if the key is absent
+     * @param lastTerm the newest stored term; 0 if there is none or the term key was not read
      */
-    public void onLeaderKey(String holder, long holderTerm, long lastTerm, double nowSeconds) {
-        leaderKeyKnown = true;
+    public void onLeaderKeyRead(String holder, long holderTerm, long lastTerm, double nowSeconds) {
+        leaderKeyLoaded = true;
         if (holder == null && leader != null) {
-            leaderGoneAtSeconds = nowSeconds;
+            leaderKeyAbsentSinceSeconds = nowSeconds;
         }
         leader = holder;
         leaderTerm = holderTerm;
@@ -211,9 +211,9 @@
     }
 
     /**
-     * Another controller asks for a grant: the promise not to lead for a while. Refused for terms
-     * older than the newest one known: the leader of an old term may not know that it was replaced,
-     * and with grants of all others it would act beside its successor.
+     * Another controller requests a grant, the promise not to lead for a while. Refused for terms
+     * older than the newest one read: the leader of an old term may not have learned that it was
+     * replaced, and with grants of all others it would act at the same time as its successor.
      *
      * @return whether the grant is given
      */
@@ -223,18 +223,18 @@
                 || requestedTerm <= newestEndedTerm) {
             return false;
         }
-        givenGrants.give(requestedTerm, nowSeconds);
+        givenGrants.recordGrant(requestedTerm, nowSeconds);
         newestTerm = requestedTerm;
         return true;
     }
 
     /**
-     * The leader of a term says, after it stopped, that it acts no more. A grant for that term need
-     * not expire. One for an older term must: that term's leader may not know that it was replaced,
-     * and the controller that kept it from acting may have restarted.
+     * The leader of a term stopped acting and sent a handover. Grants for that term become void. A
+     * grant for an older term must expire: its leader may not have learned that it was replaced,
+     * and the controller that refused it grants may have restarted and give them again.
      *
-     * @param isPreferred whether this controller is to lead next; another one waits a moment, in
-     *     case the preferred one is down
+     * @param isPreferred whether this controller is the preferred successor. Any other one waits
+     *     for a short delay before it becomes a candidate, in case the preferred successor is down
      */
     public void onTermEnded(long endedTerm, boolean isPreferred, double nowSeconds) {
         if (endedTerm < givenGrants.newestTerm()
@@ -247,7 +247,7 @@
         newestTerm = Math.max(newestTerm, endedTerm);
         givenGrants.onTermEnded(endedTerm);
         if (state == State.FOLLOWER) {
-            leaderKeyKnown = true;
+            leaderKeyLoaded = true;
             leader = null;
             candidacyNotBeforeSeconds =
                     Math.max(
@@ -257,9 +257,9 @@
     }
 
     /**
-     * Another controller gave a grant.
+     * Another controller gave the grant that this leader requested.
      *
-     * @param sentAtSeconds when it was requested
+     * @param sentAtSeconds when the grant was requested
      */
     public void onGrantReceived(String peer, long requestedTerm, double sentAtSeconds) {
         if (state == State.LEADER && requestedTerm == term) {
@@ -268,7 +268,7 @@
     }
 
     /**
-     * The state service gave this controller the leader key.
+     * The state store stored the leader key and the new term for this controller.
      *
      * @param sentAtSeconds when the lease was requested
      */
@@ -287,7 +287,7 @@
         transitionTo(State.LEADER, nowSeconds);
     }
 
-    /** The leader key was not taken, or nobody knows whether it was. */
+    /** The leader key was not acquired, or the outcome of the acquisition is unknown. */
     public void onAcquisitionFailed(double nowSeconds) {
         if (state == State.ACQUIRING) {
             candidacyNotBeforeSeconds = nowSeconds + ACQUISITION_RETRY_SECONDS;
@@ -296,9 +296,9 @@
     }
 
     /**
-     * The state service's response to a renewal.
+     * The state store responded to a renewal of the lease.
      *
-     * @param isAlive false: the lease has expired
+     * @param isAlive false if the lease has expired
      * @param sentAtSeconds when the renewal was requested
      */
     public void onLeaseRenewed(
@@ -316,27 +316,28 @@
         }
     }
 
+    /** Returns the expiry of a lease requested at this time, at the maximum clock drift. */
     private double leaseExpiryAfter(double sentAtSeconds) {
         return sentAtSeconds
                 + leaseSeconds * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT)
                 - SAFETY_MARGIN_SECONDS;
     }
 
-    /** Gives up leading, if this controller leads, as another one can do better. */
+    /** Ends the term of this controller, if it leads, so that another controller can be elected. */
     public void resign(String reason, double nowSeconds) {
         if (state == State.LEADER) {
-            LOG.info("leadership handed over: term={} reason={}", term, reason);
+            LOG.info("leader resigned: term={} reason={}", term, reason);
             long heldLeaseId = leaseId;
             long endedTerm = term;
             candidacyNotBeforeSeconds = nowSeconds + RESIGNATION_COOLDOWN_SECONDS;
             leader = null;
-            leaderKeyKnown = false;
+            leaderKeyLoaded = false;
             transitionTo(State.FOLLOWER, nowSeconds);
             actions.handOverLeadership(endedTerm, heldLeaseId);
         }
     }
 
-    /** Does what is due. Called often, and after each event. */
+    /** Performs the transitions and requests that are due. Called often, and after each event. */
     public void tick(double nowSeconds) {
         switch (state) {
             case FOLLOWER -> tickAsFollower(nowSeconds);
@@ -347,22 +348,22 @@
     }
 
     private void tickAsFollower(double nowSeconds) {
-        if (leaderKeyKnown
+        if (leaderKeyLoaded
                 && leader == null
                 && nowSeconds >= candidacyNotBeforeSeconds
-                && mayRun(nowSeconds)) {
+                && mayBecomeCandidate(nowSeconds)) {
             transitionTo(State.CANDIDATE, nowSeconds);
         }
     }
 
     /**
-     * A controller that replicates the leader's state goes first. The others wait only a moment, as
-     * there may be no such controller, or it may be down.
+     * A controller with a current replica may become a candidate at once. The others wait for a
+     * short delay only, as there may be no such controller, or it may be down.
      */
-    private boolean mayRun(double nowSeconds) {
+    private boolean mayBecomeCandidate(double nowSeconds) {
         return !hasEarlierTerm
-                || nowSeconds >= leaderGoneAtSeconds + LESS_PREFERRED_DELAY_SECONDS
-                || actions.isFollowing();
+                || nowSeconds >= leaderKeyAbsentSinceSeconds + LESS_PREFERRED_DELAY_SECONDS
+                || actions.isReplicaCurrent();
     }
 
     private void tickAsCandidate(double nowSeconds) {
@@ -386,14 +387,14 @@
                 actions.requestGrant(peer, term, nowSeconds);
             }
         }
-        logAuthorityChange(nowSeconds);
+        logAuthorizationChange(nowSeconds);
     }
 
-    private void logAuthorityChange(double nowSeconds) {
+    private void logAuthorizationChange(double nowSeconds) {
         boolean isLeader = isLeader(nowSeconds);
-        if (isLeader != wasLeader) {
-            LOG.info("authority to act changed: term={} leader={}", term, isLeader);
-            wasLeader = isLeader;
+        if (isLeader != wasLeaderAtLastTick) {
+            LOG.info("leader authorization changed: term={} authorized={}", term, isLeader);
+            wasLeaderAtLastTick = isLeader;
         }
     }
 }
--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -15,85 +15,102 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The failover of one term: from the election of this controller to its first decision.
+ * The failover of one term: from the election of this controller to its first scheduling decision.
  *
- * <p>Before a leader decides it must know what runs where. Instead of waiting for one round of
- * regular heartbeats it requests one from each known machine, under the fencing token of its term;
- * from its answer on the machine refuses whatever an earlier leader sent. A machine that does not
- * answer counts with all that is recorded for it until its lease has certainly expired. So
- * decisions rest on records and on such heartbeats alone; which machines to ask is only a hint.
+ * <p>Before a leader starts or stops tasks it must know which task attempts run on which machine.
+ * Instead of waiting for one round of regular heartbeats, it sends a status request to each machine
+ * that it has loaded from the records, the replica or the cloud's instance list. The request
+ * carries the fencing token of the term, and the machine responds with a heartbeat. From its
+ * response on, the machine refuses the commands of earlier leaders. If a machine does not respond,
+ * all task attempts that are recorded for it are assumed to be running until its worker lease has
+ * expired at the maximum clock drift. Decisions are therefore based only on the records and on
+ * these heartbeats; the list of machines only determines which machines receive a status request.
  *
- * <p>Owns the state of the failover and of the heartbeat requests. Pure: events and times, in
- * seconds of the event loop's clock, come in as arguments; confined to one thread.
+ * <p>Owns the state of the failover and of the status requests. Performs no I/O: events and times,
+ * in seconds of the event loop's clock, are passed in. Confined to one thread.
  */
 public final class Failover implements PromotionGate {
-    /** The states, in their order; only {@link #transitionTo} changes them. */
+    /**
+     * The states of the failover, in the order in which they follow. {@link #transitionTo} is the
+     * only method that changes the state.
+     */
     public enum State {
-        /** The records are being read, or verified to be current. */
+        /**
+         * The records are being read from the state store, or a replica of them is being verified
+         * to be current.
+         */
         LOADING_RECORDS,
-        /** Heartbeats are being requested from machines. */
-        REQUESTING_HEARTBEATS,
-        /** The leader may decide. */
+        /** Status requests are sent to machines, or their regular heartbeats are awaited. */
+        REQUESTING_STATUS,
+        /** The failover is complete: the leader may start and stop tasks. */
         ACTIVE
     }
 
-    /** Sends heartbeat requests; the outcome of each goes to {@link #onResponse}. */
-    public interface HeartbeatRequester {
+    /** Sends status requests. The outcome of each is passed to {@link #onStatusRequestOutcome}. */
+    public interface StatusRequester {
         /**
-         * Requests a heartbeat.
+         * Sends a status request, to which the machine responds with a heartbeat.
          *
-         * @param agentEpoch the epoch of the machine's agent as far as it is known, otherwise 0
+         * @param agentEpoch the newest agent epoch of the machine that this leader or an earlier
+         *     one has received; 0 if there is none
          */
-        void requestHeartbeat(Machine machine, long agentEpoch);
+        void requestStatus(Machine machine, long agentEpoch);
     }
 
-    /** How far the request to one machine is. */
+    /** The state of the status request to one machine. */
     private enum RequestState {
         NOT_SENT,
         IN_FLIGHT,
-        ANSWERED,
+        RESPONDED,
         FAILED
     }
 
-    /** The request to one machine, with its retries. */
-    private static final class HeartbeatRequest {
+    /** The status request to one machine, with its retries. */
+    private static final class StatusRequest {
         private RequestState state = RequestState.NOT_SENT;
         private long agentEpoch;
-        private int attempts;
+        private int sentCount;
 
         void onSent() {
             state = RequestState.IN_FLIGHT;
-            attempts++;
+            sentCount++;
         }
 
-        void onAnswered() {
-            state = RequestState.ANSWERED;
+        void onResponded() {
+            state = RequestState.RESPONDED;
         }
 
         void onFailed() {
             state = RequestState.FAILED;
         }
 
-        /** The agent has another epoch than was named, and so did not look at the token. */
-        void onOtherEpoch(long answeredEpoch) {
-            agentEpoch = answeredEpoch;
+        /**
+         * The agent's epoch differs from the one in the request, so it did not check the fencing
+         * token.
+         */
+        void onEpochMismatch(long reportedEpoch) {
+            agentEpoch = reportedEpoch;
             state = RequestState.NOT_SENT;
         }
 
+        /** The request was not sent; it does not count towards the maximum number of requests. */
         void onNotAttempted() {
-            attempts--;
+            sentCount--;
             state = RequestState.NOT_SENT;
         }
 
-        boolean mayRetry() {
-            return attempts < MAX_ATTEMPTS;
+        boolean canResend() {
+            return sentCount < MAX_REQUESTS_PER_MACHINE;
         }
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(Failover.class);
 
-    /** After so many requests with a wrong epoch the machine's regular heartbeat must do. */
-    private static final int MAX_ATTEMPTS = 3;
+    /**
+     * After this many requests with a wrong agent epoch, the machine's regular heartbeat is awaited
+     * instead.
+     */
+    private static final int MAX_REQUESTS_PER_MACHINE = 3;
 
     private static final double HUNDREDTHS_PER_SECOND = 100.0;
 
@@ -102,54 +119,64 @@
     private final double timeoutSeconds;
     private final double listLagSeconds;
 
-    /** 0 if no heartbeats are requested. */
+    /** Maximum number of status requests without a response; 0 if no status requests are sent. */
     private final int maxInFlight;
 
-    private final HeartbeatRequester heartbeatRequester;
-    private final Map<String, HeartbeatRequest> requests = new HashMap<>();
+    private final StatusRequester statusRequester;
+    private final Map<String, StatusRequest> requests = new HashMap<>();
     private final EnumMap<PromotionCheck, Double> passTimes = new EnumMap<>(PromotionCheck.class);
     private State state = State.LOADING_RECORDS;
     private int inFlight;
 
-    /** The cloud or the previous leader has told which machines there are. */
-    private boolean machinesKnown;
+    /**
+     * Whether the list of machines has been loaded, from the cloud or from the replica of the
+     * previous leader's state.
+     */
+    private boolean machineListLoaded;
 
-    /** An earlier leader has started tasks that may still run. */
+    /** Whether an earlier leader started tasks that may still run. */
     private boolean foundOutstandingStarts;
 
-    /** The replica of the previous leader's machines was complete. */
+    /** Whether the replica of the previous leader's machines was complete. */
     private boolean warmStandby;
 
     /**
      * Starts the failover of a term.
      *
-     * @param timeoutSeconds how long machines are waited for at most: one round of heartbeats
-     * @param listLagSeconds how late the cloud's instance list usually is at most
-     * @param maxInFlight requests without an answer at a time, which paces them and the heartbeats
-     *     that follow; 0 if none are sent and regular heartbeats are waited for
+     * @param term the term, whose number is the fencing token of the status requests
+     * @param timeoutSeconds maximum time to wait for the machines: one round of heartbeats
+     * @param listLagSeconds usual upper bound on the delay until the cloud's instance list contains
+     *     a new machine
+     * @param maxInFlight maximum number of status requests without a response. It limits the rate
+     *     of the requests and of the heartbeats that follow. 0: no status requests are sent and
+     *     regular heartbeats are awaited
+     * @param nowSeconds when this controller was elected
      */
     public Failover(
             long term,
             double timeoutSeconds,
             double listLagSeconds,
             int maxInFlight,
-            HeartbeatRequester heartbeatRequester,
+            StatusRequester statusRequester,
             double nowSeconds) {
         this.term = term;
         this.startedAtSeconds = nowSeconds;
         this.timeoutSeconds = timeoutSeconds;
         this.listLagSeconds = listLagSeconds;
         this.maxInFlight = maxInFlight;
-        this.heartbeatRequester = heartbeatRequester;
+        this.statusRequester = statusRequester;
         markPassed(PromotionCheck.LEADERSHIP, "", nowSeconds);
     }
 
-    /** The current state. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
 
-    /** Seconds from the start of the term until a check passed; NaN if it has not. */
+    /**
+     * Returns the seconds from the start of the term until a check passed; NaN if it has not
+     * passed.
+     */
     public double secondsUntilPassed(PromotionCheck check) {
         Double passedAtSeconds = passTimes.get(check);
         return passedAtSeconds == null ? Double.NaN : passedAtSeconds - startedAtSeconds;
@@ -171,16 +198,17 @@
     }
 
     /**
-     * All records are known as of some revision.
+     * All records have been loaded, each kind as of some revision.
      *
      * @param oldestRevision the oldest revision of any kind of record
-     * @param termRevision the revision at which the own term was stored
-     * @return whether they are recent enough; otherwise they must be read again
+     * @param termRevision the revision at which this leader's term was stored
+     * @return whether the records are at least as recent as the term; otherwise they must be read
+     *     again
      */
     public boolean onRecordsLoaded(long oldestRevision, long termRevision, double nowSeconds) {
         if (oldestRevision < termRevision) {
             LOG.error(
-                    "records are older than the term and are read again: term={} revision={}"
+                    "records are older than the term, reading them again: term={} revision={}"
                             + " termRevision={}",
                     term,
                     oldestRevision,
@@ -189,24 +217,24 @@
         }
         markPassed(PromotionCheck.RECORDS, "", nowSeconds);
         markPassed(PromotionCheck.ORDERS, "", nowSeconds);
-        transitionTo(State.REQUESTING_HEARTBEATS);
+        transitionTo(State.REQUESTING_STATUS);
         return true;
     }
 
     /**
-     * The machines of the previous leader are known from a complete replica: whom to ask, and what
-     * not to scale out again.
+     * The machines of the previous leader have been loaded from a complete replica. They determine
+     * which machines receive a status request, and which scale-out must not be requested again.
      */
     public void onReplicaApplied(double nowSeconds) {
-        machinesKnown = true;
+        machineListLoaded = true;
         warmStandby = true;
         markPassed(PromotionCheck.LIST, " source=replica", nowSeconds);
     }
 
-    /** The cloud has listed its machines, with their addresses. */
+    /** The cloud has returned its instance list, which contains the addresses of the machines. */
     @Override
     public void onInstancesListed(double nowSeconds) {
-        machinesKnown = true;
+        machineListLoaded = true;
     }
 
     @Override
@@ -215,23 +243,29 @@
     }
 
     /**
-     * Machines that an earlier leader requested last may not be listed yet: until they must be,
-     * none are requested again. Without any trace of an earlier leader there are none such.
+     * Whether machines may be requested from the cloud. The machines that an earlier leader
+     * requested shortly before the failover may not be in the instance list yet; no machine is
+     * requested until the usual delay of that list has passed, so that they are not requested
+     * twice. This wait is skipped if the records contain no outstanding starts of an earlier
+     * leader.
      */
     @Override
     public boolean mayScaleOut(double nowSeconds) {
         boolean hasPredecessor = state != State.ACTIVE || foundOutstandingStarts;
         double waitSeconds =
-                machinesKnown ? Math.min(listLagSeconds, timeoutSeconds) : timeoutSeconds;
+                machineListLoaded ? Math.min(listLagSeconds, timeoutSeconds) : timeoutSeconds;
         if (!hasPredecessor || nowSeconds >= startedAtSeconds + waitSeconds) {
             markPassed(PromotionCheck.LIST, "", nowSeconds);
         }
         return passTimes.containsKey(PromotionCheck.LIST);
     }
 
-    /** Sends the requests that are due, and finds out whether the leader may decide. */
+    /**
+     * Sends the status requests that are due, and completes the failover once no response is
+     * pending or the timeout has passed.
+     */
     public void advance(Collection<Machine> machines, double nowSeconds) {
-        if (state != State.REQUESTING_HEARTBEATS) {
+        if (state != State.REQUESTING_STATUS) {
             return;
         }
         List<Machine> dueMachines = new ArrayList<>();
@@ -241,8 +275,8 @@
                 continue;
             }
             foundOutstandingStarts |= machine.hasAttempts();
-            HeartbeatRequest request =
-                    requests.computeIfAbsent(machine.name(), name -> new HeartbeatRequest());
+            StatusRequest request =
+                    requests.computeIfAbsent(machine.name(), name -> new StatusRequest());
             if (request.state == RequestState.NOT_SENT && machine.address() != null) {
                 dueMachines.add(machine);
             }
@@ -251,67 +285,82 @@
             }
         }
         sendRequests(dueMachines);
-        if (isSettled(pendingCount) || nowSeconds >= startedAtSeconds + timeoutSeconds) {
+        if (areRequestsComplete(pendingCount) || nowSeconds >= startedAtSeconds + timeoutSeconds) {
             complete(machines, nowSeconds);
         }
     }
 
     /**
-     * Whether a machine may still answer. One that is recorded but whose address is unknown even to
-     * the cloud cannot be asked.
+     * Whether a machine may still respond. A machine that is in the records, but whose address is
+     * still missing after the machine list was loaded, cannot receive a request.
      */
-    private boolean isPending(Machine machine, HeartbeatRequest request) {
-        boolean mayBeAsked = machine.address() != null || (machine.hasAttempts() && !machinesKnown);
-        return request.state != RequestState.FAILED && mayBeAsked;
+    private boolean isPending(Machine machine, StatusRequest request) {
+        boolean canBeRequested =
+                machine.address() != null || (machine.hasAttempts() && !machineListLoaded);
+        return request.state != RequestState.FAILED && canBeRequested;
     }
 
+    /** Sends status requests by priority, up to the maximum number in flight. */
     private void sendRequests(List<Machine> dueMachines) {
         dueMachines.sort(Comparator.comparingInt(Failover::requestPriority));
         for (Machine machine : dueMachines) {
             if (inFlight >= maxInFlight) {
                 return;
             }
-            HeartbeatRequest request = requests.get(machine.name());
+            StatusRequest request = requests.get(machine.name());
             inFlight++;
             request.onSent();
-            heartbeatRequester.requestHeartbeat(
+            statusRequester.requestStatus(
                     machine, Math.max(request.agentEpoch, machine.agentEpochHint()));
         }
     }
 
-    private boolean isSettled(int pendingCount) {
+    /**
+     * Whether no further response needs to be awaited before the timeout. With outstanding starts,
+     * the machine list must be loaded and every status request must have ended; if status requests
+     * are disabled, the failover lasts until the timeout. Without outstanding starts only pending
+     * status requests are awaited.
+     */
+    private boolean areRequestsComplete(int pendingCount) {
         boolean requestsEnabled = maxInFlight > 0;
         if (foundOutstandingStarts) {
-            return requestsEnabled && machinesKnown && pendingCount == 0;
+            return requestsEnabled && machineListLoaded && pendingCount == 0;
         }
         return !requestsEnabled || pendingCount == 0;
     }
 
     private void complete(Collection<Machine> machines, double nowSeconds) {
-        long silentCount =
+        long unresponsiveCount =
                 machines.stream()
                         .filter(machine -> machine.awaitsFirstHeartbeat() && machine.hasAttempts())
                         .count();
-        // Silent machines count until they answer or their lease has expired.
-        markPassed(PromotionCheck.MACHINES, " silentMachines=" + silentCount, nowSeconds);
+        // Attempts on an unresponsive machine are assumed to be running until the machine responds
+        // or its worker lease has expired.
+        markPassed(
+                PromotionCheck.MACHINES, " unresponsiveMachines=" + unresponsiveCount, nowSeconds);
         LOG.info(
-                "failover complete: term={} afterSeconds={} machines={} silentMachines={} standby={}",
+                "failover complete: term={} afterSeconds={} machines={} unresponsiveMachines={}"
+                        + " standby={}",
                 term,
                 roundToHundredths(nowSeconds - startedAtSeconds),
                 machines.size(),
-                silentCount,
+                unresponsiveCount,
                 warmStandby ? "warm" : "cold");
         transitionTo(State.ACTIVE);
     }
 
-    /** Without a formatter, as making the first one takes a tenth of the start-up time. */
+    /**
+     * Rounds without a formatter, because creating the first formatter takes a tenth of the
+     * start-up time.
+     */
     private static double roundToHundredths(double seconds) {
         return Math.round(seconds * HUNDREDTHS_PER_SECOND) / HUNDREDTHS_PER_SECOND;
     }
 
     /**
-     * First machines with services and gangs, whose loss costs most, and those with a command of
-     * the previous leader in flight; then machines with other tasks.
+     * Returns the order of status requests; the lowest number is sent first. First come machines
+     * with tasks of services and gangs, whose loss is the most expensive, and machines with a
+     * command of the previous leader in flight; then machines with other tasks; then all others.
      */
     private static int requestPriority(Machine machine) {
         if (machine.hasGangOrServiceTask() || machine.isPreviousLeaderCommandOutcomeUnknown()) {
@@ -321,21 +370,23 @@
     }
 
     /**
-     * A heartbeat request has ended.
+     * A status request has ended.
      *
-     * @param heartbeat the machine's answer; null if there was none
+     * @param outcome how the delivery of the request ended
+     * @param heartbeat the machine's response; null if it did not respond
      */
-    public void onResponse(String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
-        HeartbeatRequest request = requests.get(machineName);
+    public void onStatusRequestOutcome(
+            String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
+        StatusRequest request = requests.get(machineName);
         if (request == null || request.state != RequestState.IN_FLIGHT) {
             return;
         }
         inFlight--;
-        boolean isAnswer = heartbeat != null && heartbeat.machineName().equals(machineName);
-        if (isAnswer && heartbeat.fencingToken() >= term) {
-            request.onAnswered();
-        } else if (isAnswer && request.mayRetry()) {
-            request.onOtherEpoch(heartbeat.agentEpoch());
+        boolean isResponse = heartbeat != null && heartbeat.machineName().equals(machineName);
+        if (isResponse && heartbeat.fencingToken() >= term) {
+            request.onResponded();
+        } else if (isResponse && request.canResend()) {
+            request.onEpochMismatch(heartbeat.agentEpoch());
         } else if (outcome == DeliveryOutcome.NOT_ATTEMPTED) {
             request.onNotAttempted();
         } else {
--- a/src/main/java/io/kelphoist/leadership/CancellationReplication.java
+++ b/src/main/java/io/kelphoist/leadership/CancellationReplication.java
@@ -98,7 +98,7 @@
     void onRecordsLoaded(long termNumber, Consumer<String> listener) {
         loadedTerm =
                 Optional.of(new LoadedTerm(new CancellationWatermark(otherControllers), listener));
-        confirmedCancellations.onTerm(termNumber);
+        confirmedCancellations.onTermObserved(termNumber);
         confirmedCancellations.jobIds().forEach(listener);
     }
 
@@ -152,7 +152,7 @@
         }
         CancellationWatermark watermark = loadedTerm.get().watermark;
         watermark.onJobsRead(jobsCurrentAsOfSeconds.getAsDouble());
-        lastWatermarkSeconds = watermark.knownUntilSeconds(loop.nowSeconds());
+        lastWatermarkSeconds = watermark.watermarkSeconds(loop.nowSeconds());
         return lastWatermarkSeconds;
     }
 
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -214,7 +214,7 @@
 
     private void onKeysRead(LeadershipKeys keys) {
         acquisition.revokePreviousLease(keys, keyWatcher::read);
-        election.onLeaderKey(
+        election.onLeaderKeyRead(
                 keys.leader().map(LeaderRecord::nodeName).orElse(null),
                 keys.leader().map(LeaderRecord::term).orElse(0L),
                 keys.lastTerm(),
@@ -231,7 +231,7 @@
 
         @Override
         public void onHeldByOther(LeaderRecord leader) {
-            election.onLeaderKey(
+            election.onLeaderKeyRead(
                     leader.nodeName(), leader.term(), NO_LAST_TERM, eventLoop.nowSeconds());
         }
 
@@ -250,7 +250,7 @@
     }
 
     @Override
-    public boolean isFollowing() {
+    public boolean isReplicaCurrent() {
         return grantMessages.isReplicaCurrent();
     }
 
--- a/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
+++ b/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
@@ -80,7 +80,7 @@
      * leases may have been renewed under delegations, for the scheduler of the term.
      */
     DelegatedRenewals onElected(long term, double nowSeconds) {
-        heldDelegation.onNewerTerm(term);
+        heldDelegation.onTermObserved(term);
         LeaseDelegations termDelegations =
                 new LeaseDelegations(timing, isEnabled, term, members, nowSeconds);
         delegations = Optional.of(termDelegations);
@@ -102,7 +102,7 @@
     Optional<DelegationOffer> offerTo(
             String peer, SchedulerState schedulerState, double cancellationWatermarkSeconds) {
         return delegations
-                .filter(LeaseDelegations::isReady)
+                .filter(LeaseDelegations::canOfferDelegations)
                 .flatMap(
                         ready ->
                                 ready.offerTo(
@@ -175,7 +175,7 @@
             SchedulerState schedulerState, double cancellationWatermarkSeconds, double nowSeconds) {
         if (delegations.isPresent()
                 && nowSeconds >= nextSelfOfferAtSeconds
-                && delegations.get().isReady()) {
+                && delegations.get().canOfferDelegations()) {
             nextSelfOfferAtSeconds = nowSeconds + SELF_OFFER_INTERVAL_SECONDS;
             delegations
                     .get()
@@ -194,7 +194,7 @@
      * returns this controller's delegation status for the response.
      */
     PeerStatus onGrantRequest(GrantRequest request, double nowSeconds) {
-        heldDelegation.onLeaderHeard(request.term(), nowSeconds);
+        heldDelegation.onLeaderMessage(request.term(), nowSeconds);
         request.state()
                 .delegationOffer()
                 .ifPresent(offer -> heldDelegation.onOffer(offer, nowSeconds));
@@ -217,7 +217,7 @@
      */
     public OptionalLong renewLease(Heartbeat heartbeat, double nowSeconds) {
         boolean isCovered =
-                heldDelegation.covers(
+                heldDelegation.allowsRenewal(
                         heartbeat.machineName(),
                         heartbeat.zone(),
                         heartbeat.fencingToken(),
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -17,17 +17,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whatever faults a run combines, no lease outlives the time that the leader counts for it, and no
- * task of a cancelled job outlives the time that a cancellation may take.
+ * Runs simulated lease delegation with random combinations of faults. No worker lease may last
+ * longer than the leader assumes, and no task of a cancelled job may run longer than the
+ * cancellation timeout.
  */
 class LeaseDelegationTest {
     private static int withheldRenewals;
-    private static int acknowledgementsUnseenByLeader;
+    private static int acknowledgementsUnknownToLeader;
     private static int delegatedRenewals;
-    private static int countedLosses;
+    private static int assumedLeaseExpirations;
 
-    /** A number's rest modulo 10 selects the kind of event, its quotients the arguments. */
-    private static void play(DelegationSimulation simulation, int step) {
+    /**
+     * Applies one random event and advances the time: {@code step % 10} selects the kind of event,
+     * quotients of {@code step} its arguments.
+     */
+    private static void applyStep(DelegationSimulation simulation, int step) {
         int controller = step / 20 % 3;
         boolean enabled = step / 60 % 2 == 0;
         int variant = step / 120;
@@ -36,15 +40,15 @@
             case 2, 3 -> simulation.setWorkerBlocked(controller, enabled);
             case 4 -> simulation.crash(controller, variant % 2 == 0 ? 0.1 : 5);
             case 5 -> simulation.failOver(controller);
-            case 6 -> playUserRequest(simulation, controller, variant);
+            case 6 -> applyUserRequest(simulation, controller, variant);
             case 7 -> setWorkersZoneCutOff(simulation, enabled);
-            case 8 -> playStoreFault(simulation, controller, variant, enabled);
-            default -> playOneWayFault(simulation, controller, variant, enabled);
+            case 8 -> applyStoreFault(simulation, controller, variant, enabled);
+            default -> applyOneWayFault(simulation, controller, variant, enabled);
         }
-        simulation.pass(0.25 + variant);
+        simulation.advance(0.25 + variant);
     }
 
-    private static void playUserRequest(
+    private static void applyUserRequest(
             DelegationSimulation simulation, int controller, int variant) {
         if (variant % 3 == 0) {
             simulation.query(controller);
@@ -53,26 +57,29 @@
         }
     }
 
-    /** Controller 1 is alone in the worker's zone: it reaches the worker, and nobody else does. */
+    /**
+     * Separates the worker's zone from the rest: only controller 1, which is in that zone, can
+     * exchange messages with the worker.
+     */
     private static void setWorkersZoneCutOff(DelegationSimulation simulation, boolean cutOff) {
         for (int outside : new int[] {0, 2}) {
             simulation.setLinkBlocked(1, outside, cutOff);
             simulation.setWorkerBlocked(outside, cutOff);
         }
-        simulation.setRefused(1, cutOff);
+        simulation.setRefusedByStore(1, cutOff);
     }
 
-    private static void playStoreFault(
+    private static void applyStoreFault(
             DelegationSimulation simulation, int controller, int variant, boolean enabled) {
         switch (variant % 5) {
             case 0 -> simulation.makeReadsStale();
-            case 1 -> simulation.setRefused(controller, enabled);
-            case 2 -> simulation.setLeaderRefused(enabled);
+            case 1 -> simulation.setRefusedByStore(controller, enabled);
+            case 2 -> simulation.setLeaderRefusedByStore(enabled);
             default -> simulation.setStoreDown(enabled);
         }
     }
 
-    private static void playOneWayFault(
+    private static void applyOneWayFault(
             DelegationSimulation simulation, int controller, int variant, boolean enabled) {
         if (variant % 2 == 0) {
             simulation.setOneWayBlocked(
@@ -91,56 +98,73 @@
             @ForAll boolean clocksDrift) {
         DelegationSimulation simulation =
                 new DelegationSimulation(leaderInWorkersZone, clocksDrift);
-        simulation.pass(6);
-        steps.forEach(step -> play(simulation, step));
-        simulation.pass(60);
+        simulation.advance(6);
+        steps.forEach(step -> applyStep(simulation, step));
+        simulation.advance(60);
         withheldRenewals += simulation.withheldRenewals();
-        acknowledgementsUnseenByLeader += simulation.acknowledgementsUnseenByLeader();
+        acknowledgementsUnknownToLeader += simulation.acknowledgementsUnknownToLeader();
         delegatedRenewals += simulation.delegatedRenewals();
-        countedLosses += simulation.countedLosses();
+        assumedLeaseExpirations += simulation.assumedLeaseExpirations();
     }
 
     /**
-     * The property would hold as well if no cancellation were ever unknown to the leader, or no
-     * renewal were ever withheld.
+     * Checks that the simulated faults had an effect. Without this check the property would also
+     * hold if the leader received every cancellation immediately, or if no renewal were ever
+     * withheld.
      */
     @AfterContainer
     static void faultsAndTheirEffectsOccurred() {
-        assertTrue(withheldRenewals > 100, withheldRenewals + " renewals withheld");
         assertTrue(
-                acknowledgementsUnseenByLeader > 200,
-                acknowledgementsUnseenByLeader + " acknowledgements unseen by the leader");
-        assertTrue(delegatedRenewals > 500, delegatedRenewals + " delegated renewals");
-        assertTrue(countedLosses > 500, countedLosses + " workers counted as lost");
+                withheldRenewals > 100, withheldRenewals + " renewals withheld, expected over 100");
+        assertTrue(
+                acknowledgementsUnknownToLeader > 200,
+                acknowledgementsUnknownToLeader
+                        + " acknowledgements unknown to the leader, expected over 200");
+        assertTrue(
+                delegatedRenewals > 500,
+                delegatedRenewals + " delegated renewals, expected over 500");
+        assertTrue(
+                assumedLeaseExpirations > 500,
+                assumedLeaseExpirations + " leases assumed to have expired, expected over 500");
     }
 
     /**
-     * The property above would hold as well if no lease were ever renewed by delegation, or no
-     * worker were ever counted as lost.
+     * Checks a single partition in detail, because the property above would also hold if no lease
+     * were ever renewed under a delegation, or if the leader never assumed that a lease has
+     * expired.
      */
     @Test
-    void aPartitionedZoneIsRenewedByDelegationAndThenLost() {
+    void leasesInAPartitionedZoneAreRenewedByDelegationAndThenExpire() {
         DelegationSimulation simulation = new DelegationSimulation(false, false);
-        simulation.pass(10);
+        simulation.advance(10);
         for (int outside : new int[] {0, 2}) {
             simulation.setLinkBlocked(1, outside, true);
             simulation.setWorkerBlocked(outside, true);
         }
-        simulation.pass(25);
-        assertTrue(simulation.delegatedRenewals() >= 4, simulation.delegatedRenewals() + " times");
-        assertEquals(0, simulation.countedLosses());
-        simulation.pass(25);
-        assertEquals(1, simulation.countedLosses());
+        simulation.advance(25);
+        assertTrue(
+                simulation.delegatedRenewals() >= 4,
+                simulation.delegatedRenewals() + " delegated renewals, expected at least 4");
+        assertEquals(0, simulation.assumedLeaseExpirations());
+        simulation.advance(25);
+        assertEquals(1, simulation.assumedLeaseExpirations());
     }
 
+    /**
+     * If the cancellation timeout is barely longer than a lease, a delegation would let a task of a
+     * cancelled job run too long.
+     */
     @Test
-    void isDisabledWhereCancellationsLeaveNoTime() {
+    void isDisabledWhereCancellationTimeoutIsTooShort() {
         assertFalse(DelegationTiming.of(22, 22).isEnabled());
         assertFalse(DelegationTiming.of(24, 22).isEnabled());
         assertTrue(DelegationTiming.of(47, 22).delegationSeconds() + 22 < 47);
     }
 
-    /** A version without delegation may lead next, and would not account for delegated renewals. */
+    /**
+     * Guards against delegation during an upgrade: a controller whose version has no delegation may
+     * lead next, and would not account for delegated renewals.
+     */
     @Test
     void offersNothingBesideAVersionWithoutDelegation() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
@@ -156,8 +180,9 @@
     }
 
     /**
-     * Before its first response a peer may still renew under an earlier leader's delegation, which
-     * the settings alone bound, without any record.
+     * Before its first response in a term a peer may still renew leases under a delegation of an
+     * earlier leader. Without a stored record, the end of that delegation is bounded only by the
+     * settings.
      */
     @Test
     void accountsForDelegationsOfThePredecessor() {
@@ -179,35 +204,39 @@
     }
 
     /**
-     * A peer renews only while the leader is silent, and only under a delegation that this process
-     * received.
+     * A peer renews leases only while it receives no message of the leader, and only under a
+     * delegation that was offered to its current process.
      */
     @Test
-    void coversOnlyWhileTheLeaderIsSilent() {
+    void allowsRenewalOnlyWhileTheLeaderIsSilent() {
         HeldDelegation delegation = new HeldDelegation(DelegationTiming.of(47, 22), "b", 7);
-        delegation.onLeaderHeard(3, 100);
+        delegation.onLeaderMessage(3, 100);
         delegation.onOffer(new DelegationOffer(3, 6, 1, 99.5, ImmutableSet.of()), 100);
         assertEquals(HeldDelegation.State.NONE, delegation.state(105));
         delegation.onOffer(new DelegationOffer(3, 7, 1, 99.5, ImmutableSet.of()), 100);
         assertEquals(HeldDelegation.State.HELD, delegation.state(100.5));
-        assertFalse(delegation.covers("vm-1", "b", 3, 101));
-        assertTrue(delegation.covers("vm-1", "b", 3, 102));
-        assertFalse(delegation.covers("vm-1", "a", 3, 102));
-        assertFalse(delegation.covers("vm-1", "b", 2, 102));
+        assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 101));
+        assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 102));
+        assertFalse(delegation.allowsRenewal("vm-1", "a", 3, 102));
+        assertFalse(delegation.allowsRenewal("vm-1", "b", 2, 102));
         assertFalse(
-                delegation.covers(
+                delegation.allowsRenewal(
                         "vm-1", "b", 3, 99.5 + DelegationTiming.of(47, 22).delegationSeconds()));
         assertEquals(HeldDelegation.State.EXPIRED, delegation.state(140));
-        // A worker that has seen a newer leader ends the delegation for all workers.
+        // A worker with the fencing token of a newer term ends the delegation for all workers.
         delegation.onOffer(new DelegationOffer(3, 7, 2, 139.5, ImmutableSet.of()), 140);
-        assertTrue(delegation.covers("vm-1", "b", 3, 142));
-        assertFalse(delegation.covers("vm-2", "b", 4, 142));
-        assertFalse(delegation.covers("vm-1", "b", 3, 142));
+        assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 142));
+        assertFalse(delegation.allowsRenewal("vm-2", "b", 4, 142));
+        assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 142));
     }
 
-    /** A second failover in the same partition does not count from its own start. */
+    /**
+     * Guards against a second failover in the same partition that assumes the delegation to have
+     * started with its own term, which would delay the expiry of the leases: the next leader must
+     * use the stored start.
+     */
     @Test
-    void theNextLeaderKnowsSinceWhenAPeerIsSilent() {
+    void theNextLeaderLoadsTheStartOfASilentPeersDelegation() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
         LeaseDelegations first =
                 new LeaseDelegations(timing, true, 3, members(Map.of("p", "b")), 100);
@@ -223,20 +252,24 @@
                 110.1 + timing.delegationSeconds(),
                 next.latestRenewalAtSeconds("vm-1", "b", 140),
                 0.1);
-        // After contact it is offered nothing until the record has been removed.
+        // After the peer responds again it gets no offer until the record has been cleared.
         next.onResponse("p", 141, new PeerStatus(1, 36, 81, 5, 0), 141.1);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
-        DelegationRecord removal = next.dueRecords(141.3).get(0);
+        DelegationRecord clearedRecord = next.dueRecords(141.3).get(0);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
-        next.onRecordStored(removal, false);
+        next.onRecordStored(clearedRecord, false);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
         next.onRecordStored(next.dueRecords(141.6).get(0), true);
         assertEquals(1, next.offerTo("p", Set.of(), 142).orElseThrow().sequenceNumber());
     }
 
-    /** For machines that were silent before contact was lost, only own responses count. */
+    /**
+     * A machine that was silent before the partition is excluded from delegation: the expiry of its
+     * lease depends only on the leader's own renewals. The exclusion applies once the peer has
+     * acknowledged the offer.
+     */
     @Test
-    void silentMachinesAreNotDelegated() {
+    void leasesOfSilentMachinesAreNotDelegated() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
         LeaseDelegations delegations =
                 new LeaseDelegations(timing, true, 3, members(Map.of("p", "b")), 100);
@@ -244,7 +277,7 @@
                 "p", 100, new PeerStatus(1, 5, 50, Double.POSITIVE_INFINITY, 0), 100.1);
         DelegationOffer offer = delegations.offerTo("p", Set.of("vm-1"), 101).orElseThrow();
         assertEquals(ImmutableSet.of("vm-1"), offer.excludedMachines());
-        // The offer may not have arrived.
+        // The peer has not acknowledged the offer, so its exclusions may not apply yet.
         assertEquals(110, delegations.latestRenewalAtSeconds("vm-1", "b", 110));
         delegations.onResponse(
                 "p",
--- a/src/test/java/io/kelphoist/election/ElectionSimulation.java
+++ b/src/test/java/io/kelphoist/election/ElectionSimulation.java
@@ -8,30 +8,42 @@
 import java.util.Random;
 
 /**
- * Elections of three controllers over a simulated state store and network, with faults: clocks
- * drift, messages are held and delivered late, in one direction or both, processes freeze, crash
- * and restart at once, leases last through an outage, transactions get no response and are carried
- * out late, and the state store refuses one controller. Time is true time in seconds, which only
- * the check sees: no two controllers lead at once.
+ * Simulates elections of three controllers over a simulated state store and network, and checks in
+ * each step that at most one controller leads.
+ *
+ * <p>The faults are: clocks drift; messages are delayed in one direction or both; processes freeze,
+ * crash and restart immediately; leases do not expire during an outage of the state store;
+ * transactions get no response and are committed after a delay; the state store refuses the
+ * requests of one controller. Times are in seconds of simulated true time, which the controllers
+ * cannot read.
  */
 public final class ElectionSimulation {
-    /** Receives what happens to terms, at the instant at which it happens. */
+    /** Receives the events of terms at the simulated time at which they occur. */
     public interface Listener {
-        /** The leader key and the term are stored; the controller may not know it yet. */
+        /**
+         * The leader key and the term were stored. The controller may not have received the
+         * response yet.
+         */
         default void onTermStored(String controller, long term) {}
 
+        /** The controller received the response and leads the term. */
         default void onElected(String controller, long term) {}
 
-        /** The controller knows that its term is over, or its process has crashed. */
+        /** The controller stopped leading its term, or its process crashed. */
         default void onLeadershipEnded(String controller) {}
     }
 
+    /** The names of the controllers. */
     public static final List<String> NAMES = List.of("n0", "n1", "n2");
 
     private static final double STEP_SECONDS = 0.05;
     private static final double CLOCK_OFFSET_SPACING_SECONDS = 1000;
-    private static final int READS_ONE_OF = 40;
-    private static final double SETTLE_SECONDS = 40;
+
+    /** A controller reads the leadership keys in one of this many steps on average. */
+    private static final int MEAN_STEPS_PER_KEY_READ = 40;
+
+    /** Time after the last fault within which a leader must have been elected. */
+    private static final double CONVERGENCE_SECONDS = 40;
 
     private final SimulatedTimeline timeline = new SimulatedTimeline();
     private final Random random;
@@ -40,7 +52,7 @@
     private final List<SimulatedController> controllers = new ArrayList<>();
     private final ElectionCounters counters = new ElectionCounters();
 
-    /** NaN: a controller leads. */
+    /** Since when no controller leads; NaN while one does. */
     private double leaderlessSinceSeconds = Double.NaN;
 
     private double longestLeaderlessSeconds;
@@ -49,6 +61,7 @@
         this(seed, new Listener() {});
     }
 
+    /** Starts three controllers without a leader. */
     public ElectionSimulation(long seed, Listener listener) {
         random = new Random(seed);
         store =
@@ -77,7 +90,10 @@
 
     // ---- faults ----
 
-    /** Blocks messages in one direction; unblocked, what was held is delivered. */
+    /**
+     * Blocks or unblocks messages in one direction. Held messages are delivered when the link is
+     * unblocked.
+     */
     public void setLinkBlocked(int from, int to, boolean blocked) {
         links.setBlocked(controllers.get(from), controllers.get(to), blocked);
     }
@@ -94,70 +110,74 @@
         controllers.get(controller).resign();
     }
 
+    /** Starts or ends an outage of the state store. */
     public void setStoreDown(boolean down) {
         store.setDown(down);
     }
 
-    void setRefused(int controller, boolean refused) {
+    void setRefusedByStore(int controller, boolean refused) {
         controllers.get(controller).setRefusedByStore(refused);
     }
 
-    /** The state store refuses whichever controller is in the leader's state. */
-    public void refuseLeader() {
+    /** Makes the state store refuse the requests of each controller that is in the state LEADER. */
+    public void setLeaderRefusedByStore() {
         controllers.stream()
                 .filter(controller -> controller.election().state() == Election.State.LEADER)
                 .forEach(controller -> controller.setRefusedByStore(true));
     }
 
-    /** Of ten transactions, how many get no response and are carried out late. */
-    void setLateTransactions(int ofTen) {
-        store.setLateTransactions(ofTen);
+    /** Sets how many of ten transactions get no response and are committed after a delay. */
+    void setDelayedTransactions(int perTen) {
+        store.setDelayedTransactions(perTen);
     }
 
-    /** Of ten requests to the state store, how many are carried out without a response. */
-    public void setLostResponses(int ofTen) {
-        store.setLostResponses(ofTen);
+    /** Sets how many of ten requests to the state store are carried out without a response. */
+    public void setLostResponses(int perTen) {
+        store.setLostResponses(perTen);
     }
 
+    /** Pauses the leader's process. */
     public void freezeLeader(double seconds) {
         leader().ifPresent(leader -> leader.freeze(seconds));
     }
 
+    /** Crashes the leader's process and restarts it after a delay. */
     public void crashLeader(double restartSeconds) {
         leader().ifPresent(leader -> leader.crash(restartSeconds));
     }
 
+    /** Makes the leader resign. */
     public void resignLeader() {
         leader().ifPresent(SimulatedController::resign);
     }
 
-    /** All faults end now. */
+    /** Ends all faults. */
     public void endFaults() {
         for (int from = 0; from < NAMES.size(); from++) {
-            setRefused(from, false);
+            setRefusedByStore(from, false);
             freeze(from, 0);
             for (int to = 0; to < NAMES.size(); to++) {
                 setLinkBlocked(from, to, false);
             }
         }
-        setLateTransactions(0);
+        setDelayedTransactions(0);
         setLostResponses(0);
         setStoreDown(false);
     }
 
-    /** All faults end: soon a controller leads. */
-    void settle() {
+    /** Ends all faults and checks that a controller leads after {@link #CONVERGENCE_SECONDS}. */
+    void endFaultsAndCheckLeader() {
         endFaults();
-        pass(SETTLE_SECONDS);
+        advance(CONVERGENCE_SECONDS);
         if (leader().isEmpty()) {
-            throw new AssertionError("no leader at the end: " + this);
+            throw new AssertionError("no leader after all faults ended, expected one: " + this);
         }
     }
 
     // ---- time ----
 
-    /** Time passes. */
-    public void pass(double seconds) {
+    /** Advances the simulated time. */
+    public void advance(double seconds) {
         for (double end = timeline.nowSeconds() + seconds; timeline.nowSeconds() < end; ) {
             step();
         }
@@ -170,7 +190,7 @@
         for (SimulatedController controller : controllers) {
             if (controller.isRunning()) {
                 controller.election().tick(controller.clock());
-                if (random.nextInt(READS_ONE_OF) == 0) {
+                if (random.nextInt(MEAN_STEPS_PER_KEY_READ) == 0) {
                     controller.readKeys();
                 }
             }
@@ -182,14 +202,17 @@
             recordLeaderless();
         } else {
             leaderlessSinceSeconds = Double.NaN;
-            countStepByGrants(leading.get(0));
+            countStepLedByGrantsAlone(leading.get(0));
         }
     }
 
     private void checkOneLeader(List<SimulatedController> leading) {
         if (leading.size() > 1) {
             throw new AssertionError(
-                    "several leaders at once, at " + timeline.nowSeconds() + ": " + leading);
+                    "expected at most one leader: atSeconds="
+                            + timeline.nowSeconds()
+                            + " leaders="
+                            + leading);
         }
     }
 
@@ -203,9 +226,9 @@
         }
     }
 
-    private void countStepByGrants(SimulatedController leader) {
+    private void countStepLedByGrantsAlone(SimulatedController leader) {
         if (store.isDown() || !store.read().isHeldBy(leader.name())) {
-            counters.increment(Counter.STEPS_BY_GRANTS);
+            counters.increment(Counter.STEPS_LED_BY_GRANTS_ALONE);
         }
     }
 
@@ -215,13 +238,14 @@
         return controllers.stream().filter(SimulatedController::isLeading).findFirst();
     }
 
-    /** Whether this controller leads in this term now. */
+    /** Whether this controller leads this term now. */
     public boolean isLeading(String name, long term) {
         SimulatedController controller = controller(name);
         return controller.isLeading() && controller.election().term() == term;
     }
 
-    public boolean isRefused(String name) {
+    /** Whether the state store refuses this controller's requests. */
+    public boolean isRefusedByStore(String name) {
         return controller(name).isRefusedByStore();
     }
 
@@ -237,7 +261,7 @@
         return counters.get(counter);
     }
 
-    /** The longest time without a leader. */
+    /** Returns the longest time so far without a leader. */
     double longestLeaderlessSeconds() {
         return longestLeaderlessSeconds;
     }
--- a/src/test/java/io/kelphoist/election/ElectionTest.java
+++ b/src/test/java/io/kelphoist/election/ElectionTest.java
@@ -12,12 +12,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whatever faults a run combines, at most one controller leads at a time, and one in the end. */
+/**
+ * Runs simulated elections with random combinations of faults. At most one controller may be leader
+ * at any time, and one must lead after the faults have ended.
+ */
 class ElectionTest {
     private static final ElectionCounters COUNTERS = new ElectionCounters();
 
-    /** A number's rest modulo 21 selects the kind of event, its quotients the arguments. */
-    private static void play(ElectionSimulation simulation, int step) {
+    /**
+     * Applies one random event and advances the time: {@code step % 21} selects the kind of event,
+     * quotients of {@code step} its arguments.
+     */
+    private static void applyStep(ElectionSimulation simulation, int step) {
         int controller = step / 20 % 3;
         int argument = step / 60;
         boolean enabled = argument % 2 == 0;
@@ -29,14 +35,14 @@
             case 9 -> crashAll(simulation, controller);
             case 10, 11 -> simulation.freeze(controller, argument % 10);
             case 12, 13 -> simulation.setStoreDown(enabled);
-            case 14 -> simulation.setRefused(controller, enabled);
-            case 15 -> simulation.refuseLeader();
-            case 16 -> simulation.setLateTransactions(argument % 8);
+            case 14 -> simulation.setRefusedByStore(controller, enabled);
+            case 15 -> simulation.setLeaderRefusedByStore();
+            case 16 -> simulation.setDelayedTransactions(argument % 8);
             case 17, 18 -> simulation.resign(controller);
             case 20 -> simulation.setLostResponses(argument % 8);
             default -> {}
         }
-        simulation.pass(0.1 + argument % 12 / 3.0);
+        simulation.advance(0.1 + argument % 12 / 3.0);
     }
 
     private static void setIsolated(
@@ -45,7 +51,7 @@
             simulation.setLinkBlocked(controller, (controller + other) % 3, isolated);
             simulation.setLinkBlocked((controller + other) % 3, controller, isolated);
         }
-        simulation.setRefused(controller, isolated);
+        simulation.setRefusedByStore(controller, isolated);
     }
 
     private static void crashAll(ElectionSimulation simulation, int firstRestarted) {
@@ -59,44 +65,49 @@
             @ForAll long seed,
             @ForAll @Size(min = 5, max = 60) List<@IntRange(min = 0, max = 1199) Integer> steps) {
         ElectionSimulation simulation = new ElectionSimulation(seed);
-        simulation.pass(8);
-        steps.forEach(step -> play(simulation, step));
-        simulation.settle();
+        simulation.advance(8);
+        steps.forEach(step -> applyStep(simulation, step));
+        simulation.endFaultsAndCheckLeader();
         COUNTERS.addAll(simulation.counters());
     }
 
     /**
-     * Leadership is acquired and only the response is lost, as are the responses to half of the
-     * renewals: the controller that acquired it finds that out, or its lease ends. The time without
-     * a leader is bounded by a crash, a lease and two acquisitions.
+     * Guards against an election that stalls because a controller acquired the leader key without
+     * receiving the response. The responses to half of the renewals are lost too. The controller
+     * must read that it holds the key, or the key's lease must expire. The time without a leader is
+     * bounded by one crash, one lease and two acquisitions.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void anUnseenAcquisitionDoesNotBlockElections(long seed) {
+    void anAcquisitionWithoutResponseDoesNotBlockElections(long seed) {
         ElectionSimulation simulation = new ElectionSimulation(seed);
-        simulation.pass(8);
+        simulation.advance(8);
         simulation.setLostResponses(5);
         for (int i = 0; i < 30; i++) {
             simulation.crash(i % 3, 0.3);
-            simulation.pass(13);
+            simulation.advance(13);
         }
-        int unseen = simulation.count(Counter.UNSEEN_ACQUISITIONS);
-        double leaderless = simulation.longestLeaderlessSeconds();
+        int withoutResponse = simulation.count(Counter.ACQUISITIONS_WITHOUT_RESPONSE);
+        double leaderlessSeconds = simulation.longestLeaderlessSeconds();
         assertTrue(
-                unseen > 5 && leaderless < 13,
-                unseen + " unseen acquisitions, without a leader for " + leaderless + " s");
-        simulation.settle();
+                withoutResponse > 5 && leaderlessSeconds < 13,
+                withoutResponse
+                        + " acquisitions without a response, expected over 5; without a leader for "
+                        + leaderlessSeconds
+                        + " s, expected under 13 s");
+        simulation.endFaultsAndCheckLeader();
     }
 
     /**
-     * Leaders crash or resign every five seconds, also inside an outage: never two lead, and one
-     * does soon after.
+     * The leader crashes or resigns every five seconds, also during outages of the state store.
+     * There must never be two leaders, and a new one must be elected soon after at least half of
+     * the 24 changes.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
     void aLeaderIsElectedAfterEachChange(long seed) {
         ElectionSimulation simulation = new ElectionSimulation(seed);
-        simulation.pass(8);
+        simulation.advance(8);
         int before = simulation.count(Counter.TERMS);
         for (int i = 0; i < 24; i++) {
             if (i % 3 == 0) {
@@ -105,23 +116,23 @@
                 simulation.resignLeader();
             }
             simulation.setStoreDown(i % 8 == 5);
-            simulation.pass(5);
+            simulation.advance(5);
         }
         int terms = simulation.count(Counter.TERMS) - before;
-        assertTrue(terms >= 12, terms + " terms");
-        simulation.settle();
+        assertTrue(terms >= 12, terms + " terms, expected at least 12");
+        simulation.endFaultsAndCheckLeader();
     }
 
     /**
-     * The property would hold as well if no controller ever led, handed over, or led by grants
-     * alone.
+     * Checks that the simulated faults had an effect. Without this check the property would also
+     * hold if no controller ever led, handed over its term, or led by grants alone.
      */
     @AfterContainer
     static void faultsAndTheirEffectsOccurred() {
-        COUNTERS.assertMoreThan(100, Counter.UNSEEN_ACQUISITIONS);
+        COUNTERS.assertMoreThan(100, Counter.ACQUISITIONS_WITHOUT_RESPONSE);
         COUNTERS.assertMoreThan(5_000, Counter.TERMS);
         COUNTERS.assertMoreThan(1_000, Counter.HANDOVERS);
-        COUNTERS.assertMoreThan(30, Counter.LATE_ACQUISITIONS);
-        COUNTERS.assertMoreThan(20_000, Counter.STEPS_BY_GRANTS);
+        COUNTERS.assertMoreThan(30, Counter.DELAYED_ACQUISITIONS);
+        COUNTERS.assertMoreThan(20_000, Counter.STEPS_LED_BY_GRANTS_ALONE);
     }
 }
--- a/src/test/java/io/kelphoist/election/SimulatedController.java
+++ b/src/test/java/io/kelphoist/election/SimulatedController.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** A controller's process with its clock, its election and its requests to the state store. */
+/** A controller's process with its clock, its election, its requests and its messages. */
 final class SimulatedController implements Election.Actions {
-    /** What controllers share. */
+    /** The parts of the simulation that all controllers share. */
     record Environment(
             SimulatedTimeline timeline,
             Random random,
@@ -58,10 +58,12 @@
         return election;
     }
 
+    /** Number of the current process of this controller. */
     long incarnation() {
         return incarnation;
     }
 
+    /** This controller's own clock, which drifts. */
     double clock() {
         return clockOffsetSeconds + timeline.nowSeconds() * clockRate;
     }
@@ -76,7 +78,7 @@
 
     // ---- the process ----
 
-    /** A new process starts and knows nothing. */
+    /** Starts a new process without any state of an earlier one. */
     void start() {
         incarnation++;
         up = true;
@@ -99,17 +101,17 @@
     void crash(double restartSeconds) {
         up = false;
         environment.listener().onLeadershipEnded(name);
-        long crashed = incarnation;
+        long crashedIncarnation = incarnation;
         timeline.schedule(
                 restartSeconds,
                 () -> {
-                    if (incarnation == crashed) {
+                    if (incarnation == crashedIncarnation) {
                         start();
                     }
                 });
     }
 
-    /** The process stands still while its clock runs on. */
+    /** Pauses the process while its clock continues to run. */
     void freeze(double seconds) {
         frozenUntilSeconds = timeline.nowSeconds() + seconds;
     }
@@ -128,19 +130,23 @@
         return refusedByStore;
     }
 
-    /** Runs later in this process, if it still exists; a frozen process runs it when it goes on. */
+    /**
+     * Runs an action in this process after a delay. It is dropped if the process has ended by then,
+     * and run after the pause if the process is frozen.
+     */
     void schedule(double delaySeconds, Runnable action) {
-        long scheduledIn = incarnation;
-        timeline.schedule(delaySeconds, () -> runIn(scheduledIn, action));
+        long scheduledIncarnation = incarnation;
+        timeline.schedule(delaySeconds, () -> runIn(scheduledIncarnation, action));
     }
 
-    private void runIn(long scheduledIn, Runnable action) {
-        if (incarnation != scheduledIn || !up) {
+    private void runIn(long scheduledIncarnation, Runnable action) {
+        if (incarnation != scheduledIncarnation || !up) {
             return;
         }
         double now = timeline.nowSeconds();
         if (now < frozenUntilSeconds) {
-            timeline.schedule(frozenUntilSeconds - now + 0.001, () -> runIn(scheduledIn, action));
+            timeline.schedule(
+                    frozenUntilSeconds - now + 0.001, () -> runIn(scheduledIncarnation, action));
         } else {
             action.run();
         }
@@ -152,7 +158,7 @@
         return !store.isDown() && !refusedByStore;
     }
 
-    /** A request and its response; empty: it was refused and not carried out. */
+    /** Sends a request; the response is empty if it was refused and not carried out. */
     private <T> void request(Supplier<T> carryOut, Consumer<Optional<T>> onResponse) {
         timeline.schedule(
                 random.nextInt(20) / 100.0,
@@ -189,11 +195,11 @@
         newestRevision = keys.revision();
         SimulatedElectionStore.Key leader = keys.leader();
         if (keys.isHeldBy(name) && !hasTriedToAcquire && !hasReleasedOldLease) {
-            // An earlier process of this controller was the leader.
+            // An earlier process of this controller was the leader; its lease is not needed.
             hasReleasedOldLease = true;
             releaseLease(leader.leaseId());
         }
-        election.onLeaderKey(
+        election.onLeaderKeyRead(
                 leader == null ? null : leader.controller(),
                 leader == null ? 0 : leader.term(),
                 keys.lastTerm(),
@@ -228,16 +234,26 @@
         long term = keys.lastTerm() + 1;
         Supplier<Long> transaction =
                 () -> store.acquire(name, leaseId, keys.lastTerm(), keys.termVersion());
-        if (isStoreReachable() && store.drawLateTransaction()) {
+        if (isStoreReachable() && store.drawDelayedTransaction()) {
             timeline.schedule(
                     random.nextInt(120) / 10.0,
-                    () -> count(Counter.LATE_ACQUISITIONS, !store.isDown(), transaction));
-            schedule(TRANSACTION_TIMEOUT_SECONDS, () -> readBack(leaseId, term, sentAt));
+                    () ->
+                            countIfCommitted(
+                                    Counter.DELAYED_ACQUISITIONS, !store.isDown(), transaction));
+            schedule(
+                    TRANSACTION_TIMEOUT_SECONDS,
+                    () -> resolveUnknownOutcome(leaseId, term, sentAt));
         } else if (isStoreReachable() && store.drawLostResponse()) {
             timeline.schedule(
                     random.nextInt(20) / 100.0,
-                    () -> count(Counter.UNSEEN_ACQUISITIONS, isStoreReachable(), transaction));
-            schedule(TRANSACTION_TIMEOUT_SECONDS, () -> readBack(leaseId, term, sentAt));
+                    () ->
+                            countIfCommitted(
+                                    Counter.ACQUISITIONS_WITHOUT_RESPONSE,
+                                    isStoreReachable(),
+                                    transaction));
+            schedule(
+                    TRANSACTION_TIMEOUT_SECONDS,
+                    () -> resolveUnknownOutcome(leaseId, term, sentAt));
         } else {
             request(
                     transaction,
@@ -251,14 +267,15 @@
         }
     }
 
-    private void count(Counter counter, boolean isCarriedOut, Supplier<Long> transaction) {
-        if (isCarriedOut && transaction.get() != 0) {
+    /** Runs a transaction without a response, and counts it if it was received and committed. */
+    private void countIfCommitted(Counter counter, boolean isReceived, Supplier<Long> transaction) {
+        if (isReceived && transaction.get() != 0) {
             environment.counters().increment(counter);
         }
     }
 
-    /** After a transaction without a response: finds out whether it was carried out. */
-    private void readBack(long leaseId, long term, double sentAt) {
+    /** Reads from the keys whether a transaction without a response was committed. */
+    private void resolveUnknownOutcome(long leaseId, long term, double sentAt) {
         request(
                 store::read,
                 read -> {
@@ -304,11 +321,11 @@
 
     @Override
     public void releaseLease(long leaseId) {
-        request(() -> endLease(leaseId), ended -> readKeys());
+        request(() -> revokeLease(leaseId), ended -> readKeys());
     }
 
-    private boolean endLease(long leaseId) {
-        store.endLease(leaseId);
+    private boolean revokeLease(long leaseId) {
+        store.removeLease(leaseId);
         return true;
     }
 
@@ -319,14 +336,14 @@
         environment.counters().increment(Counter.HANDOVERS);
         boolean isPreferred = random.nextBoolean();
         request(
-                () -> endLease(leaseId),
+                () -> revokeLease(leaseId),
                 ended ->
                         environment.controllers().stream()
                                 .filter(peer -> peer != this)
-                                .forEach(peer -> announceEnd(peer, endedTerm, isPreferred)));
+                                .forEach(peer -> sendTermEnded(peer, endedTerm, isPreferred)));
     }
 
-    private void announceEnd(SimulatedController peer, long endedTerm, boolean isPreferred) {
+    private void sendTermEnded(SimulatedController peer, long endedTerm, boolean isPreferred) {
         environment
                 .links()
                 .send(
@@ -356,7 +373,7 @@
     }
 
     @Override
-    public boolean isFollowing() {
+    public boolean isReplicaCurrent() {
         return true;
     }
 
@@ -373,6 +390,6 @@
 
     @Override
     public String toString() {
-        return name + " " + election.state() + " sees " + election.leader();
+        return name + " state=" + election.state() + " leader=" + election.leader();
     }
 }
--- a/src/test/java/io/kelphoist/failover/CommandDelivery.java
+++ b/src/test/java/io/kelphoist/failover/CommandDelivery.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * A request on its way from a leader to a worker. The leader gives it up after a while, and it may
- * still arrive later.
+ * A request in flight from a leader to a worker. After a timeout the leader stops waiting for the
+ * response, but the request may still arrive later.
  */
 final class CommandDelivery {
-    /** The kind of a request to a worker. */
+    /** The kinds of requests to a worker. */
     enum Kind {
         COMMANDS,
         STATUS_REQUEST,
@@ -27,11 +27,13 @@
     private final List<WorkerCommand> commands;
     private final Kind kind;
     private final double sentAtSeconds;
-    private boolean answered;
+    private boolean completed;
     private boolean lost;
 
     /**
-     * @param worker null: no machine has the address any more
+     * Creates a request that is sent now.
+     *
+     * @param worker the receiver; null if the machine with the address has been terminated
      */
     CommandDelivery(
             SimulatedLeader leader,
@@ -70,8 +72,8 @@
         return nowSeconds >= sentAtSeconds + timeout;
     }
 
-    /** The connection that it was sent on is closed. */
-    void lose() {
+    /** The connection on which it was sent was closed, so it is lost. */
+    void markLost() {
         lost = true;
     }
 
@@ -79,27 +81,29 @@
         return lost;
     }
 
-    /** The worker executes it, or refuses it if the leader or the agent epoch is not current. */
-    void arrive(SafetyChecker checker) {
+    /**
+     * The worker executes the request, or refuses it if its term or its agent epoch is not current.
+     */
+    void deliver(SafetyChecker checker) {
         worker.expireLease();
         checker.checkHeartbeatsBeforeStart(this);
         boolean executed =
                 agentEpoch == worker.agentEpoch() && worker.execute(leader.term(), commands);
-        end(
+        complete(
                 executed ? DeliveryOutcome.EXECUTED : DeliveryOutcome.REFUSED,
                 worker.createHeartbeat());
     }
 
     /**
-     * The leader learns the outcome, if it has not before.
+     * Reports the outcome to the leader, unless one was reported before.
      *
-     * @param heartbeat null: without a response of the worker
+     * @param heartbeat the worker's response; null if there is none
      */
-    void end(DeliveryOutcome outcome, Heartbeat heartbeat) {
-        if (answered) {
+    void complete(DeliveryOutcome outcome, Heartbeat heartbeat) {
+        if (completed) {
             return;
         }
-        answered = true;
+        completed = true;
         switch (kind) {
             case COMMANDS -> leader.onCommandOutcome(machineName, outcome, heartbeat);
             case STATUS_REQUEST -> leader.onStatusOutcome(machineName, outcome, heartbeat);
--- a/src/test/java/io/kelphoist/failover/ElectedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ElectedLeadership.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Three controllers elect the leader, see {@link ElectionSimulation}. */
+/** Leaders that three controllers elect in an {@link ElectionSimulation}. */
 final class ElectedLeadership extends Leadership implements ElectionSimulation.Listener {
     private static final double QUICK_RESTART_SECONDS = 0.1;
     private static final double SLOW_RESTART_SECONDS = 4;
@@ -47,13 +47,13 @@
     }
 
     @Override
-    boolean isRefused(SimulatedLeader leader) {
-        return elections.isRefused(leader.controllerName());
+    boolean isRefusedByStore(SimulatedLeader leader) {
+        return elections.isRefusedByStore(leader.controllerName());
     }
 
     @Override
-    boolean isFrontEndRefused(int frontEnd) {
-        return elections.isRefused(ElectionSimulation.NAMES.get(frontEnd));
+    boolean isFrontEndRefusedByStore(int frontEnd) {
+        return elections.isRefusedByStore(ElectionSimulation.NAMES.get(frontEnd));
     }
 
     @Override
@@ -69,7 +69,7 @@
 
     @Override
     void advance(double seconds) {
-        elections.pass(seconds);
+        elections.advance(seconds);
     }
 
     @Override
@@ -90,14 +90,14 @@
     }
 
     @Override
-    void setLostResponses(int ofTen) {
-        elections.setLostResponses(ofTen);
+    void setLostResponses(int perTen) {
+        elections.setLostResponses(perTen);
     }
 
     @Override
-    void setLeaderRefused(boolean refused) {
+    void setLeaderRefusedByStore(boolean refused) {
         if (refused) {
-            elections.refuseLeader();
+            elections.setLeaderRefusedByStore();
         }
     }
 
--- a/src/test/java/io/kelphoist/failover/HeartbeatChannel.java
+++ b/src/test/java/io/kelphoist/failover/HeartbeatChannel.java
@@ -8,16 +8,23 @@
 import java.util.Optional;
 
 /**
- * Carries heartbeats from workers to the leader and responses back, with copies that arrive up to
- * three leases late, and copies that the next leader receives first of all.
+ * Delivers heartbeats from workers to the leader, and the responses. Copies of some heartbeats
+ * arrive up to three lease durations late; copies of others are the first messages that the next
+ * leader receives.
  */
 final class HeartbeatChannel {
-    private static final int COPIES_ONE_OF = 8;
-    private static final int KEEPS_ONE_OF = 3;
-    private static final int LOSES_ONE_RESPONSE_OF = 3;
+    /** One of this many heartbeats is also delivered as a delayed copy, on average. */
+    private static final int MEAN_HEARTBEATS_PER_COPY = 8;
+
+    /** One of this many heartbeats is kept for the next leader, on average. */
+    private static final int MEAN_HEARTBEATS_PER_KEPT_COPY = 3;
+
+    /** One of this many responses to heartbeats is lost, on average. */
+    private static final int MEAN_RESPONSES_PER_LOSS = 3;
+
     private static final double MAX_COPY_DELAY_SECONDS = 3 * SimulationContext.LEASE_SECONDS;
 
-    /** A copy of a heartbeat, and when it arrives. */
+    /** A copy of a heartbeat and its arrival time. */
     private record DelayedCopy(Heartbeat heartbeat, double atSeconds) {}
 
     private final SimulationContext context;
@@ -26,7 +33,7 @@
     private final AcknowledgedCancellationLog cancellations;
     private final List<DelayedCopy> copies = new ArrayList<>();
     private final List<Heartbeat> keptForNextLeader = new ArrayList<>();
-    private boolean keeping;
+    private boolean keepForNextLeader;
 
     HeartbeatChannel(
             SimulationContext context,
@@ -39,12 +46,12 @@
         this.cancellations = cancellations;
     }
 
-    /** Whether copies of heartbeats are kept for the next leader. */
-    void setKeeping(boolean keeping) {
-        this.keeping = keeping;
+    /** Sets whether copies of heartbeats are kept for the next leader. */
+    void setKeepForNextLeader(boolean keep) {
+        this.keepForNextLeader = keep;
     }
 
-    /** The new leader receives the kept copies. */
+    /** Delivers the kept copies to the new leader. */
     void deliverKept(SimulatedLeader leader) {
         context.counters().add(Counter.HEARTBEATS_KEPT_FOR_NEXT_LEADER, keptForNextLeader.size());
         keptForNextLeader.forEach(leader::onHeartbeatCopy);
@@ -59,7 +66,7 @@
                 context.counters().increment(Counter.HEARTBEAT_COPIES_DELIVERED);
                 leadership
                         .actingLeader()
-                        .filter(leader -> leader.isLoaded() && leader.acceptsHeartbeats())
+                        .filter(leader -> leader.areRecordsLoaded() && leader.acceptsHeartbeats())
                         .ifPresent(leader -> deliverCopy(copy.heartbeat(), leader));
             }
         }
@@ -83,14 +90,14 @@
     }
 
     private void sendHeartbeat(SimulatedWorker worker) {
-        Optional<SimulatedLeader> acting =
+        Optional<SimulatedLeader> actingLeader =
                 leadership.actingLeader().filter(SimulatedLeader::acceptsHeartbeats);
-        if (acting.isEmpty()) {
+        if (actingLeader.isEmpty()) {
             return;
         }
-        SimulatedLeader leader = acting.get();
+        SimulatedLeader leader = actingLeader.get();
         Heartbeat heartbeat = worker.createHeartbeat();
-        if (!leader.isLoaded()) {
+        if (!leader.areRecordsLoaded()) {
             renewLeaseOnly(worker, heartbeat, leader);
             return;
         }
@@ -102,14 +109,17 @@
         List<WorkerCommand> commands = leader.onHeartbeat(heartbeat);
         if (commands != null
                 && !worker.isInboundBlocked()
-                && (context.haveFaultsEnded()
-                        || context.random().nextInt(LOSES_ONE_RESPONSE_OF) > 0)
+                && (context.areRandomFaultsDisabled()
+                        || context.random().nextInt(MEAN_RESPONSES_PER_LOSS) > 0)
                 && worker.execute(leader.term(), commands)) {
             worker.renewLease(context.nowSeconds());
         }
     }
 
-    /** A leader that has not loaded its records renews leases and processes nothing. */
+    /**
+     * A leader that has not loaded its records renews worker leases but does not process
+     * heartbeats. Leases of workers with a task of a cancelled job are not renewed.
+     */
     private void renewLeaseOnly(
             SimulatedWorker worker, Heartbeat heartbeat, SimulatedLeader leader) {
         boolean runsCancelledJob =
@@ -123,11 +133,11 @@
     }
 
     private void duplicate(Heartbeat heartbeat) {
-        if (context.random().nextInt(COPIES_ONE_OF) == 0) {
+        if (context.random().nextInt(MEAN_HEARTBEATS_PER_COPY) == 0) {
             double delay = context.random().nextDouble() * MAX_COPY_DELAY_SECONDS;
             copies.add(new DelayedCopy(heartbeat, context.nowSeconds() + delay));
         }
-        if (keeping && context.random().nextInt(KEEPS_ONE_OF) == 0) {
+        if (keepForNextLeader && context.random().nextInt(MEAN_HEARTBEATS_PER_KEPT_COPY) == 0) {
             keptForNextLeader.add(heartbeat);
         }
     }
--- a/src/test/java/io/kelphoist/failover/ReplicaHandover.java
+++ b/src/test/java/io/kelphoist/failover/ReplicaHandover.java
@@ -5,12 +5,14 @@
 import io.kelphoist.replication.MachineStateReplica;
 import java.util.Random;
 
-/** Replicates machines from the leader to a follower, and hands them to the next leader. */
+/**
+ * Replicates machines from the leader to a follower, and applies the replica to the next leader.
+ */
 final class ReplicaHandover {
     private static final String FOLLOWER = "f";
 
-    /** One of so many updates, and of corrupted machines, is lost. */
-    private static final int LOSES_ONE_OF = 4;
+    /** One of this many updates, and of corrupted machines, is lost on average. */
+    private static final int MEAN_UPDATES_PER_LOSS = 4;
 
     private final SimulationContext context;
     private final SimulatedFleet fleet;
@@ -26,7 +28,7 @@
         MachineStatePublisher publisher = leader.machineStatePublisher();
         double now = context.nowSeconds();
         MachineStatePublisher.MachineStateUpdate update = publisher.nextUpdate(FOLLOWER, now);
-        if (context.random().nextInt(LOSES_ONE_OF) > 0) {
+        if (context.random().nextInt(MEAN_UPDATES_PER_LOSS) > 0) {
             replica.apply(leader.term(), update, now);
             publisher.onAcknowledgement(
                     FOLLOWER,
@@ -35,6 +37,7 @@
         }
     }
 
+    /** Applies the replica to a new leader as it is, corrupted, or not at all. */
     void handOverTo(SimulatedLeader leader, Leadership.Handover handover) {
         switch (handover) {
             case NOTHING -> {}
@@ -44,7 +47,7 @@
             }
             case CORRUPTED_REPLICA -> {
                 for (ReplicatedMachine machine : replica.machines()) {
-                    if (context.random().nextInt(LOSES_ONE_OF) > 0) {
+                    if (context.random().nextInt(MEAN_UPDATES_PER_LOSS) > 0) {
                         leader.onReplicatedMachine(corrupt(machine));
                     }
                 }
--- a/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 
-/** The leader changes when the test says so: the newest term leads. */
+/** Changes the leader when the test requests it. The leader of the newest term leads. */
 final class ScriptedLeadership extends Leadership {
     private boolean leaderRefused;
 
@@ -21,13 +21,13 @@
     }
 
     @Override
-    boolean isRefused(SimulatedLeader leader) {
+    boolean isRefusedByStore(SimulatedLeader leader) {
         return leaderRefused && isLeading(leader);
     }
 
     /** The first front end runs in the leader's process. */
     @Override
-    boolean isFrontEndRefused(int frontEnd) {
+    boolean isFrontEndRefusedByStore(int frontEnd) {
         return leaderRefused && frontEnd == 0;
     }
 
@@ -36,7 +36,7 @@
         setHandover(handover);
         SimulatedStateStore stateStore = dependencies().stateStore();
         if (stateStore.store().faults().isDown()) {
-            // Nobody can acquire leadership.
+            // No controller can acquire the leader key during an outage of the state store.
             return;
         }
         leaderRefused = false;
@@ -45,7 +45,7 @@
         SimulatedLeader leader = new SimulatedLeader(dependencies(), this, term, null);
         leader.loadRecords();
         addLeader(leader);
-        onLoaded(leader);
+        onRecordsLoaded(leader);
     }
 
     @Override
@@ -63,10 +63,10 @@
     void setStateStoreDown(boolean down) {}
 
     @Override
-    void setLostResponses(int ofTen) {}
+    void setLostResponses(int perTen) {}
 
     @Override
-    void setLeaderRefused(boolean refused) {
+    void setLeaderRefusedByStore(boolean refused) {
         leaderRefused = refused;
     }
 
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -25,7 +25,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** One leader's term: the scheduler's state, its failover checks and its record store. */
+/** The term of one leader: the scheduler's state, the failover and the record store. */
 final class SimulatedLeader {
     static final MachineType MACHINE_TYPE =
             new MachineType("m", new Resources(8, 2, 64), 50, 1, 8, 3, 25, List.of("a"));
@@ -33,18 +33,23 @@
     private static final double HEARTBEAT_ROUND_SECONDS =
             1.25 * SimulationContext.HEARTBEAT_INTERVAL_SECONDS;
 
-    /** Leaders that decide earlier did not wait for a full heartbeat round. */
+    /**
+     * A leader whose first decision is earlier than this did not wait for a full heartbeat round.
+     */
     private static final double QUICK_FAILOVER_SECONDS = HEARTBEAT_ROUND_SECONDS - 0.2;
 
     private static final int MAX_VALUE_BYTES = 600;
 
-    /** A leader reads changes, and acknowledged cancellations, in one of so many steps. */
-    private static final int LEARNS_ONE_OF = 4;
+    /**
+     * A leader reads changes, and receives acknowledged cancellations, in one of this many steps on
+     * average.
+     */
+    private static final int MEAN_STEPS_PER_READ = 4;
 
     /**
-     * What leaders work with.
+     * The parts of the simulation that all leaders share.
      *
-     * @param maxStatusRequests status requests that a leader may have open at a time
+     * @param maxStatusRequests maximum number of status requests without a response
      */
     record Dependencies(
             SimulationContext context,
@@ -68,14 +73,16 @@
     private final LeaderOutput output;
     private final MachineStatePublisher machineStatePublisher = new MachineStatePublisher();
     private long readRevision;
-    private int knownCancellations;
-    private boolean loaded;
+    private int receivedCancellations;
+    private boolean recordsLoaded;
     private double listedAtSeconds;
     private double frozenUntilSeconds;
     private double firstDecisionAfterSeconds = Double.NaN;
 
     /**
-     * @param controllerName null: the run has no elections
+     * Starts a term.
+     *
+     * @param controllerName the controller that was elected; null in a run without elections
      */
     SimulatedLeader(
             Dependencies dependencies, Leadership leadership, long term, String controllerName) {
@@ -109,7 +116,7 @@
 
     private TermRecordStore createRecordStore() {
         SimulatedStateStore stateStore = dependencies.stateStore();
-        StateStoreSimulation.View view = stateStore.store().seenBy(this::isRefused);
+        StateStoreSimulation.View view = stateStore.store().seenBy(this::isRefusedByStore);
         return new TermRecordStore(
                 view,
                 new TermRecordWriter(
@@ -151,31 +158,36 @@
         return term;
     }
 
-    /** Null: the run has no elections. */
+    /** Returns the controller that was elected; null in a run without elections. */
     String controllerName() {
         return controllerName;
     }
 
-    boolean isLoaded() {
-        return loaded;
+    boolean areRecordsLoaded() {
+        return recordsLoaded;
     }
 
-    /** It processes heartbeats: its process is not frozen, and it has seen no newer term. */
+    /**
+     * Whether it processes heartbeats: its process is not frozen, and it has not seen a newer term.
+     */
     boolean acceptsHeartbeats() {
         return context.nowSeconds() >= frozenUntilSeconds && !schedulerState.isDeposed();
     }
 
-    /** When it last could learn of a machine that sends no heartbeats. */
+    /**
+     * Returns when it last received the instance list, which contains machines whose heartbeats are
+     * lost too.
+     */
     double listedAtSeconds() {
         return listedAtSeconds;
     }
 
-    /** Seconds from its election to its first decision; NaN: it has not decided yet. */
+    /** Returns the seconds from its election to its first decision; NaN before that. */
     double firstDecisionAfterSeconds() {
         return firstDecisionAfterSeconds;
     }
 
-    boolean knowsMachine(String name) {
+    boolean hasMachine(String name) {
         return schedulerState.machines().stream().anyMatch(machine -> machine.name().equals(name));
     }
 
@@ -183,7 +195,7 @@
         return machineStatePublisher;
     }
 
-    /** Its process is paused and then continues as if no time had passed. */
+    /** Pauses its process until the given time. It then continues in the state before the pause. */
     void freezeUntil(double atSeconds) {
         frozenUntilSeconds = atSeconds;
     }
@@ -192,9 +204,9 @@
         recordStore.close();
     }
 
-    /** Entries of the log of acknowledged cancellations that it has received. */
-    int knownCancellations() {
-        return knownCancellations;
+    /** Returns how many entries of the log of acknowledged cancellations it has received. */
+    int receivedCancellations() {
+        return receivedCancellations;
     }
 
     private void requestStatus(Machine machine, long agentEpoch) {
@@ -205,20 +217,20 @@
         return leadership.isLeading(this);
     }
 
-    private boolean isRefused() {
-        return leadership.isRefused(this);
+    private boolean isRefusedByStore() {
+        return leadership.isRefusedByStore(this);
     }
 
     private boolean canReadStateStore() {
-        return !dependencies.stateStore().store().faults().isDown() && !isRefused();
+        return !dependencies.stateStore().store().faults().isDown() && !isRefusedByStore();
     }
 
     // ---- time ----
 
     void loadRecords() {
         SimulatedStateStore stateStore = dependencies.stateStore();
-        loaded = true;
-        knownCancellations = dependencies.cancellations().size();
+        recordsLoaded = true;
+        receivedCancellations = dependencies.cancellations().size();
         recordStore.loadRecords(
                 schedulerState, stateStore.loadRecords(), (peer, startsAtSeconds) -> {});
         readRevision = stateStore.store().revision();
@@ -227,14 +239,15 @@
     }
 
     void tick() {
-        // A leader whose lease and grants have expired must not act; what it sent may still arrive.
+        // A leader whose lease and grants have expired must not act. Its earlier commands may still
+        // arrive.
         if (!acceptsHeartbeats() || !isLeading()) {
             return;
         }
-        if (!loaded) {
+        if (!recordsLoaded) {
             if (canReadStateStore()) {
                 loadRecords();
-                leadership.onLoaded(this);
+                leadership.onRecordsLoaded(this);
             }
             return;
         }
@@ -251,24 +264,24 @@
     }
 
     /**
-     * Reads stored changes, and cancellations that front ends acknowledged, which it receives also
-     * while the state store is unreachable.
+     * Reads changed jobs from the state store, and receives the cancellations that front ends
+     * acknowledged. It receives the latter even while the state store is unreachable.
      */
-    void learn() {
-        if (context.nowSeconds() < frozenUntilSeconds || !isLeading() || !loaded) {
+    void readChanges() {
+        if (context.nowSeconds() < frozenUntilSeconds || !isLeading() || !recordsLoaded) {
             return;
         }
-        if (canReadStateStore() && context.random().nextInt(LEARNS_ONE_OF) == 0) {
+        if (canReadStateStore() && context.random().nextInt(MEAN_STEPS_PER_READ) == 0) {
             dependencies
                     .stateStore()
                     .jobsChangedSince(readRevision)
                     .forEach(recordStore::applyJobRecord);
             readRevision = dependencies.stateStore().store().revision();
         }
-        if (context.random().nextInt(LEARNS_ONE_OF) == 0) {
-            List<String> cancelled = dependencies.cancellations().from(knownCancellations);
+        if (context.random().nextInt(MEAN_STEPS_PER_READ) == 0) {
+            List<String> cancelled = dependencies.cancellations().from(receivedCancellations);
             cancelled.forEach(this::onAcknowledgedCancellation);
-            knownCancellations += cancelled.size();
+            receivedCancellations += cancelled.size();
         }
     }
 
@@ -279,12 +292,12 @@
 
     // ---- input ----
 
-    /** Null: the heartbeat is refused. */
+    /** Returns the commands in the response; null if the heartbeat is refused. */
     List<WorkerCommand> onHeartbeat(Heartbeat heartbeat) {
         return schedulerState.onHeartbeat(heartbeat, "", context.nowSeconds());
     }
 
-    /** A copy arrives over another path than the worker's own connection. */
+    /** Processes a copy of a heartbeat, which did not arrive over the worker's own connection. */
     void onHeartbeatCopy(Heartbeat heartbeat) {
         schedulerState.onHeartbeat(heartbeat, "copy", context.nowSeconds());
     }
@@ -318,7 +331,7 @@
     void onStatusOutcome(String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
         schedulerState.onStatusRequestOutcome(
                 machineName, outcome, heartbeat, context.nowSeconds());
-        failover.onResponse(machineName, outcome, heartbeat);
+        failover.onStatusRequestOutcome(machineName, outcome, heartbeat);
     }
 
     void onProbeOutcome(String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -18,14 +18,17 @@
 import java.util.function.Consumer;
 
 /**
- * Users who submit, cancel and query jobs at three front ends, and remember the responses. Requests
- * are numbered: the number selects the front end and the job.
+ * Users who submit, cancel and query jobs at three front ends. The newest response about each job
+ * is recorded. The number of a request selects the front end and the job.
  */
 final class SimulatedUsers {
     private static final int FRONT_ENDS = 3;
     private static final int MAX_VALUE_KILOBYTES = 4;
+
+    /** Delay before a request is sent again that must be retried later. */
     private static final double RETRY_SECONDS = 1;
 
+    /** A request that can be sent to any front end. */
     private interface Request {
         void send(Admission frontEnd, Consumer<AdmissionResult> onResponse);
     }
@@ -38,11 +41,15 @@
     private final StateStoreSimulation timer;
     private final List<Admission> frontEnds = new ArrayList<>();
 
-    /** The newest phase that a user was answered, by job; a final one stays. */
-    private final Map<String, AdmissionResult.Phase> answeredPhases = new HashMap<>();
+    /**
+     * The newest phase that a response to a user contained, by job. A final phase is not replaced.
+     */
+    private final Map<String, AdmissionResult.Phase> acknowledgedPhases = new HashMap<>();
 
     /**
-     * @param leadership says which front end the state store refuses
+     * Creates the front ends.
+     *
+     * @param leadership determines which front ends the state store refuses
      */
     SimulatedUsers(
             SimulatedLeader.Dependencies dependencies,
@@ -58,7 +65,7 @@
         for (int i = 0; i < FRONT_ENDS; i++) {
             int number = i;
             StateStoreSimulation.View view =
-                    timer.seenBy(() -> leadership.isFrontEndRefused(number));
+                    timer.seenBy(() -> leadership.isFrontEndRefusedByStore(number));
             frontEnds.add(createFrontEnd(dependencies, view));
         }
     }
@@ -78,11 +85,11 @@
                 () -> 0,
                 new FixedMachineTypes(List.of(SimulatedLeader.MACHINE_TYPE)),
                 settings,
-                this::onResponseDue);
+                this::beforeResponse);
     }
 
-    /** Notes a cancellation before the user is answered. */
-    private void onResponseDue(JobRecord job) {
+    /** Adds a cancellation to the log before the response is sent to the user. */
+    private void beforeResponse(JobRecord job) {
         if (job.status() == JobStatus.CANCELLED
                 && cancellations.add(job.id(), context.nowSeconds())) {
             context.counters().increment(Counter.JOBS_CANCELLED);
@@ -91,19 +98,19 @@
 
     void cancel(int number) {
         String jobId = jobOf(number);
-        frontEnds.get(number % FRONT_ENDS).cancel(jobId, rememberResponse(jobId));
+        frontEnds.get(number % FRONT_ENDS).cancel(jobId, checkAndRecordResponse(jobId));
     }
 
     void query(int number) {
         String jobId = jobOf(number);
-        frontEnds.get(number % FRONT_ENDS).query(jobId, rememberResponse(jobId));
+        frontEnds.get(number % FRONT_ENDS).query(jobId, checkAndRecordResponse(jobId));
     }
 
     private String jobOf(int number) {
         return "job-" + number / FRONT_ENDS % jobs.size();
     }
 
-    /** A user queries one job twice at all front ends within milliseconds. */
+    /** A user queries one job twice at each front end within milliseconds. */
     void queryInBurst(int number) {
         for (int i = 0; i < 2 * FRONT_ENDS; i++) {
             int frontEnd = i % FRONT_ENDS;
@@ -112,22 +119,22 @@
         context.counters().increment(Counter.QUERY_BURSTS);
     }
 
-    /** Checks the response against earlier ones and remembers it. */
-    private Consumer<AdmissionResult> rememberResponse(String jobId) {
-        AdmissionResult.Phase before = answeredPhases.get(jobId);
+    /** Returns a handler that checks the response against earlier ones and records it. */
+    private Consumer<AdmissionResult> checkAndRecordResponse(String jobId) {
+        AdmissionResult.Phase before = acknowledgedPhases.get(jobId);
         return response -> {
             if (response instanceof AdmissionResult.RetryLater) {
                 context.counters().increment(Counter.RETRY_LATER_RESPONSES);
                 return;
             }
             AdmissionResult.Phase phase = checker.checkResponse(jobId, before, response);
-            answeredPhases.merge(
+            acknowledgedPhases.merge(
                     jobId, phase, (previous, next) -> previous.isFinal() ? previous : next);
         };
     }
 
     /**
-     * A user submits a job of one task, again until it is accepted, and cancels it after a while
+     * A user submits a job of one task, retries until it is accepted, and cancels it after a delay
      * unless that is infinite.
      */
     void submit(int number, Priority priority, double durationSeconds, double cancelAfterSeconds) {
@@ -136,12 +143,12 @@
         JobSpec job = SimulatedJobs.createSubmittedJob(id, priority, durationSeconds);
         Runnable cancel =
                 () ->
-                        sendUntilAnswered(
+                        sendWithRetries(
                                 number + 1,
                                 (frontEnd, onResponse) -> frontEnd.cancel(id, onResponse),
                                 id,
                                 () -> {});
-        sendUntilAnswered(
+        sendWithRetries(
                 number,
                 (frontEnd, onResponse) -> frontEnd.submit(job, onResponse),
                 id,
@@ -153,47 +160,51 @@
                 });
     }
 
-    private void sendUntilAnswered(int number, Request request, String jobId, Runnable then) {
-        Consumer<AdmissionResult> remember = rememberResponse(jobId);
-        // The first front end shares its write limit with the leader.
+    /** Sends a request, and again to the next front end while the response is to retry later. */
+    private void sendWithRetries(int number, Request request, String jobId, Runnable onDone) {
+        Consumer<AdmissionResult> responseHandler = checkAndRecordResponse(jobId);
+        // The first front end is not used: it shares its write limit with the leader.
         Admission frontEnd = frontEnds.get(1 + number % (FRONT_ENDS - 1));
         request.send(
                 frontEnd,
                 response -> {
-                    remember.accept(
+                    responseHandler.accept(
                             response instanceof AdmissionResult.Accepted accepted
                                     ? new AdmissionResult.Found(accepted.job())
                                     : response);
                     if (response instanceof AdmissionResult.RetryLater) {
                         timer.schedule(
                                 RETRY_SECONDS,
-                                () -> sendUntilAnswered(number + 1, request, jobId, then));
+                                () -> sendWithRetries(number + 1, request, jobId, onDone));
                     } else {
-                        then.run();
+                        onDone.run();
                     }
                 });
     }
 
-    /** Every job is known to a user who queries it twice, at any front end. */
-    void checkAllJobsKnown() {
+    /**
+     * Queries every job twice at each front end. The second query must find the job, even if the
+     * response to the first one was to retry later.
+     */
+    void checkAllJobsFound() {
         Map<String, AdmissionResult> responses = new HashMap<>();
         for (int round = 0; round < 2; round++) {
             for (String jobId : jobs.ids()) {
                 for (int i = 0; i < FRONT_ENDS; i++) {
-                    String request = jobId + " at front end " + i;
-                    Consumer<AdmissionResult> remember = rememberResponse(jobId);
+                    String request = jobId + " frontEnd=" + i;
+                    Consumer<AdmissionResult> responseHandler = checkAndRecordResponse(jobId);
                     frontEnds
                             .get(i)
                             .query(
                                     jobId,
                                     response -> {
                                         responses.put(request, response);
-                                        remember.accept(response);
+                                        responseHandler.accept(response);
                                     });
                 }
             }
             timer.pass(5);
         }
-        checker.checkFinalResponses(responses, jobs.size() * FRONT_ENDS);
+        checker.checkResponsesAtEnd(responses, jobs.size() * FRONT_ENDS);
     }
 }
