--- a/src/main/java/io/kelphoist/controller/ControllerMetrics.java
+++ b/src/main/java/io/kelphoist/controller/ControllerMetrics.java
@@ -161,7 +161,7 @@
         registerGauge(
                 "kelphoist.swept",
                 "Jobs and tasks that reconciliation found missing in this term, on the leader",
-                c -> schedulerValue(c, SchedulerState::reconciledCount));
+                c -> schedulerValue(c, SchedulerState::repairCount));
     }
 
     private void registerMachineMetrics() {
--- a/src/main/java/io/kelphoist/leadership/TermRecordStore.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordStore.java
@@ -96,7 +96,7 @@
                             delegationLoaded.accept(peer, delegation.value());
                         });
         loadImageHints();
-        target.onLoaded(eventLoop.nowSeconds());
+        target.onRecordsLoaded(eventLoop.nowSeconds());
     }
 
     private void loadProgressPage(int page, RecordReplica.Versioned<List<TaskProgress>> stored) {
@@ -210,7 +210,7 @@
     public void storeImages(int page, List<Machine> machines) {
         writer.writeLeaderRecord(
                 RecordCodec.encodeImages(
-                        page, machines.stream().map(schedulerState::imagesOn).toList()),
+                        page, machines.stream().map(schedulerState::cachedImages).toList()),
                 GroupCommitter.Urgency.NORMAL,
                 outcome -> schedulerState.onImagesStored(page, outcome));
     }
--- a/src/main/java/io/kelphoist/scheduler/SchedulerParts.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerParts.java
@@ -14,7 +14,7 @@
 import io.kelphoist.scheduler.heartbeats.DeliveryOutcomeHandler;
 import io.kelphoist.scheduler.heartbeats.HeartbeatApplier;
 import io.kelphoist.scheduler.heartbeats.HeartbeatHandler;
-import io.kelphoist.scheduler.heartbeats.HeartbeatSenders;
+import io.kelphoist.scheduler.heartbeats.HeartbeatSenderResolver;
 import io.kelphoist.scheduler.heartbeats.MachineProber;
 import io.kelphoist.scheduler.heartbeats.TaskAttemptHandler;
 import io.kelphoist.scheduler.images.ImageCatalog;
@@ -50,7 +50,7 @@
     final JobReconciler jobReconciler;
     final QueueWaitTracker queueWaitTracker;
     final StateRecovery stateRecovery;
-    final HeartbeatSenders heartbeatSenders;
+    final HeartbeatSenderResolver heartbeatSenders;
     final HeartbeatHandler heartbeatHandler;
     final DeliveryOutcomeHandler deliveryOutcomeHandler;
     final LeaseMonitor leaseMonitor;
@@ -85,7 +85,7 @@
         queueWaitTracker = new QueueWaitTracker(jobs);
         stateRecovery = new StateRecovery(context, records);
         BootTimeEstimator bootTimeEstimator = new BootTimeEstimator();
-        heartbeatSenders = new HeartbeatSenders(term, catalog, context.machines());
+        heartbeatSenders = new HeartbeatSenderResolver(term, catalog, context.machines());
         MachineProber prober = new MachineProber(promotionGate, output);
         HeartbeatApplier applier = createHeartbeatApplier(bootTimeEstimator);
         heartbeatHandler =
--- a/src/main/java/io/kelphoist/scheduler/SchedulerState.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerState.java
@@ -120,12 +120,12 @@
     }
 
     /** How many jobs and tasks {@link #reconcileJobs} found lost so far. */
-    public long reconciledCount() {
+    public long repairCount() {
         return parts.jobReconciler.repairCount();
     }
 
     /** What a machine should have cached, as it is stored. */
-    public CachedImages imagesOn(Machine machine) {
+    public CachedImages cachedImages(Machine machine) {
         return parts.imageCatalog.describeCached(machine.name(), machine.images().cached());
     }
 
@@ -160,12 +160,12 @@
     }
 
     /**
-     * Compares the jobs with their records, see {@link JobReconciler#run}. Returns the records that
-     * are to be passed to {@link #onJobRecord} again.
+     * Compares the jobs with their records, see {@link JobReconciler#reconcile}. Returns the
+     * records that are to be passed to {@link #onJobRecord} again.
      */
     public List<JobRecord> reconcileJobs(
             Collection<JobRecord> unfinished, double knownUntilSeconds, double nowSeconds) {
-        return parts.jobReconciler.run(unfinished, knownUntilSeconds, nowSeconds);
+        return parts.jobReconciler.reconcile(unfinished, knownUntilSeconds, nowSeconds);
     }
 
     // ---- records of earlier terms, and their writes ----
@@ -194,11 +194,11 @@
      * All records were read. Heartbeats that came meanwhile were answered without being applied, so
      * each machine may have been answered until now.
      */
-    public void onLoaded(double nowSeconds) {
+    public void onRecordsLoaded(double nowSeconds) {
         for (Machine machine : machines.all()) {
             machine.contact().onPossiblyAnswered(nowSeconds);
         }
-        parts.jobRecordHandler.onLoaded();
+        parts.jobRecordHandler.onRecordsLoaded();
     }
 
     /** The outcome of {@link SchedulerOutput#storeProgress}. */
@@ -315,7 +315,7 @@
             parts.autoscaler.scaleToDemand(parts.allocator.unplacedJobs(), nowSeconds);
             parts.queueWaitTracker.run(parts.allocator.unplacedJobs(), nowSeconds);
         }
-        parts.jobDependencies.run(nowSeconds);
+        parts.jobDependencies.sendDueRequests(nowSeconds);
         parts.records.writeDuePages(nowSeconds);
         parts.commandDispatcher.sendPending(nowSeconds);
     }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/DeliveryOutcomeHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/DeliveryOutcomeHandler.java
@@ -14,7 +14,7 @@
 public final class DeliveryOutcomeHandler {
     private final long term;
     private final MachineRegistry machines;
-    private final HeartbeatSenders senders;
+    private final HeartbeatSenderResolver senders;
     private final HeartbeatApplier applier;
     private final MachineProber prober;
     private final MachineLifecycle machineLifecycle;
@@ -22,7 +22,7 @@
     /** Creates the handler of a term. */
     public DeliveryOutcomeHandler(
             SchedulerContext context,
-            HeartbeatSenders senders,
+            HeartbeatSenderResolver senders,
             HeartbeatApplier applier,
             MachineProber prober) {
         this.term = context.term();
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
@@ -15,7 +15,7 @@
 public final class HeartbeatHandler {
     private final long term;
     private final double leaseSeconds;
-    private final HeartbeatSenders senders;
+    private final HeartbeatSenderResolver senders;
     private final HeartbeatApplier applier;
     private final MachineProber prober;
     private final JobRegistry jobs;
@@ -24,7 +24,7 @@
     public HeartbeatHandler(
             long term,
             double leaseSeconds,
-            HeartbeatSenders senders,
+            HeartbeatSenderResolver senders,
             HeartbeatApplier applier,
             MachineProber prober,
             JobRegistry jobs) {
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenders.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenderResolver.java
@@ -13,8 +13,8 @@
  * Finds the machine whose worker sent a message, and adopts machines that are not known yet. Owns
  * whether this leader was deposed: whether a worker has seen a newer term.
  */
-public final class HeartbeatSenders {
-    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatSenders.class);
+public final class HeartbeatSenderResolver {
+    private static final Logger LOG = LoggerFactory.getLogger(HeartbeatSenderResolver.class);
 
     private final long term;
     private final MachineCatalog catalog;
@@ -22,7 +22,7 @@
     private boolean deposed;
 
     /** Creates the senders of a term's heartbeats. */
-    public HeartbeatSenders(long term, MachineCatalog catalog, MachineRegistry machines) {
+    public HeartbeatSenderResolver(long term, MachineCatalog catalog, MachineRegistry machines) {
         this.term = term;
         this.catalog = catalog;
         this.machines = machines;
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/package-info.java
@@ -6,8 +6,8 @@
  * and {@link io.kelphoist.scheduler.heartbeats.TaskAttemptHandler} handles the status of each.
  *
  * <p>Owns whether a newer term was seen ({@link
- * io.kelphoist.scheduler.heartbeats.HeartbeatSenders}); all else that it changes belongs to {@code
- * cluster} and {@code lifecycle}. Must not depend on what places tasks or scales, except for the
- * boot times that it reports to {@code autoscaling}.
+ * io.kelphoist.scheduler.heartbeats.HeartbeatSenderResolver}); all else that it changes belongs to
+ * {@code cluster} and {@code lifecycle}. Must not depend on what places tasks or scales, except for
+ * the boot times that it reports to {@code autoscaling}.
  */
 package io.kelphoist.scheduler.heartbeats;
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
@@ -236,7 +236,7 @@
     // ---- requests to the state service ----
 
     /** Has cancellations stored, and reads records that are missing. */
-    public void run(double nowSeconds) {
+    public void sendDueRequests(double nowSeconds) {
         for (Job job : cancellingJobs) {
             if (cancellationsInFlight >= MAX_IN_FLIGHT) {
                 break;
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobReconciler.java
@@ -47,7 +47,7 @@
      *     again.
      * @return the records of lost jobs, to be applied again
      */
-    public List<JobRecord> run(
+    public List<JobRecord> reconcile(
             Collection<JobRecord> unfinished, double knownUntilSeconds, double nowSeconds) {
         jobs.all().forEach(job -> requeueLostTasks(job, nowSeconds));
         List<JobRecord> lostRecords = new ArrayList<>();
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
@@ -46,7 +46,7 @@
     }
 
     /** All records of earlier terms have been read. */
-    public void onLoaded() {
+    public void onRecordsLoaded() {
         loading = false;
         jobs.removeCancelledWithoutAttempts();
     }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
@@ -69,7 +69,7 @@
             machine.hold().end();
             attempts.onAllGone(machine, nowSeconds);
             startIntentLog.onNothingRunning(machine);
-            imageRecords.onMachineGone(machine);
+            imageRecords.onMachineTerminated(machine);
             machine.images().clear();
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
@@ -80,7 +80,7 @@
     }
 
     /** Removes a machine that is terminated. */
-    public void onMachineGone(Machine machine) {
+    public void onMachineTerminated(Machine machine) {
         pages.remove(machine);
     }
 
--- a/src/main/java/io/kelphoist/scheduler/spi/SchedulerOutput.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/SchedulerOutput.java
@@ -52,7 +52,7 @@
     void storeStarts(int page, List<TaskAttempt> attempts);
 
     /**
-     * Stores a page of what machines should have cached, see {@code SchedulerState.imagesOn};
+     * Stores a page of what machines should have cached, see {@code SchedulerState.cachedImages};
      * outcome: {@code SchedulerState.onImagesStored}.
      */
     void storeImages(int page, List<Machine> machines);
--- a/src/test/java/io/kelphoist/contract/StoredRecordsContractTest.java
+++ b/src/test/java/io/kelphoist/contract/StoredRecordsContractTest.java
@@ -14,7 +14,7 @@
 import io.kelphoist.model.RecordedStart;
 import io.kelphoist.model.TaskProgress;
 import io.kelphoist.model.TaskRef;
-import io.kelphoist.scheduler.RecordedStarts;
+import io.kelphoist.scheduler.TaskAttemptFixture;
 import io.kelphoist.scheduler.cluster.Machine;
 import io.kelphoist.scheduler.cluster.TaskAttempt;
 import io.kelphoist.statestore.protocol.RecordCodec;
@@ -206,15 +206,15 @@
         @Test
         void startsAreEncodedByMachineAndDecoded() throws MalformedMessageException {
             // given
-            Machine spot = RecordedStarts.machine("vm-000231", 0, true);
-            Machine ordinary = RecordedStarts.machine("vm-000232", 1, false);
+            Machine spot = TaskAttemptFixture.createMachine("vm-000231", 0, true);
+            Machine ordinary = TaskAttemptFixture.createMachine("vm-000232", 1, false);
             JobSpec gang = SampleJobs.gangWithEveryField();
             JobSpec array = SampleJobs.arrayWithoutOptionalFields();
             List<TaskAttempt> placements =
                     List.of(
-                            RecordedStarts.placement(gang, 3, spot),
-                            RecordedStarts.placement(array, 0, ordinary),
-                            RecordedStarts.placement(array, 99_999, spot));
+                            TaskAttemptFixture.createAttempt(gang, 3, spot),
+                            TaskAttemptFixture.createAttempt(array, 0, ordinary),
+                            TaskAttemptFixture.createAttempt(array, 99_999, spot));
             // when
             GoldenFiles.assertCborMessage(
                     "records/starts",
--- a/src/test/java/io/kelphoist/scheduler/ScenarioJobs.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioJobs.java
@@ -46,7 +46,7 @@
         commands.put("loaded-starts", this::loadStarts);
         commands.put(
                 "records-loaded",
-                line -> scenario.schedulerState().onLoaded(scenario.nowSeconds()));
+                line -> scenario.schedulerState().onRecordsLoaded(scenario.nowSeconds()));
         commands.put("loaded-images", this::loadImages);
         commands.put("loaded-progress", this::loadProgress);
         commands.put("reconcile-jobs", this::reconcileJobs);
--- a/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
@@ -229,14 +229,15 @@
     public void storeImages(int page, List<Machine> machines) {
         writes++;
         if (machines.size() >= 2) {
-            List<CachedImages> images = machines.stream().map(schedulerState::imagesOn).toList();
+            List<CachedImages> images =
+                    machines.stream().map(schedulerState::cachedImages).toList();
             byte[] value = MessageEncoding.encodeJson(RecordCodec.encodeImages(0, images).value());
             maxImageBytes = Math.max(maxImageBytes, value.length);
         }
         for (Machine machine : machines) {
             recordedImages.put(
                     machine.name(),
-                    schedulerState.imagesOn(machine).images().stream()
+                    schedulerState.cachedImages(machine).images().stream()
                             .map(CachedImages.Image::name)
                             .collect(Collectors.joining(",")));
         }
--- a/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
+++ b/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
@@ -308,7 +308,7 @@
         pages.forEach(
                 (page, starts) ->
                         starts.forEach(start -> schedulerState.onStartLoaded(page, start, now)));
-        schedulerState.onLoaded(0);
+        schedulerState.onRecordsLoaded(0);
         sendHeartbeats(2);
         now += 1.3 * HEARTBEAT_SECONDS;
         schedulerState.tick(now);
--- a/src/test/java/io/kelphoist/scheduler/RecordedStarts.java
+++ b/src/test/java/io/kelphoist/scheduler/TaskAttemptFixture.java
@@ -15,19 +15,19 @@
 import java.util.List;
 
 /** Makes placements of tasks on machines, for tests in other packages. */
-public final class RecordedStarts {
+public final class TaskAttemptFixture {
     private static final MachineType TYPE =
             new MachineType(
                     "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, 45, List.of("a", "b"));
 
-    private RecordedStarts() {}
+    private TaskAttemptFixture() {}
 
-    public static Machine machine(String name, int zone, boolean spot) {
+    public static Machine createMachine(String name, int zone, boolean spot) {
         return new Machine(
                 new MachineIdentity(name, TYPE, zone, spot), "10.0.0.1:9000", Machine.State.UP, 0);
     }
 
-    public static TaskAttempt placement(JobSpec spec, int task, Machine machine) {
+    public static TaskAttempt createAttempt(JobSpec spec, int task, Machine machine) {
         NameIndex zones = new NameIndex();
         zones.getOrAssign("a");
         zones.getOrAssign("b");
