--- a/src/main/java/io/kelphoist/scheduler/SchedulerParts.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerParts.java
@@ -50,7 +50,7 @@
     final JobReconciler jobReconciler;
     final QueueWaitTracker queueWaitTracker;
     final StateRecovery stateRecovery;
-    final HeartbeatSenderResolver heartbeatSenders;
+    final HeartbeatSenderResolver senderResolver;
     final HeartbeatHandler heartbeatHandler;
     final DeliveryOutcomeHandler deliveryOutcomeHandler;
     final LeaseMonitor leaseMonitor;
@@ -85,14 +85,14 @@
         queueWaitTracker = new QueueWaitTracker(jobs);
         stateRecovery = new StateRecovery(context, records);
         BootTimeEstimator bootTimeEstimator = new BootTimeEstimator();
-        heartbeatSenders = new HeartbeatSenderResolver(term, catalog, context.machines());
+        senderResolver = new HeartbeatSenderResolver(term, catalog, context.machines());
         MachineProber prober = new MachineProber(promotionGate, output);
         HeartbeatApplier applier = createHeartbeatApplier(bootTimeEstimator);
         heartbeatHandler =
                 new HeartbeatHandler(
-                        term, policy.leaseSeconds(), heartbeatSenders, applier, prober, jobs);
+                        term, policy.leaseSeconds(), senderResolver, applier, prober, jobs);
         deliveryOutcomeHandler =
-                new DeliveryOutcomeHandler(context, heartbeatSenders, applier, prober);
+                new DeliveryOutcomeHandler(context, senderResolver, applier, prober);
         leaseMonitor = new LeaseMonitor(context, delegatedRenewals);
         allocator = Allocator.create(context);
         autoscaler = new Autoscaler(context, promotionGate, bootTimeEstimator);
--- a/src/main/java/io/kelphoist/scheduler/SchedulerState.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerState.java
@@ -80,7 +80,7 @@
 
     /** Whether a worker has seen a newer term, so that this leader must resign. */
     public boolean isDeposed() {
-        return parts.heartbeatSenders.isDeposed();
+        return parts.senderResolver.isDeposed();
     }
 
     /** Whether decisions are allowed, as the first round of heartbeats after failover is over. */
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/AttemptReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/AttemptReconciler.java
@@ -16,8 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the attempts that are known on a machine with the tasks that its worker lists: ends
- * those that are proven to be gone and adopts those that an earlier term started.
+ * Reconciles the attempts that the leader assumes on a machine with the tasks that its worker
+ * lists: ends attempts that are proven not to be on the machine, and adopts tasks that an earlier
+ * term started.
  */
 public final class AttemptReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptReconciler.class);
@@ -28,7 +29,7 @@
     private final MachineLifecycle machineLifecycle;
     private final StartIntentLog startIntentLog;
 
-    /** Creates the reconciler of a term's machines and jobs. */
+    /** Creates the reconciler of the task attempts of a term. */
     public AttemptReconciler(
             JobRegistry jobs,
             AttemptLifecycle attempts,
@@ -42,12 +43,12 @@
         this.startIntentLog = startIntentLog;
     }
 
-    /** The worker began a new agent epoch: the tasks of earlier ones are gone. */
+    /** Ends the attempts of earlier agent epochs, because the worker has started a new one. */
     void endAgentEpoch(Machine machine, long newAgentEpoch, double nowSeconds) {
         int previousAttemptCount = machine.attempts().size();
         for (TaskAttempt attempt : machine.attempts().copy()) {
-            // What a record names is presumed until the machine has seen this term: nobody knows in
-            // which agent epoch it was started.
+            // An attempt that is known only from a record is presumed to run until the machine has
+            // seen this term: the record does not state the agent epoch of its start.
             if (attempt.agentEpoch() < newAgentEpoch && !attempt.isPresumed()) {
                 attempts.onGone(attempt, nowSeconds);
             }
@@ -63,7 +64,8 @@
     }
 
     /**
-     * Takes over a list of tasks, newer than what is known, of a worker that has seen this term.
+     * Applies the task list of a worker that has seen this term. The list must be newer than the
+     * last one applied.
      */
     void reconcile(Machine machine, Heartbeat heartbeat, double nowSeconds) {
         for (TaskStatus taskStatus : heartbeat.tasks()) {
@@ -95,22 +97,24 @@
         if (attempt.isPresumed() || attempt.state() == TaskAttempt.State.EXITED) {
             attempts.onGone(attempt, nowSeconds);
         } else if (attempt.state() == TaskAttempt.State.STARTING) {
-            // A start in a response to a heartbeat is executed before the next heartbeat or never.
-            // A command without a response may be executed at any time, so that such an attempt
-            // stays until it is listed.
+            // A start command in a response to a heartbeat is executed before the worker's next
+            // heartbeat or never. A direct command without a response may be executed at any later
+            // time, so an attempt with such a command stays until a worker lists it.
             if (attempt.isStopping() && !attempt.mayStartArrive()) {
                 attempts.onGone(attempt, nowSeconds);
             }
         } else if (attempt.state().occupiesResources()) {
-            // Within an agent epoch a worker lists a task until it is told to forget it. So it
-            // restarted, and its new numbering has passed the number of the last known message.
+            // Within an agent epoch a worker lists a task until it gets a forget command for it.
+            // So the worker has restarted, and its new sequence numbers have passed that of the
+            // last message received before the restart.
             machineLifecycle.onWorkerRestarted(attempt.machine(), nowSeconds);
         }
     }
 
     /**
-     * Adopts a task that an earlier term started. Returns null if its job is not known: the task is
-     * stopped, and forgotten once it has exited, see {@link HeartbeatResponder}.
+     * Adopts a task that an earlier term started. Returns null if its job is not registered, in
+     * which case {@link HeartbeatResponder} stops the task and, after it has exited, lets the
+     * worker forget it. Also returns null if the job has no task of this index.
      */
     private TaskAttempt adopt(
             Machine machine, TaskStatus taskStatus, long agentEpoch, double nowSeconds) {
@@ -129,14 +133,14 @@
         attempt.onAdopted();
         startIntentLog.adopt(attempt, machine.attempts().findPresumed(job, taskIndex));
         endPresumedAttempts(job, taskIndex, nowSeconds);
-        boolean isWanted = isWanted(job, taskStatus);
-        if (isWanted && job.spec().kind() == JobKind.GANG) {
+        boolean isStillNeeded = isStillNeeded(job, taskStatus);
+        if (isStillNeeded && job.spec().kind() == JobKind.GANG) {
             job.beginGangAttempt(taskStatus.attemptId());
         }
         attempts.allocate(attempt);
-        if (!isWanted) {
+        if (!isStillNeeded) {
             LOG.info(
-                    "adopted task is not wanted: job={} task={} attempt={} machine={}",
+                    "adopted task not needed, stopping it: job={} task={} attempt={} machine={}",
                     taskStatus.jobId(),
                     taskIndex,
                     taskStatus.attemptId(),
@@ -146,7 +150,10 @@
         return attempt;
     }
 
-    /** The task was seen, so it is not where older records presume it: a task runs only once. */
+    /**
+     * Ends the attempts that older records presume for a task that a worker has listed. The task is
+     * not on the machines that these records name: a task runs only once.
+     */
     private void endPresumedAttempts(Job job, int taskIndex, double nowSeconds) {
         for (TaskAttempt presumed = job.tasks().attemptAt(taskIndex);
                 presumed != null && presumed.isPresumed();
@@ -156,10 +163,10 @@
     }
 
     /**
-     * Whether an adopted task goes on. Of a gang the first attempt that is seen decides: the tasks
-     * that records presume elsewhere may be part of it.
+     * Whether an adopted task continues to run. For a gang, the gang attempt that is listed first
+     * is kept: tasks that records presume on other machines may belong to it.
      */
-    private static boolean isWanted(Job job, TaskStatus taskStatus) {
+    private static boolean isStillNeeded(Job job, TaskStatus taskStatus) {
         return job.isActive()
                 && !job.tasks().isDone(taskStatus.taskIndex())
                 && !job.tasks().hasAttemptAt(taskStatus.taskIndex())
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/DeliveryOutcomeHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/DeliveryOutcomeHandler.java
@@ -8,37 +8,38 @@
 import io.kelphoist.scheduler.reachability.DeliveryOutcome;
 
 /**
- * Handles the outcomes of what was sent straight to workers: commands, probes and requests for a
- * heartbeat. Responses hold a heartbeat; unlike one that the worker sends, they renew no lease.
+ * Handles the outcomes of direct requests to workers: commands, reachability probes and status
+ * requests. A response contains a heartbeat, which renews no lease, unlike a heartbeat that the
+ * worker sends by itself.
  */
 public final class DeliveryOutcomeHandler {
     private final long term;
     private final MachineRegistry machines;
-    private final HeartbeatSenderResolver senders;
+    private final HeartbeatSenderResolver senderResolver;
     private final HeartbeatApplier applier;
     private final MachineProber prober;
     private final MachineLifecycle machineLifecycle;
 
-    /** Creates the handler of a term. */
+    /** Creates the handler of the outcomes of one term's requests. */
     public DeliveryOutcomeHandler(
             SchedulerContext context,
-            HeartbeatSenderResolver senders,
+            HeartbeatSenderResolver senderResolver,
             HeartbeatApplier applier,
             MachineProber prober) {
         this.term = context.term();
         this.machines = context.machines();
         this.machineLifecycle = context.machineLifecycle();
-        this.senders = senders;
+        this.senderResolver = senderResolver;
         this.applier = applier;
         this.prober = prober;
     }
 
     /**
-     * The response to commands, or to a request for a heartbeat. Its sender need not be the machine
-     * that was meant: addresses are used again.
+     * Handles the response to a direct request. Its sender may be another machine than the one that
+     * the request was meant for, because addresses are reused.
      */
     public void onResponse(Heartbeat heartbeat, double nowSeconds) {
-        Machine machine = senders.resolve(heartbeat, nowSeconds);
+        Machine machine = senderResolver.resolve(heartbeat, nowSeconds);
         if (machine == null) {
             return;
         }
@@ -46,17 +47,18 @@
             prober.probeIfDue(machine, nowSeconds);
         } else if (!machine.contact().isEnded(heartbeat.agentEpoch())) {
             applier.apply(machine, heartbeat, nowSeconds);
-            // The worker receives what is sent to it. Whether a controller receives what the worker
-            // sends only a heartbeat shows, and only that keeps its lease. So this does not count
-            // as a heartbeat: the machine would get new work that ends with the lease.
+            // The response shows that the worker receives requests. Only a heartbeat shows that a
+            // controller receives what the worker sends, and only a heartbeat renews the lease. So
+            // the response is not treated as a heartbeat: otherwise the machine would get new work
+            // that ends when the lease expires.
             machine.reachability().onAcknowledged(nowSeconds);
         }
     }
 
     /**
-     * How a probe ended.
+     * Handles the outcome of a reachability probe.
      *
-     * @param heartbeat the response; null: there was none
+     * @param heartbeat the heartbeat in the response; null if there was no response
      */
     public void onProbeOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat, double nowSeconds) {
@@ -66,7 +68,7 @@
         }
         machine.reachability().onProbeFinished();
         if (heartbeat == null) {
-            onProbeUnanswered(machine, outcome, nowSeconds);
+            onProbeWithoutResponse(machine, outcome, nowSeconds);
         } else if (!heartbeat.machineName().equals(machineName)) {
             onResponse(heartbeat, nowSeconds);
         } else if (heartbeat.fencingToken() <= term
@@ -79,7 +81,8 @@
         }
     }
 
-    private void onProbeUnanswered(Machine machine, DeliveryOutcome outcome, double nowSeconds) {
+    private void onProbeWithoutResponse(
+            Machine machine, DeliveryOutcome outcome, double nowSeconds) {
         if (outcome == DeliveryOutcome.NOT_ATTEMPTED) {
             return;
         }
@@ -94,7 +97,8 @@
         if (machine.contact().isTermConfirmed()) {
             machineLifecycle.onWorkerRestarted(machine, nowSeconds);
         } else {
-            // The messages that were known were copies, and nothing of this term is on the machine.
+            // The messages received so far were copies from before the restart, and no attempt that
+            // this term started is on the machine.
             machine.contact().forgetNewest();
             onResponse(heartbeat, nowSeconds);
         }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatApplier.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatApplier.java
@@ -8,9 +8,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes over what a message of a worker says of its machine and its tasks, whatever path the
- * message took. A message counts only if it is newer than all that is known of the machine; its
- * list of tasks counts only if the worker has seen this term.
+ * Applies what a worker's message reports about its machine and tasks, whichever path the message
+ * was delivered by. A message is applied only if it is newer than the newest message received from
+ * the machine; its task list is applied only if the worker has seen this term.
  */
 public final class HeartbeatApplier {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatApplier.class);
@@ -20,7 +20,7 @@
     private final BootTimeEstimator bootTimeEstimator;
     private final AttemptReconciler attemptReconciler;
 
-    /** Creates the applier of the heartbeats under a term's fencing token. */
+    /** Creates the applier of the messages that the leader of a term receives. */
     public HeartbeatApplier(
             long term,
             NameIndex zones,
@@ -38,10 +38,11 @@
         }
         if (heartbeat.agentEpoch() > machine.agentEpoch()) {
             attemptReconciler.endAgentEpoch(machine, heartbeat.agentEpoch(), nowSeconds);
-            // The lease runs from the beginning of the agent epoch until a heartbeat is answered.
-            // This message may be a response to a command, which renews nothing: counted from the
-            // last answered heartbeat the lease would seem to end too early, and tasks that a
-            // command starts at once would run twice.
+            // Until a heartbeat of the new agent epoch is acknowledged, the lease runs from the
+            // start of that epoch. This message may be a response to a command, which renews no
+            // lease. Measured from the last acknowledged heartbeat, which belongs to the previous
+            // epoch, the lease would appear to expire too early, and tasks that a command starts
+            // now would run twice.
             machine.contact().onPossiblyAnswered(nowSeconds);
         }
         machine.updateFrom(heartbeat);
@@ -49,13 +50,13 @@
             return;
         }
         machine.contact().confirmTerm();
-        bringUp(machine, nowSeconds);
+        markUpOrDraining(machine, nowSeconds);
         applyTerminationNotice(machine, heartbeat, nowSeconds);
         attemptReconciler.reconcile(machine, heartbeat, nowSeconds);
     }
 
-    /** The machine has acknowledged this term. */
-    private void bringUp(Machine machine, double nowSeconds) {
+    /** Marks the machine, which has acknowledged this term, as up or draining. */
+    private void markUpOrDraining(Machine machine, double nowSeconds) {
         if (machine.state() == Machine.State.BOOTING) {
             bootTimeEstimator.onBooted(machine, nowSeconds);
             LOG.info(
@@ -79,7 +80,7 @@
         if (heartbeat.terminationNoticeSeconds() != null && !machine.hasTerminationNotice()) {
             machine.onTerminationNotice(nowSeconds + heartbeat.terminationNoticeSeconds());
             LOG.info(
-                    "machine will be terminated by the cloud: machine={} noticeSeconds={}",
+                    "termination notice received from the cloud: machine={} noticeSeconds={}",
                     machine.name(),
                     heartbeat.terminationNoticeSeconds());
         }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
@@ -8,56 +8,59 @@
 import java.util.List;
 
 /**
- * Handles heartbeats. Each counts once, in the order of the worker's numbering, whatever path it
- * took: copies may come late. A heartbeat that is accepted is answered with commands, and the
- * answer renews the worker's lease.
+ * Handles heartbeats from workers. Each heartbeat is applied once, in the order of agent epoch and
+ * sequence number, whichever path it was delivered by: copies of a heartbeat may arrive late. The
+ * response to an accepted heartbeat carries commands and renews the worker's lease.
  */
 public final class HeartbeatHandler {
     private final long term;
     private final double leaseSeconds;
-    private final HeartbeatSenderResolver senders;
+    private final HeartbeatSenderResolver senderResolver;
     private final HeartbeatApplier applier;
     private final MachineProber prober;
     private final JobRegistry jobs;
 
-    /** Creates the handler of a term's heartbeats. */
+    /** Creates the handler of the heartbeats that the leader of a term receives. */
     public HeartbeatHandler(
             long term,
             double leaseSeconds,
-            HeartbeatSenderResolver senders,
+            HeartbeatSenderResolver senderResolver,
             HeartbeatApplier applier,
             MachineProber prober,
             JobRegistry jobs) {
         this.term = term;
         this.leaseSeconds = leaseSeconds;
-        this.senders = senders;
+        this.senderResolver = senderResolver;
         this.applier = applier;
         this.prober = prober;
         this.jobs = jobs;
     }
 
     /**
-     * Returns the commands of the answer, in the order in which the worker must execute them. Only
-     * answers to heartbeats carry forget commands: a worker handles one answer after the other, so
-     * that no start that was decided earlier can come after one.
+     * Returns the commands for the response, in the order in which the worker must execute them.
+     * Forget commands are sent only in responses to heartbeats: a worker handles these responses
+     * one after the other, so that no start command that was decided earlier can be executed after
+     * a forget command.
      *
-     * @param receivingController the controller that the worker sent the heartbeat to; empty: this
-     *     one
-     * @return null: the heartbeat must not be answered as accepted, which would renew the lease of
-     *     an agent epoch that counts as over
+     * @param receivingController the controller that the worker sent the heartbeat to; empty for
+     *     this controller
+     * @return null if the heartbeat must be refused: its sender cannot be resolved, its worker has
+     *     restarted, or its agent epoch is treated as ended, and acceptance would renew the lease
+     *     of that epoch
      */
     public List<WorkerCommand> onHeartbeat(
             Heartbeat heartbeat, String receivingController, double nowSeconds) {
-        Machine machine = senders.resolve(heartbeat, nowSeconds);
+        Machine machine = senderResolver.resolve(heartbeat, nowSeconds);
         if (machine == null || machine.reachability().hasRestarted()) {
             return null;
         }
         if (machine.contact().isEnded(heartbeat.agentEpoch())) {
-            // Or the worker restarted within a moment, and counts from 1 again.
+            // A delayed heartbeat of the ended epoch, or the worker restarted quickly and numbers
+            // its agent epochs from 1 again. A probe shows which.
             prober.probeIfDue(machine, nowSeconds);
             return null;
         }
-        if (isCopyOrOfRestartedWorker(machine, heartbeat)) {
+        if (isCopyOrFromRestartedWorker(machine, heartbeat)) {
             onCopyOrRestart(machine, heartbeat, nowSeconds);
             return List.of();
         }
@@ -73,24 +76,24 @@
                 : List.of();
     }
 
-    private boolean isCopyOrOfRestartedWorker(Machine machine, Heartbeat heartbeat) {
-        return machine.reachability().isStale(heartbeat) || isOfEarlierTerm(machine, heartbeat);
+    private boolean isCopyOrFromRestartedWorker(Machine machine, Heartbeat heartbeat) {
+        return machine.reachability().isStale(heartbeat) || isFromEarlierTerm(machine, heartbeat);
     }
 
-    private boolean isOfEarlierTerm(Machine machine, Heartbeat heartbeat) {
+    private boolean isFromEarlierTerm(Machine machine, Heartbeat heartbeat) {
         return machine.contact().isTermConfirmed() && heartbeat.fencingToken() < term;
     }
 
     /**
-     * Either a copy, whose answer nobody waits for, or a heartbeat of a restarted worker, which
-     * runs nothing but what is still under way to it.
+     * Handles a heartbeat that is either a late copy, for whose response no worker waits, or from a
+     * restarted worker, which can run only tasks whose start commands are still in flight to it.
      */
     private void onCopyOrRestart(Machine machine, Heartbeat heartbeat, double nowSeconds) {
         MachineReachability reachability = machine.reachability();
         reachability.markPossibleRestart(nowSeconds);
         if (!reachability.isStale(heartbeat)) {
-            // It may have been sent just before a command told the worker of this term. Then the
-            // worker waits for the answer, which renews its lease.
+            // The heartbeat may have been sent just before a command informed the worker of this
+            // term. In that case the worker waits for the response, which renews its lease.
             machine.contact().onAnswered(nowSeconds);
         }
         if (heartbeat.fencingToken() < term || !reachability.isReordered(heartbeat)) {
@@ -99,9 +102,9 @@
     }
 
     /**
-     * Whether the heartbeat begins a new agent epoch though the lease of the last one cannot have
-     * expired, unless answers were lost. Otherwise it is a copy, and the worker restarted
-     * unnoticed.
+     * Whether the heartbeat starts a new agent epoch although the lease of the previous epoch
+     * cannot have expired unless responses were lost. If none were lost, the heartbeat is a late
+     * copy from before a restart of the worker that this leader has not noticed.
      */
     private boolean isNewEpochImplausible(Machine machine, Heartbeat heartbeat, double nowSeconds) {
         return heartbeat.agentEpoch() > machine.agentEpoch()
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatResponder.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatResponder.java
@@ -11,11 +11,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The commands in the answer to a heartbeat, in the order in which a worker must execute them. */
+/**
+ * Selects the commands for the response to a heartbeat, in the order in which the worker must
+ * execute them.
+ */
 final class HeartbeatResponder {
     private HeartbeatResponder() {}
 
-    /** Marks the starts and stops among the commands as sent. */
+    /** Returns the commands, and marks the start and stop commands among them as sent. */
     static List<WorkerCommand> commands(JobRegistry jobs, Machine machine, Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (TaskAttempt attempt : machine.attempts()) {
@@ -29,7 +32,7 @@
             }
         }
         if (heartbeat.isNewerThan(machine.agentEpoch(), machine.contact().sequenceNumber() - 1)) {
-            addForUnknownTasks(commands, jobs, machine, heartbeat.tasks());
+            addForTasksOfUnregisteredJobs(commands, jobs, machine, heartbeat.tasks());
         }
         return commands;
     }
@@ -45,8 +48,9 @@
     private static void addStartAndStop(List<WorkerCommand> commands, TaskAttempt attempt) {
         String jobId = attempt.job().spec().id();
         boolean isStarting = attempt.state() == TaskAttempt.State.STARTING;
-        // A stop does not end an attempt whose start may arrive later: the worker starts it with
-        // this answer, and then stops it.
+        // A stop command alone does not end an attempt whose start command may still arrive. The
+        // worker starts the attempt by this response and then stops it, so that the earlier start
+        // command has no effect.
         boolean startMayArrive = attempt.mayStartArrive();
         if (isStarting && attempt.recorded() && (!attempt.isStopping() || startMayArrive)) {
             commands.add(new WorkerCommand.Start(jobId, attempt.taskIndex(), attempt.attemptId()));
@@ -63,8 +67,10 @@
         }
     }
 
-    /** Tasks of jobs that are not known are stopped and, once they exited, forgotten. */
-    private static void addForUnknownTasks(
+    /**
+     * Stops tasks of unregistered jobs and, after they have exited, lets the worker forget them.
+     */
+    private static void addForTasksOfUnregisteredJobs(
             List<WorkerCommand> commands,
             JobRegistry jobs,
             Machine machine,
@@ -82,8 +88,8 @@
     }
 
     /**
-     * Whether a worker may forget an exited attempt: its result is stored, and no command with its
-     * start may arrive any more.
+     * Whether a worker may forget an exited attempt: its result is stored or need not be, and no
+     * command with its start can still arrive.
      */
     private static boolean isForgettable(TaskAttempt attempt) {
         if (attempt.mayStartArrive()) {
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenderResolver.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenderResolver.java
@@ -10,8 +10,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Finds the machine whose worker sent a message, and adopts machines that are not known yet. Owns
- * whether this leader was deposed: whether a worker has seen a newer term.
+ * Resolves the machine whose worker sent a message, and adopts machines that are not registered
+ * yet. Owns whether this leader is deposed, that is whether a worker has seen a newer term.
  */
 public final class HeartbeatSenderResolver {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatSenderResolver.class);
@@ -21,7 +21,7 @@
     private final MachineRegistry machines;
     private boolean deposed;
 
-    /** Creates the senders of a term's heartbeats. */
+    /** Creates the resolver for the messages that the leader of a term receives. */
     public HeartbeatSenderResolver(long term, MachineCatalog catalog, MachineRegistry machines) {
         this.term = term;
         this.catalog = catalog;
@@ -34,8 +34,8 @@
     }
 
     /**
-     * The sender of a message; null if the message must be ignored, as its sender has seen a newer
-     * term, is terminated, or is of an unknown type.
+     * Returns the machine that sent a message; null if the message must be ignored, because its
+     * sender has seen a newer term, is terminated, or is of an unknown machine type.
      */
     Machine resolve(Heartbeat heartbeat, double nowSeconds) {
         if (heartbeat.fencingToken() > term) {
@@ -68,7 +68,7 @@
                         heartbeat.address(),
                         Machine.State.JOINING,
                         nowSeconds);
-        LOG.info("machine adopted from its heartbeat: machine={}", machine.name());
+        LOG.info("machine adopted from heartbeat: machine={}", machine.name());
         machines.add(machine);
         return machine;
     }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/MachineProber.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/MachineProber.java
@@ -5,20 +5,24 @@
 import io.kelphoist.scheduler.spi.SchedulerOutput;
 
 /**
- * Sends probes: requests for a heartbeat straight to a worker, which show whether it receives what
- * is sent to it, and whether it has restarted. One probe per machine is under way at a time.
+ * Sends reachability probes: direct requests to a worker for a heartbeat, which show whether the
+ * worker receives requests and whether it has restarted. At most one probe per machine is in
+ * flight.
  */
 public final class MachineProber {
     private final PromotionGate promotionGate;
     private final SchedulerOutput output;
 
-    /** Creates a prober, which sends nothing until decisions are allowed. */
+    /** Creates a prober that sends nothing until the gate allows decisions. */
     public MachineProber(PromotionGate promotionGate, SchedulerOutput output) {
         this.promotionGate = promotionGate;
         this.output = output;
     }
 
-    /** Probes the machine unless that was done a moment ago, or is not possible yet. */
+    /**
+     * Probes the machine unless a probe of it is in flight or was sent recently, its address is
+     * unknown, or decisions are not allowed yet.
+     */
     void probeIfDue(Machine machine, double nowSeconds) {
         if (machine.address() != null
                 && promotionGate.mayDecide(nowSeconds)
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
@@ -17,19 +17,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies the status of a task that a worker reports to its attempt: how far it is, how it ended,
- * and what follows for its job and machine.
+ * Applies the task status that a worker reports to the task's attempt: its progress, its exit, and
+ * the consequences of both for its job and machine.
  */
 public final class TaskAttemptHandler {
     private static final Logger LOG = LoggerFactory.getLogger(TaskAttemptHandler.class);
 
-    /** Until a worker that does not know the job or task may be asked again. */
-    private static final double UNKNOWN_RETRY_SECONDS = 2.0;
+    /** Delay before a job is placed again after a worker refused a job or task unknown to it. */
+    private static final double UNKNOWN_TASK_RETRY_SECONDS = 2.0;
 
+    /** Delay before a job is placed again after a refusal for any other reason. */
     private static final double REFUSED_RETRY_SECONDS = 0.5;
 
-    /** A machine where so many different jobs failed is faulty. */
-    private static final int FAULTY_MACHINE_FAILURES = 2;
+    /** A machine on which tasks of this many different jobs failed is treated as faulty. */
+    private static final int FAULTY_MACHINE_FAILED_JOBS = 2;
 
     private final AttemptLifecycle attempts;
     private final JobEndWriter jobEndWriter;
@@ -37,7 +38,7 @@
     private final SchedulerRecords records;
     private final SchedulerOutput output;
 
-    /** Creates the handler of what workers say of a term's attempts. */
+    /** Creates the handler of the task statuses that workers report in a term. */
     public TaskAttemptHandler(
             AttemptLifecycle attempts,
             JobEndWriter jobEndWriter,
@@ -51,7 +52,7 @@
         this.output = output;
     }
 
-    /** The status of a task in a message that is newer than what was known of its machine. */
+    /** Applies a task status from a message newer than all earlier messages from its machine. */
     void onTaskStatus(TaskAttempt attempt, TaskStatus taskStatus, double nowSeconds) {
         TaskAttempt.State next = stateOf(taskStatus.phase());
         boolean hadRun = attempt.hasRun();
@@ -147,7 +148,7 @@
         Job job = attempt.job();
         job.failures().onTaskSucceeded();
         if (job.spec().kind() == JobKind.GANG) {
-            // A gang completes together.
+            // All tasks of a gang complete together.
             job.tasks().markAllDone();
         } else {
             job.tasks().markDone(attempt.taskIndex());
@@ -178,14 +179,14 @@
         };
     }
 
-    /** The worker did not run the task; the job waits a moment before it is placed again. */
+    /** The worker did not run the task. The job waits briefly before it is placed again. */
     private static void onRefused(TaskAttempt attempt, ExitReason reason, double nowSeconds) {
         Job job = attempt.job();
         job.failures()
                 .postponeRetry(
                         nowSeconds
                                 + (reason == ExitReason.UNKNOWN
-                                        ? UNKNOWN_RETRY_SECONDS
+                                        ? UNKNOWN_TASK_RETRY_SECONDS
                                         : REFUSED_RETRY_SECONDS));
         if (reason != ExitReason.PEERS_MISSING) {
             LOG.info(
@@ -197,7 +198,10 @@
         }
     }
 
-    /** A gang that lost a task is broken: all of it must be gone before the next attempt. */
+    /**
+     * Stops the other attempts of a gang that lost a task. All of them must have ended before the
+     * next gang attempt starts.
+     */
     private void stopBrokenGang(Job job, double nowSeconds) {
         if (job.spec().kind() != JobKind.GANG || !job.isActive()) {
             return;
@@ -213,8 +217,8 @@
     }
 
     /**
-     * A task ended with an error. Mostly that is the machine's fault, unless the job fails wherever
-     * it runs.
+     * Handles a task that ended with an error. In most cases the machine is at fault, unless the
+     * job fails on every machine.
      */
     private static void onFailed(TaskAttempt attempt, double nowSeconds) {
         Job job = attempt.job();
@@ -230,7 +234,7 @@
                 job.failures().failedMachineCount());
         if (job.isSuspect() && !wasSuspect) {
             LOG.warn(
-                    "job fails on every machine, only little of it is tried at a time: job={}",
+                    "job fails on every machine, limiting it to one task or gang at a time: job={}",
                     job.spec().id());
         }
         drainIfFaulty(machine, nowSeconds);
@@ -238,9 +242,9 @@
 
     private static void drainIfFaulty(Machine machine, double nowSeconds) {
         int failedJobCount = machine.countBlamedFailures();
-        if (failedJobCount >= FAULTY_MACHINE_FAILURES && machine.state() == Machine.State.UP) {
+        if (failedJobCount >= FAULTY_MACHINE_FAILED_JOBS && machine.state() == Machine.State.UP) {
             LOG.warn(
-                    "machine is faulty, it is drained and returned: machine={} failedJobs={}",
+                    "machine faulty, draining it for termination: machine={} failedJobs={}",
                     machine.name(),
                     failedJobCount);
             machine.transitionTo(Machine.State.DRAINING, nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/package-info.java
@@ -1,13 +1,15 @@
 /**
- * What workers say, and what they are answered: {@link
- * io.kelphoist.scheduler.heartbeats.HeartbeatHandler} orders heartbeats and has them answered,
- * {@link io.kelphoist.scheduler.heartbeats.HeartbeatApplier} updates the machine, {@link
- * io.kelphoist.scheduler.heartbeats.AttemptReconciler} compares its attempts with the heartbeat,
- * and {@link io.kelphoist.scheduler.heartbeats.TaskAttemptHandler} handles the status of each.
+ * Handling of heartbeats from workers and of their responses to direct requests: {@link
+ * io.kelphoist.scheduler.heartbeats.HeartbeatHandler} orders heartbeats and selects the commands
+ * for their responses, {@link io.kelphoist.scheduler.heartbeats.HeartbeatApplier} updates the
+ * machine, {@link io.kelphoist.scheduler.heartbeats.AttemptReconciler} compares the machine's task
+ * attempts with the reported task list, and {@link
+ * io.kelphoist.scheduler.heartbeats.TaskAttemptHandler} handles the status of each task.
  *
- * <p>Owns whether a newer term was seen ({@link
- * io.kelphoist.scheduler.heartbeats.HeartbeatSenderResolver}); all else that it changes belongs to
- * {@code cluster} and {@code lifecycle}. Must not depend on what places tasks or scales, except for
- * the boot times that it reports to {@code autoscaling}.
+ * <p>Owns whether a worker has seen a newer term ({@link
+ * io.kelphoist.scheduler.heartbeats.HeartbeatSenderResolver}); all other state that it changes
+ * belongs to packages below it, mainly {@code cluster}, {@code reachability} and {@code lifecycle}.
+ * Must not depend on packages that place tasks or scale the cluster, except for the boot times that
+ * it reports to {@code autoscaling}.
  */
 package io.kelphoist.scheduler.heartbeats;
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
@@ -21,51 +21,55 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The dependencies between jobs. A job becomes ready when all its dependencies are stored as done,
- * is cancelled when one of them is, and passes its urgency on to them. Nothing here recurses: each
- * event costs what the edges that it touches cost. Owns the known ends of jobs and the edges.
+ * The graph of dependencies between jobs. A job becomes ready when all its dependencies are stored
+ * as done, is cancelled when one of them is cancelled, and passes its urgency on to them. No method
+ * is recursive, and the cost of an event is proportional to the number of edges that it visits.
+ * Owns the edges and the cached ends of jobs.
  */
 public final class JobDependencies {
     private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
 
-    /** How many ends of jobs are remembered; others are read from the state service. */
-    private static final int MAX_REMEMBERED_ENDS = 20_000;
+    /** How many ends of jobs are cached; others are read from the state store. */
+    private static final int MAX_CACHED_ENDS = 20_000;
 
-    /** Cancellations that are being stored, and records that are read in one run. */
-    private static final int MAX_IN_FLIGHT = 32;
+    /** The most cancellation writes in flight, and the most record reads requested at a time. */
+    private static final int MAX_REQUESTS = 32;
 
     private static final double READ_RETRY_SECONDS = 5;
     private static final double NOT_FOUND_RETRY_SECONDS = 60;
 
-    /** How a job ended, and when that was stored. */
+    /** How a job ended, and when its end was stored. */
     private record JobEnd(boolean done, double storedAtSeconds) {}
 
     private final JobRegistry jobs;
     private final SchedulerOutput output;
     private final Cache<String, JobEnd> endsByJobId =
-            CacheBuilder.newBuilder().maximumSize(MAX_REMEMBERED_ENDS).concurrencyLevel(1).build();
+            CacheBuilder.newBuilder().maximumSize(MAX_CACHED_ENDS).concurrencyLevel(1).build();
 
-    /** By the id of a job that is not known to have ended: its dependents. */
+    /** The dependents of each job that is not recorded as ended, by the id of that job. */
     private final Object2ObjectOpenHashMap<String, Set<Job>> dependentsByJobId =
             new Object2ObjectOpenHashMap<>();
 
-    /** Dependencies without a known record, and when to read it. */
-    private final Map<String, Double> readDueAtSeconds = new HashMap<>();
+    /** When to read the records of dependencies for which no record was received. */
+    private final Map<String, Double> readDueAtSecondsByJobId = new HashMap<>();
 
-    /** Jobs whose cancellation is to be stored. */
+    /** Jobs whose cancellation is not stored yet. */
     private final Set<Job> cancellingJobs = new ReferenceLinkedOpenHashSet<>();
 
     private int cancellationsInFlight;
 
-    /** Creates the dependencies between a term's jobs. */
+    /** Creates an empty graph for the jobs of a term. */
     public JobDependencies(JobRegistry jobs, SchedulerOutput output) {
         this.jobs = jobs;
         this.output = output;
     }
 
-    /** A job became known; it becomes ready now unless it has to wait. */
+    /**
+     * Adds a job that was registered now. It becomes ready at once unless one of its dependencies
+     * is not stored as done; if one is cancelled, so is the job.
+     */
     void onJobAdded(Job job, double nowSeconds) {
-        readDueAtSeconds.remove(job.spec().id());
+        readDueAtSecondsByJobId.remove(job.spec().id());
         boolean dependencyCancelled = false;
         for (String dependencyId : job.spec().dependencies()) {
             JobEnd end = endsByJobId.getIfPresent(dependencyId);
@@ -77,10 +81,10 @@
                         .add(job);
                 Job dependency = jobs.get(dependencyId);
                 if (dependency == null) {
-                    readDueAtSeconds.putIfAbsent(dependencyId, nowSeconds);
+                    readDueAtSecondsByJobId.putIfAbsent(dependencyId, nowSeconds);
                 } else if (!isAcceptedBefore(dependency, job)) {
                     LOG.error(
-                            "dependency was accepted after its dependent, which waits: job={} dependency={}",
+                            "dependency accepted after its dependent, dependent keeps waiting: job={} dependency={}",
                             job.spec().id(),
                             dependencyId);
                 }
@@ -106,21 +110,21 @@
     }
 
     /**
-     * Dependencies are accepted before their dependents. Records that say otherwise may form a
-     * cycle, and no urgency is passed on there.
+     * Whether the dependency was accepted before its dependent, which holds for every submission.
+     * Records that contradict this may form a cycle, so no urgency is passed on between their jobs.
      */
     private static boolean isAcceptedBefore(Job dependency, Job dependent) {
         return dependency.record().version() < dependent.record().version();
     }
 
     /**
-     * The end of a job is stored.
+     * Handles the stored end of a job: activates or cancels its dependents.
      *
-     * @param done false: it is cancelled
+     * @param done true if the job is done, false if it is cancelled
      */
     void onJobEnded(String jobId, boolean done, double storedAtSeconds, double nowSeconds) {
         endsByJobId.put(jobId, new JobEnd(done, storedAtSeconds));
-        readDueAtSeconds.remove(jobId);
+        readDueAtSecondsByJobId.remove(jobId);
         Job job = jobs.get(jobId);
         if (job != null) {
             if (cancellingJobs.remove(job) && job.endBeingStored()) {
@@ -149,15 +153,15 @@
     }
 
     /**
-     * Whether the job is known to be cancelled, even if no record of it was seen: an older record
-     * does not bring it back.
+     * Whether the cancellation of the job was received, even if the job itself was never
+     * registered: a record older than the cancellation must not register it.
      */
     boolean isCancelled(String jobId) {
         JobEnd end = endsByJobId.getIfPresent(jobId);
         return end != null && !end.done;
     }
 
-    /** The job needs its dependencies no more. */
+    /** Removes the edges of a job that has ended to its dependencies. */
     private void removeDependent(Job job) {
         for (String dependencyId : job.spec().dependencies()) {
             Set<Job> otherDependents = dependentsByJobId.get(dependencyId);
@@ -165,13 +169,13 @@
                     && otherDependents.remove(job)
                     && otherDependents.isEmpty()) {
                 dependentsByJobId.remove(dependencyId);
-                readDueAtSeconds.remove(dependencyId);
+                readDueAtSecondsByJobId.remove(dependencyId);
             }
         }
         withdrawUrgency(job);
     }
 
-    /** Cancels jobs and all their direct and indirect dependents. */
+    /** Cancels jobs and all their direct and transitive dependents. */
     private void cancelWithDependents(Iterable<Job> roots) {
         Deque<Job> queue = new ArrayDeque<>();
         roots.forEach(queue::add);
@@ -179,7 +183,8 @@
         while (!queue.isEmpty()) {
             Job job = queue.poll();
             if (job.transitionTo(Job.State.CANCELLING)) {
-                LOG.info("job cancelled with a dependency: job={}", job.spec().id());
+                LOG.info(
+                        "job cancelled because a dependency is cancelled: job={}", job.spec().id());
                 cancellingJobs.add(job);
                 cancelledJobs.add(job);
                 queue.addAll(dependentsByJobId.getOrDefault(job.spec().id(), Set.of()));
@@ -190,19 +195,22 @@
 
     // ---- urgency ----
 
-    /** The job's dependencies become as urgent as it is. */
+    /** Makes all direct and transitive dependencies of the job at least as urgent as the job. */
     private void propagateUrgency(Job job) {
         updateDependencies(job, Job::inheritUrgency);
     }
 
-    /** The job is not urgent any more: its dependencies are as urgent as their other dependents. */
+    /**
+     * Recomputes the urgency of the job's direct and transitive dependencies from their other
+     * dependents, because the job has ended.
+     */
     private void withdrawUrgency(Job job) {
         updateDependencies(job, (dependency, dependent) -> recomputeUrgency(dependency));
     }
 
     /**
-     * Follows the edges from a job to its dependencies, and on from those that {@code update}
-     * changes.
+     * Applies {@code update} to each open dependency of a job, and continues with the dependencies
+     * of those jobs that {@code update} has changed.
      */
     private void updateDependencies(Job job, BiPredicate<Job, Job> update) {
         Deque<Job> queue = new ArrayDeque<>(List.of(job));
@@ -220,6 +228,7 @@
         }
     }
 
+    /** Returns whether the urgency of the job has changed. */
     private boolean recomputeUrgency(Job dependency) {
         Priority priority = dependency.priority();
         double latestFinishAtSeconds = dependency.latestFinishAtSeconds();
@@ -233,12 +242,12 @@
                 || dependency.latestFinishAtSeconds() != latestFinishAtSeconds;
     }
 
-    // ---- requests to the state service ----
+    // ---- requests to the state store ----
 
-    /** Has cancellations stored, and reads records that are missing. */
+    /** Requests the writes of cancellations and the reads of missing records that are due. */
     public void sendDueRequests(double nowSeconds) {
         for (Job job : cancellingJobs) {
-            if (cancellationsInFlight >= MAX_IN_FLIGHT) {
+            if (cancellationsInFlight >= MAX_REQUESTS) {
                 break;
             }
             if (!job.endBeingStored()) {
@@ -248,8 +257,9 @@
             }
         }
         int readCount = 0;
-        for (Iterator<Map.Entry<String, Double>> entries = readDueAtSeconds.entrySet().iterator();
-                entries.hasNext() && readCount < MAX_IN_FLIGHT; ) {
+        for (Iterator<Map.Entry<String, Double>> entries =
+                        readDueAtSecondsByJobId.entrySet().iterator();
+                entries.hasNext() && readCount < MAX_REQUESTS; ) {
             Map.Entry<String, Double> entry = entries.next();
             if (nowSeconds >= entry.getValue()) {
                 entry.setValue(nowSeconds + READ_RETRY_SECONDS);
@@ -259,7 +269,7 @@
         }
     }
 
-    /** Nobody knows whether the cancellation was stored: it is requested again. */
+    /** Handles a write of a cancellation that failed or has an unknown outcome: it is repeated. */
     void onCancellationNotStored(Job job) {
         if (cancellingJobs.contains(job)) {
             cancellationsInFlight--;
@@ -267,18 +277,18 @@
     }
 
     /**
-     * No readable record of the job exists: nobody knows whether it is done, and its dependents
-     * wait.
+     * Handles a dependency that has no readable record. Whether it is done is unknown, so its
+     * dependents keep waiting.
      */
     public void onJobNotFound(String jobId, double nowSeconds) {
-        if (readDueAtSeconds.containsKey(jobId)) {
-            readDueAtSeconds.put(jobId, nowSeconds + NOT_FOUND_RETRY_SECONDS);
+        if (readDueAtSecondsByJobId.containsKey(jobId)) {
+            readDueAtSecondsByJobId.put(jobId, nowSeconds + NOT_FOUND_RETRY_SECONDS);
             dependentsByJobId
                     .getOrDefault(jobId, Set.of())
                     .forEach(
                             job ->
                                     LOG.error(
-                                            "dependency has no record, the job waits: job={} dependency={}",
+                                            "dependency has no readable record, job keeps waiting: job={} dependency={}",
                                             job.spec().id(),
                                             jobId));
         }
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobEndWriter.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobEndWriter.java
@@ -5,28 +5,31 @@
 import it.unimi.dsi.fastutil.objects.ReferenceLinkedOpenHashSet;
 import java.util.Set;
 
-/** Has the ends of jobs stored whose tasks are all done, until that is confirmed. */
+/**
+ * Requests that the ends of jobs whose tasks are all done are stored, and repeats each request
+ * until the state store has confirmed it.
+ */
 public final class JobEndWriter {
     private final SchedulerOutput output;
     private final Set<Job> finishingJobs = new ReferenceLinkedOpenHashSet<>();
 
-    /** Creates a writer without ends to store. */
+    /** Creates a writer that has no ends to store. */
     public JobEndWriter(SchedulerOutput output) {
         this.output = output;
     }
 
-    /** All tasks of the job are done: its end is to be stored. */
+    /** Marks a job as finishing, because all its tasks are done and its end is to be stored. */
     public void onAllTasksDone(Job job) {
         job.transitionTo(Job.State.FINISHING);
         finishingJobs.add(job);
     }
 
-    /** Requests each end whose storing is not under way. */
+    /** Requests the write of each end that has no write in flight. */
     public void storeDueEnds() {
         finishingJobs.removeIf(this::storeIfFinishing);
     }
 
-    /** Returns true if there is nothing to store any more, as the end is confirmed. */
+    /** Returns true if the job is not finishing any more, because an end of it is confirmed. */
     private boolean storeIfFinishing(Job job) {
         if (job.state() != Job.State.FINISHING) {
             return true;
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobFactory.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobFactory.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Creates jobs from their records. Owns the usage of the configured teams. */
+/** Creates jobs from their records. Owns the resource usage of the configured teams. */
 public final class JobFactory {
     private final Map<String, TeamUsage> teamsByName = new LinkedHashMap<>();
     private final ImageCatalog imageCatalog;
@@ -24,7 +24,7 @@
         teams.forEach(team -> teamsByName.put(team.name(), new TeamUsage(team)));
     }
 
-    /** Null: the job's team is not configured any more. */
+    /** Creates the job of a record; null if the job's team is not configured any more. */
     Job create(JobRecord record, double acceptedAtSeconds, double nowSeconds) {
         TeamUsage team = teamsByName.get(record.spec().team());
         if (team == null) {
@@ -34,7 +34,7 @@
         return new Job(record, team, imageIndex, zones, acceptedAtSeconds, nowSeconds);
     }
 
-    /** The configured teams by name, read-only. */
+    /** The usage of each configured team by team name, read-only. */
     public Map<String, TeamUsage> teamsByName() {
         return Collections.unmodifiableMap(teamsByName);
     }
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobReconciler.java
@@ -14,26 +14,27 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reconciles the jobs that are worked on with their records, so that no accepted job is lost.
- * Nothing should ever be found. What is found is logged as an error, counted and repaired.
+ * Reconciles the jobs that are registered with the scheduler with the stored job records, so that
+ * no accepted job is lost. No difference should ever occur; each one that is found is logged as an
+ * error, counted and repaired.
  */
 public final class JobReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(JobReconciler.class);
     private final JobRegistry jobs;
     private final JobFactory jobFactory;
 
-    /** Unfinished jobs with a record that are not worked on, and since when. */
-    private final Map<String, Double> missingSinceSeconds = new HashMap<>();
+    /** When each unfinished job with a record was first found not to be registered. */
+    private final Map<String, Double> missingSinceSecondsByJobId = new HashMap<>();
 
     private long repairCount;
 
-    /** Creates the reconciler of a term's jobs. */
+    /** Creates the reconciler of the jobs of a term. */
     public JobReconciler(JobRegistry jobs, JobFactory jobFactory) {
         this.jobs = jobs;
         this.jobFactory = jobFactory;
     }
 
-    /** How many jobs and tasks were found lost so far. */
+    /** How many lost jobs and lost tasks were found and repaired so far. */
     public long repairCount() {
         return repairCount;
     }
@@ -42,13 +43,13 @@
      * Requeues lost tasks and finds lost jobs.
      *
      * @param unfinished the records of all unfinished jobs
-     * @param knownUntilSeconds all changes of records before this time are in {@code unfinished}. A
-     *     job that ended a moment ago may still be there as unfinished; it must not be started
-     *     again.
+     * @param changesReadUntilSeconds {@code unfinished} reflects all record changes before this
+     *     time. A job that ended shortly before now may still be in it as unfinished and must not
+     *     be started again; so a job is lost only if it was found to be missing before this time.
      * @return the records of lost jobs, to be applied again
      */
     public List<JobRecord> reconcile(
-            Collection<JobRecord> unfinished, double knownUntilSeconds, double nowSeconds) {
+            Collection<JobRecord> unfinished, double changesReadUntilSeconds, double nowSeconds) {
         jobs.all().forEach(job -> requeueLostTasks(job, nowSeconds));
         List<JobRecord> lostRecords = new ArrayList<>();
         Set<String> missingJobIds = new HashSet<>();
@@ -59,19 +60,22 @@
                 continue;
             }
             missingJobIds.add(record.id());
-            if (knownUntilSeconds
-                    > missingSinceSeconds.computeIfAbsent(record.id(), id -> nowSeconds)) {
-                LOG.error("lost job found, it is applied again: job={}", record.id());
+            if (changesReadUntilSeconds
+                    > missingSinceSecondsByJobId.computeIfAbsent(record.id(), id -> nowSeconds)) {
+                LOG.error("lost job found, applying its record again: job={}", record.id());
                 repairCount++;
                 lostRecords.add(record);
             }
         }
-        missingSinceSeconds.keySet().retainAll(missingJobIds);
-        lostRecords.forEach(record -> missingSinceSeconds.remove(record.id()));
+        missingSinceSecondsByJobId.keySet().retainAll(missingJobIds);
+        lostRecords.forEach(record -> missingSinceSecondsByJobId.remove(record.id()));
         return lostRecords;
     }
 
-    /** Each task of an active job is pending, done or attempted. */
+    /**
+     * Requeues the tasks of an active job that are neither pending nor done and have no attempt:
+     * each task must be one of the three.
+     */
     private void requeueLostTasks(Job job, double nowSeconds) {
         if (!job.isActive() || job.tasks().isComplete()) {
             return;
@@ -79,8 +83,7 @@
         for (int taskIndex = job.tasks().nextLost(0);
                 taskIndex >= 0;
                 taskIndex = job.tasks().nextLost(taskIndex + 1)) {
-            LOG.error(
-                    "lost task found, it is requeued: job={} task={}", job.spec().id(), taskIndex);
+            LOG.error("lost task found, requeuing it: job={} task={}", job.spec().id(), taskIndex);
             repairCount++;
             job.requeueLostTask(taskIndex, nowSeconds);
         }
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies job records as they are read, or as they change at the state service: new jobs,
- * cancellations, and ends that are stored. A record that is older than the newest one seen of its
- * job is ignored.
+ * Applies job records as they are read from the state store, or as they change there: new jobs,
+ * cancellations and stored ends. A record that is older than the newest one received of its job is
+ * ignored.
  */
 public final class JobRecordHandler {
     private static final Logger LOG = LoggerFactory.getLogger(JobRecordHandler.class);
@@ -26,10 +26,10 @@
     private final ProgressRecords progressRecords;
     private final SchedulerOutput output;
 
-    /** Records of an earlier term are being read. */
+    /** Whether the records that earlier terms stored are still being read. */
     private boolean loading = true;
 
-    /** Creates the handler of a term's job records. */
+    /** Creates the handler of the job records that the leader of a term reads. */
     public JobRecordHandler(
             JobRegistry jobs,
             JobDependencies jobDependencies,
@@ -45,7 +45,7 @@
         this.output = output;
     }
 
-    /** All records of earlier terms have been read. */
+    /** Handles the end of loading: all records of earlier terms have been read. */
     public void onRecordsLoaded() {
         loading = false;
         jobs.removeCancelledWithoutAttempts();
@@ -54,22 +54,22 @@
     /**
      * Creates or updates the job of a record.
      *
-     * @param ageSeconds how long ago the job was accepted; of a done job, how long ago that was
+     * @param ageSeconds seconds since the job was accepted; for a done job, since its end was
      *     stored
      */
     public void onRecord(JobRecord record, double ageSeconds, double nowSeconds) {
         Job job = jobs.get(record.id());
         if (job == null) {
-            onUnknownJob(record, nowSeconds - ageSeconds, nowSeconds);
+            onUnregisteredJob(record, nowSeconds - ageSeconds, nowSeconds);
         } else if (record.version() >= job.recordVersion()) {
             job.updateRecordVersion(record.version());
-            onKnownJob(job, record, nowSeconds - ageSeconds, nowSeconds);
+            onRegisteredJob(job, record, nowSeconds - ageSeconds, nowSeconds);
         }
     }
 
-    private void onUnknownJob(JobRecord record, double recordedAtSeconds, double nowSeconds) {
+    private void onUnregisteredJob(JobRecord record, double recordedAtSeconds, double nowSeconds) {
         if (record.status().isFinal()) {
-            onEndRecorded(record, recordedAtSeconds, nowSeconds);
+            onEndStored(record, recordedAtSeconds, nowSeconds);
         }
         if (!isRelevant(record)) {
             return;
@@ -77,7 +77,7 @@
         Job job = jobFactory.create(record, recordedAtSeconds, nowSeconds);
         if (job == null) {
             LOG.warn(
-                    "job ignored, its team is not configured: job={} team={}",
+                    "job ignored because its team is not configured: job={} team={}",
                     record.id(),
                     record.spec().team());
             return;
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Whether an unknown job has, or may have, tasks on machines or to run. A cancelled one matters
-     * only while records are loaded: its tasks may still be on machines.
+     * Whether an unregistered job has, or may have, tasks on machines or tasks left to run. A
+     * cancelled job is relevant only while records are loaded: its tasks may still be on machines.
      */
     private boolean isRelevant(JobRecord record) {
         if (record.status() == JobStatus.DONE || record.spec() == null) {
@@ -106,10 +106,10 @@
                 : !jobDependencies.isCancelled(record.id());
     }
 
-    private void onKnownJob(
+    private void onRegisteredJob(
             Job job, JobRecord record, double recordedAtSeconds, double nowSeconds) {
         if (record.status().isFinal()) {
-            onEndRecorded(record, recordedAtSeconds, nowSeconds);
+            onEndStored(record, recordedAtSeconds, nowSeconds);
         }
         if (record.status() == JobStatus.CANCELLED && job.transitionTo(Job.State.CANCELLED)) {
             LOG.info(
@@ -127,7 +127,7 @@
         }
     }
 
-    private void onEndRecorded(JobRecord record, double recordedAtSeconds, double nowSeconds) {
+    private void onEndStored(JobRecord record, double recordedAtSeconds, double nowSeconds) {
         jobDependencies.onJobEnded(
                 record.id(), record.status() == JobStatus.DONE, recordedAtSeconds, nowSeconds);
     }
@@ -138,7 +138,7 @@
         output.publishEvent(job, new TaskEvent.JobEnded(done));
     }
 
-    /** The end of a job could not be stored, or nobody knows whether it was: it is stored again. */
+    /** Handles a write of a job's end that failed or has an unknown outcome: it is repeated. */
     public void onEndNotStored(String jobId) {
         Job job = jobs.get(jobId);
         if (job != null && job.endBeingStored()) {
