--- a/src/main/java/io/kelphoist/records/PackedRecords.java
+++ b/src/main/java/io/kelphoist/records/PackedRecords.java
@@ -16,44 +16,44 @@
  * entry stays in the stored value until its page is written again, which happens when an entry is
  * put there or after {@link #requestCompaction}.
  *
- * <p>A page that an earlier term wrote may be larger than a value may be now. Entries that do not
- * fit any more move to other pages, and so does an entry that outgrew its page. The page that an
- * entry leaves is written only after the entry is stored on the new page, so that every entry is on
- * record at any time.
+ * <p>A page that an earlier term wrote may be larger than the present limit for a value. Entries
+ * that do not fit any more move to other pages, and so does an entry that has outgrown its page.
+ * The page that an entry leaves is written only after the entry is stored on the new page, so that
+ * every entry is stored on at least one page at any time.
  *
- * <p>One thread calls it. Entries are compared by identity.
+ * <p>Not thread-safe: all methods are called on one thread. Entries are compared by identity.
  *
  * @param <E> the type of the entries
  */
 public final class PackedRecords<E> {
     private static final Logger LOG = LoggerFactory.getLogger(PackedRecords.class);
 
-    /** Writes a page; the outcome is given to {@link #onPageWritten}. */
+    /** Writes pages to the state store; each outcome is passed to {@link #onPageWritten}. */
     public interface Writer<E> {
         /**
          * Starts the write of a page.
          *
          * @param pageNumber number of the page, from 0
-         * @param entries all entries of its new value
+         * @param entries all entries of the page's new value
          */
         void write(int pageNumber, List<E> entries);
     }
 
     /**
-     * A page with a smaller share of free bytes gets no new entries: it would be written for few of
-     * them.
+     * A page with a smaller fraction of free bytes gets no new entries: each of its writes would
+     * add only few of them.
      */
     private static final double MIN_FREE_FRACTION = 0.25;
 
-    /** Lower bound of the byte limit when values turn out to be too large. */
+    /** Lower bound of the page byte limit, which shrinks when the state store refuses a value. */
     private static final int MIN_PAGE_BYTE_LIMIT = 256;
 
     private static final int MAX_WRITES_IN_FLIGHT = 4;
 
-    /** How many write intervals lie between two writes for compaction. */
+    /** Number of write intervals between two writes for compaction. */
     private static final int COMPACTION_INTERVAL_FACTOR = 8;
 
-    /** The page of an entry, and how many bytes it was counted with. */
+    /** The page of an entry, and the entry's size in the byte count of that page. */
     private record EntryLocation<E>(RecordPage<E> page, int bytes) {}
 
     private final double writeIntervalSeconds;
@@ -65,12 +65,12 @@
             new Reference2ObjectOpenHashMap<>();
     private int pageByteLimit;
 
-    /** The page that got the last new entry; null if none did. */
+    /** The page that was last chosen for a new entry; null if none was. */
     private RecordPage<E> openPage;
 
     private int writesInFlight;
 
-    /** Where the next search for due pages begins: pages take turns, so that none is starved. */
+    /** Where the next search for due pages starts: in round-robin order, so that none starves. */
     private int nextPageNumber;
 
     private double nextWriteAtSeconds;
@@ -81,9 +81,9 @@
      *
      * @param pageByteLimit the most bytes of a page
      * @param writeIntervalSeconds seconds between two writes; pages that are written at the same
-     *     time count as writes of their own
-     * @param entryBytes the most bytes that an entry takes
-     * @param isCurrent whether an entry is still to be written
+     *     time are separate writes, each followed by one interval
+     * @param entryBytes an upper bound of the bytes of an entry's stored form
+     * @param isCurrent whether an entry still belongs in the next write of its page
      * @param writer writes the pages
      */
     public PackedRecords(
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Adds an entry that was found stored. An entry that has a page already keeps it, as an entry
-     * is on one page only.
+     * Adds an entry that was read from a stored page. An entry that has a page already keeps that
+     * page, because an entry is on one page only.
      */
     public void restore(int pageNumber, E entry) {
         RecordPage<E> page = getOrCreatePage(pageNumber);
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Adds a new entry, or takes in the change of a present one: its page is to be written. An
-     * entry that outgrew its page moves to another one.
+     * Adds a new entry or updates the size of a changed one, and marks its page to be written. An
+     * entry that has outgrown its page moves to another one.
      */
     public void put(E entry) {
         EntryLocation<E> location = locations.get(entry);
@@ -156,7 +156,7 @@
         source.startMigration(entry);
         RecordPage<E> target = findPageWithRoom(bytes);
         assign(entry, target, entryBytes.applyAsInt(entry));
-        // The target's stored value may hold an older state of the entry.
+        // The stored value of the target page may hold an outdated state of the entry.
         target.removeStored(entry);
         target.markDirty();
     }
@@ -172,7 +172,7 @@
         return openPage;
     }
 
-    /** The smallest page that accepts entries; null if none does. */
+    /** Returns the smallest page that accepts entries; null if none does. */
     private RecordPage<E> findSmallestPage() {
         RecordPage<E> smallest = null;
         for (RecordPage<E> page : pages) {
@@ -191,8 +191,8 @@
     }
 
     /**
-     * Puts {@code replacement} in the place of {@code entry}, whose stored form is the same. The
-     * entry must be present.
+     * Replaces {@code entry}, which must have a page, by {@code replacement}. Both must have the
+     * same stored form.
      */
     public void replace(E entry, E replacement) {
         RecordPage<E> page = locations.get(entry).page;
@@ -204,7 +204,7 @@
         }
     }
 
-    /** Removes an entry. Its page need not be written for that. */
+    /** Removes an entry. Its page is not written because of that. */
     public void remove(E entry) {
         EntryLocation<E> location = locations.remove(entry);
         if (location != null) {
@@ -213,16 +213,17 @@
     }
 
     /**
-     * Requests that pages are written again whose stored values hold entries of this kind, as these
-     * would mislead the next leader. Such writes wait for all others.
+     * Requests that pages whose stored values hold obsolete entries are written again, because the
+     * next leader would read these entries as current. Such writes start only when no other write
+     * is due or in flight.
      */
-    public void requestCompaction(Predicate<E> isMisleading) {
+    public void requestCompaction(Predicate<E> isObsolete) {
         for (RecordPage<E> page : pages) {
-            page.requestCompaction(isMisleading);
+            page.requestCompaction(isObsolete);
         }
     }
 
-    /** Starts the writes that are due. */
+    /** Starts the page writes that are due. */
     public void writeDuePages(double nowSeconds) {
         if (nowSeconds < nextWriteAtSeconds) {
             return;
@@ -236,7 +237,7 @@
         }
     }
 
-    /** Returns how many writes it started. */
+    /** Starts the writes of changed pages; returns how many it started. */
     private int writeDirtyPages() {
         int writesStarted = 0;
         int firstPageNumber = nextPageNumber;
@@ -251,9 +252,9 @@
         return writesStarted;
     }
 
-    /** Returns how many writes it started: one, or none if there was nothing to compact. */
+    /** Starts the write of one page that needs compaction; returns 1, or 0 if none needs it. */
     private int compactOnePage(double nowSeconds) {
-        // By index: preparing a page may add pages to the list.
+        // Iterates by index, because prepareForWrite may append pages to the list.
         for (int i = 0; i < pages.size(); i++) {
             RecordPage<E> page = pages.get(i);
             if (page.needsCompaction() && prepareForWrite(page)) {
@@ -267,8 +268,9 @@
     }
 
     /**
-     * Moves entries to other pages until the page is small enough. Returns whether it may be
-     * written, that is whether all entries that left it are stored elsewhere.
+     * Moves entries to other pages until the page is within the byte limit. Returns whether the
+     * page may be written, that is whether all entries that left it are removed or are stored on
+     * other pages.
      */
     private boolean prepareForWrite(RecordPage<E> page) {
         while (page.bytes() > pageByteLimit && page.entryCount() > 1) {
@@ -290,9 +292,9 @@
     }
 
     /**
-     * Takes in the outcome of a write. A page that may not be stored is written again.
+     * Handles the outcome of a page write. If that is unknown, the page is written again.
      *
-     * @return the entries of the write; empty if none of this page was in flight
+     * @return the entries of the write; empty if no write of this page was in flight
      */
     public List<E> onPageWritten(int pageNumber, PageWriteOutcome outcome) {
         RecordPage<E> page = pageNumber < pages.size() ? pages.get(pageNumber) : null;
@@ -310,8 +312,8 @@
     }
 
     /**
-     * The state store refused a value of this page's size: all pages are smaller from now on. A
-     * page with a single entry is not written again.
+     * Reduces the byte limit of all pages, because the state store refused a value of this page's
+     * size. The page is written again unless it holds a single entry, which cannot be split.
      */
     private void reducePageByteLimit(RecordPage<E> page) {
         pageByteLimit =
@@ -322,7 +324,7 @@
             page.clearDirty();
         }
         LOG.error(
-                "page too large for the state store: entries={} newPageByteLimit={}",
+                "record page refused as too large by the state store: entries={} newPageByteLimit={}",
                 page.entryCount(),
                 pageByteLimit);
     }
--- a/src/main/java/io/kelphoist/records/PageWriteOutcome.java
+++ b/src/main/java/io/kelphoist/records/PageWriteOutcome.java
@@ -4,8 +4,8 @@
 public enum PageWriteOutcome {
     /** The page is stored. */
     STORED,
-    /** It is not known whether the page is stored. */
+    /** The outcome of the write is unknown: the page may be stored or not. */
     UNKNOWN,
-    /** The page is not stored: the state store takes no value of this size. */
+    /** The page is not stored: the state store refuses values of this size. */
     TOO_LARGE
 }
--- a/src/main/java/io/kelphoist/records/RecordPage.java
+++ b/src/main/java/io/kelphoist/records/RecordPage.java
@@ -7,23 +7,23 @@
 import java.util.function.Predicate;
 
 /**
- * One page of {@link PackedRecords}: the entries that belong on it, what its stored value holds as
- * far as is known, and the write in flight.
+ * One page of {@link PackedRecords}: the entries assigned to it, the entries that its stored value
+ * holds according to the last load or confirmed write, and the write in flight.
  */
 final class RecordPage<E> {
     private final int number;
     private final ReferenceLinkedOpenHashSet<E> entries = new ReferenceLinkedOpenHashSet<>();
 
-    /** What the stored value holds, as far as is known. */
+    /** Entries that the stored value holds, according to the last load or confirmed write. */
     private final Set<E> storedEntries = new ReferenceLinkedOpenHashSet<>();
 
     /**
-     * Entries that moved to other pages. Until they are stored there, this page's stored value is
-     * the only one that holds them, so this page is not written.
+     * Entries that moved to other pages. Until they are stored there, only the stored value of this
+     * page holds them, so this page is not written.
      */
     private final List<E> migratingEntries = new ArrayList<>();
 
-    /** What the write in flight holds; empty without one. */
+    /** Entries in the write in flight; empty if no write is in flight. */
     private List<E> entriesInFlight = List.of();
 
     private boolean writeInFlight;
@@ -39,7 +39,7 @@
         return number;
     }
 
-    /** The most bytes that its entries take. */
+    /** An upper bound of the bytes of the stored form of its entries. */
     int bytes() {
         return bytes;
     }
@@ -57,7 +57,7 @@
         return writeInFlight;
     }
 
-    /** Whether it has changes to be stored, and no write of it is in flight. */
+    /** Whether it has changes to be written and no write of it is in flight. */
     boolean isWriteDue() {
         return dirty && !writeInFlight;
     }
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Whether new entries may be added. A page whose entries wait to be stored on another page
-     * accepts none, so no two pages ever wait for each other.
+     * Whether new entries may be added. A page that waits until entries of it are stored on another
+     * page accepts none, so that no two pages ever wait for each other.
      */
     boolean acceptsEntries() {
         return !writeInFlight && migratingEntries.isEmpty();
@@ -100,29 +100,29 @@
         return storedEntries.contains(entry);
     }
 
-    /** The entry was found in the stored value. */
+    /** Records that the stored value holds the entry. */
     void addStored(E entry) {
         storedEntries.add(entry);
     }
 
-    /** What the stored value holds of the entry is out of date. */
+    /** Records that the state of the entry in the stored value is outdated. */
     void removeStored(E entry) {
         storedEntries.remove(entry);
     }
 
-    /** The entry moved to another page: this one is written once the entry is stored there. */
+    /** Records that the entry moved to another page, which must be stored before this page. */
     void startMigration(E entry) {
         dirty = true;
         migratingEntries.add(entry);
     }
 
-    /** Ends the migrations that are complete; true if none is left. */
+    /** Removes the migrations that are complete; returns whether none is left. */
     boolean finishMigrations(Predicate<E> isComplete) {
         migratingEntries.removeIf(isComplete);
         return migratingEntries.isEmpty();
     }
 
-    /** The stored form of {@code entry} stands for {@code replacement} from now on. */
+    /** Makes {@code replacement} the entry that the stored form of {@code entry} represents. */
     void replaceStored(E entry, E replacement) {
         if (storedEntries.contains(entry)) {
             storedEntries.add(replacement);
@@ -137,14 +137,14 @@
         migratingEntries.replaceAll(e -> e == entry ? replacement : e);
     }
 
-    /** Requests compaction if an entry of this kind is stored, or is about to be. */
-    void requestCompaction(Predicate<E> isMisleading) {
+    /** Requests compaction if an obsolete entry is stored or is in the write in flight. */
+    void requestCompaction(Predicate<E> isObsolete) {
         needsCompaction |=
-                storedEntries.stream().anyMatch(isMisleading)
-                        || entriesInFlight.stream().anyMatch(isMisleading);
+                storedEntries.stream().anyMatch(isObsolete)
+                        || entriesInFlight.stream().anyMatch(isObsolete);
     }
 
-    /** Begins a write; returns what it is to hold. */
+    /** Marks a write as in flight; returns the entries to write. */
     List<E> beginWrite(Predicate<E> isCurrent) {
         dirty = false;
         needsCompaction = false;
@@ -153,7 +153,7 @@
         return entriesInFlight;
     }
 
-    /** The write in flight ended; returns what it held. */
+    /** Ends the write in flight; returns the entries in it. */
     List<E> endWrite() {
         List<E> written = entriesInFlight;
         entriesInFlight = List.of();
@@ -161,7 +161,7 @@
         return written;
     }
 
-    /** The stored value holds these entries and no others. */
+    /** Records that the stored value holds these entries and no others. */
     void setStored(List<E> stored) {
         storedEntries.clear();
         storedEntries.addAll(stored);
--- a/src/main/java/io/kelphoist/scheduler/SchedulerParts.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerParts.java
@@ -37,7 +37,7 @@
 import io.kelphoist.scheduler.spi.SchedulerOutput;
 import java.util.Collection;
 
-/** Creates and connects the parts of one term's scheduler. */
+/** Creates and connects the components of one term's scheduler. */
 final class SchedulerParts {
     final SchedulerContext context;
     final ImageCatalog imageCatalog = new ImageCatalog();
--- a/src/main/java/io/kelphoist/scheduler/SchedulerState.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerState.java
@@ -29,12 +29,12 @@
 import java.util.List;
 
 /**
- * The scheduler of one leader's term: jobs, machines and what may run where. This is the entry for
- * input events, which come with their time in seconds of the monotonic clock; what the scheduler
- * asks for goes to {@link SchedulerOutput}. There is no I/O and no clock here. Not thread-safe: all
- * methods are called on the event loop.
+ * The scheduler of one leader's term: its jobs, its machines, and the task attempts that may run on
+ * each machine. This class is the entry point for input events, each of which has its time in
+ * seconds of the monotonic clock; the scheduler's requests go to {@link SchedulerOutput}. The class
+ * uses no I/O and no clock. Not thread-safe: all methods are called on the event loop.
  *
- * <p>Holds no state itself: that is in {@link SchedulerParts}.
+ * <p>Its state is in the components that {@link SchedulerParts} connects.
  */
 public final class SchedulerState {
     private final PromotionGate promotionGate;
@@ -42,10 +42,12 @@
     private final MachineRegistry machines;
 
     /**
-     * @param delegatedRenewals when others may have renewed a machine's lease
-     * @param promotionGate what must hold before anything is decided
-     * @param term the leader's term, which its fencing token holds
-     * @param machineTypes the types that the cloud offers, as far as known
+     * Creates the scheduler of a term, without jobs and machines.
+     *
+     * @param delegatedRenewals when delegates may have renewed a machine's lease
+     * @param promotionGate the conditions for the first decision
+     * @param term the leader's term, which is its fencing token
+     * @param machineTypes the machine types of the cloud that are known at this time
      */
     public SchedulerState(
             SchedulingPolicy policy,
@@ -63,12 +65,12 @@
 
     // ---- queries ----
 
-    /** The jobs that this term works on; not to be changed. */
+    /** The jobs registered with the scheduler; callers must not modify the collection. */
     public Collection<Job> jobs() {
         return parts.context.jobs().all();
     }
 
-    /** The machines that this term knows; not to be changed. */
+    /** The machines registered with the scheduler; callers must not modify the collection. */
     public Collection<Machine> machines() {
         return machines.all();
     }
@@ -83,12 +85,12 @@
         return parts.senderResolver.isDeposed();
     }
 
-    /** Whether decisions are allowed, as the first round of heartbeats after failover is over. */
+    /** Whether decisions are allowed: the first round of heartbeats after failover has ended. */
     public boolean isRecovered() {
         return promotionGate.mayDecide(Double.NaN);
     }
 
-    /** Whether commands to some machine were sent and have not ended. */
+    /** Whether commands to any machine are in flight. */
     public boolean hasCommandsInFlight() {
         for (Machine machine : machines.all()) {
             if (machine.contact().hasCommandsInFlight()) {
@@ -98,7 +100,7 @@
         return false;
     }
 
-    /** How many machines were considered for jobs so far: a measure of what decisions cost. */
+    /** How many machines were evaluated for jobs so far: a measure of the cost of decisions. */
     public long consideredMachineCount() {
         return parts.allocator.evaluationCount();
     }
@@ -114,22 +116,22 @@
         return parts.context.catalog().zones().name(zone);
     }
 
-    /** The longest time that a job without any started task waits, in seconds; 0: none waits. */
+    /** The longest wait of a job without any started task, in seconds; 0 if no such job waits. */
     public double longestWaitSeconds() {
         return parts.queueWaitTracker.longestWaitSeconds();
     }
 
-    /** How many jobs and tasks {@link #reconcileJobs} found lost so far. */
+    /** How many lost jobs and lost tasks {@link #reconcileJobs} has found and repaired so far. */
     public long repairCount() {
         return parts.jobReconciler.repairCount();
     }
 
-    /** What a machine should have cached, as it is stored. */
+    /** The images that a machine should have cached, in the form of their stored record. */
     public CachedImages cachedImages(Machine machine) {
         return parts.imageCatalog.describeCached(machine.name(), machine.images().cached());
     }
 
-    /** What is replicated to followers: the machines that are, or are about to be, up. */
+    /** The machine states to replicate to followers: of machines that are up or will be up. */
     public List<ReplicatedMachine> replicatedMachines() {
         return MachineReplication.describe(machines.all(), parts.context.catalog().zones());
     }
@@ -137,23 +139,23 @@
     // ---- jobs ----
 
     /**
-     * A job's record, as read or changed at the state service.
+     * Applies a job's record, as read from the state store or as changed there.
      *
-     * @param ageSeconds how long ago the job was accepted; of a done job, how long ago that was
+     * @param ageSeconds seconds since the job was accepted; for a done job, since its end was
      *     stored
      */
     public void onJobRecord(JobRecord record, double ageSeconds, double nowSeconds) {
         parts.jobRecordHandler.onRecord(record, ageSeconds, nowSeconds);
     }
 
-    /** The outcome of {@link SchedulerOutput#readJob} where no readable record exists. */
+    /** Handles the outcome of {@link SchedulerOutput#readJob} that no readable record exists. */
     public void onJobNotFound(String id, double nowSeconds) {
         parts.jobDependencies.onJobNotFound(id, nowSeconds);
     }
 
     /**
-     * The outcome of {@link SchedulerOutput#storeDone} or {@link SchedulerOutput#storeCancelled},
-     * unless it was stored for sure: it is requested again.
+     * Handles a failure or unknown outcome of {@link SchedulerOutput#storeDone} or {@link
+     * SchedulerOutput#storeCancelled}: the write is requested again.
      */
     public void onJobEndNotStored(String id) {
         parts.jobRecordHandler.onEndNotStored(id);
@@ -164,35 +166,36 @@
      * records that are to be passed to {@link #onJobRecord} again.
      */
     public List<JobRecord> reconcileJobs(
-            Collection<JobRecord> unfinished, double knownUntilSeconds, double nowSeconds) {
-        return parts.jobReconciler.reconcile(unfinished, knownUntilSeconds, nowSeconds);
+            Collection<JobRecord> unfinished, double changesReadUntilSeconds, double nowSeconds) {
+        return parts.jobReconciler.reconcile(unfinished, changesReadUntilSeconds, nowSeconds);
     }
 
-    // ---- records of earlier terms, and their writes ----
+    // ---- records of earlier terms, and outcomes of writes ----
 
-    /** Done tasks that an earlier term stored; called after the jobs' parts.records. */
+    /** Restores done tasks that an earlier term stored; called after the job records are read. */
     public void onProgressLoaded(int page, TaskProgress stored) {
         parts.stateRecovery.onProgressLoaded(page, stored);
     }
 
-    /** What an earlier term stored as cached on a machine. */
+    /** Restores the images that an earlier term stored as cached on a machine, at any time. */
     public void onImagesLoaded(int page, CachedImages images) {
         parts.stateRecovery.onImagesLoaded(page, images);
     }
 
-    /** A start that an earlier term stored; called after the jobs' parts.records. */
+    /** Restores a start that an earlier term stored; called after the job records are read. */
     public void onStartLoaded(int page, RecordedStart start, double nowSeconds) {
         parts.stateRecovery.onStartLoaded(page, start, nowSeconds);
     }
 
-    /** A machine as an earlier leader replicated it. */
+    /** Restores a machine from the state that an earlier leader replicated. */
     public void onReplicatedMachine(ReplicatedMachine replicated, double nowSeconds) {
         parts.stateRecovery.onReplicatedMachine(replicated, nowSeconds);
     }
 
     /**
-     * All records were read. Heartbeats that came meanwhile were answered without being applied, so
-     * each machine may have been answered until now.
+     * Handles the end of loading: all records have been read. Heartbeats that arrived during the
+     * load were acknowledged without being applied, so the lease of each machine may have been
+     * renewed at any time until now.
      */
     public void onRecordsLoaded(double nowSeconds) {
         for (Machine machine : machines.all()) {
@@ -201,17 +204,17 @@
         parts.jobRecordHandler.onRecordsLoaded();
     }
 
-    /** The outcome of {@link SchedulerOutput#storeProgress}. */
+    /** Handles the outcome of {@link SchedulerOutput#storeProgress}. */
     public void onProgressStored(int page, PageWriteOutcome outcome) {
         parts.records.progress().onPageWritten(page, outcome);
     }
 
-    /** The outcome of {@link SchedulerOutput#storeImages}. */
+    /** Handles the outcome of {@link SchedulerOutput#storeImages}. */
     public void onImagesStored(int page, PageWriteOutcome outcome) {
         parts.records.images().onPageWritten(page, outcome);
     }
 
-    /** The outcome of {@link SchedulerOutput#storeStarts}. */
+    /** Handles the outcome of {@link SchedulerOutput#storeStarts}. */
     public void onStartsStored(int page, PageWriteOutcome outcome) {
         parts.commandDispatcher.enqueueAll(parts.records.starts().onPageWritten(page, outcome));
     }
@@ -219,10 +222,11 @@
     // ---- workers ----
 
     /**
-     * A heartbeat of a worker; returns the commands of the answer, or null, see {@link
-     * HeartbeatHandler#onHeartbeat}.
+     * Handles a heartbeat from a worker; returns the commands for the response, or null if the
+     * heartbeat must be refused, see {@link HeartbeatHandler#onHeartbeat}.
      *
-     * @param receivingController the controller that the worker sent it to; empty: this one
+     * @param receivingController the controller that the worker sent the heartbeat to; empty for
+     *     this controller
      */
     public List<WorkerCommand> onHeartbeat(
             Heartbeat heartbeat, String receivingController, double nowSeconds) {
@@ -230,10 +234,10 @@
     }
 
     /**
-     * How a request for a heartbeat ended. The address may belong to another machine by now, which
-     * then responds for itself.
+     * Handles the outcome of a status request. The machine's address may have been reassigned to
+     * another machine, which then responds with its own heartbeat.
      *
-     * @param heartbeat the response; null: there was none
+     * @param heartbeat the heartbeat in the response; null if there was no response
      */
     public void onStatusRequestOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat, double nowSeconds) {
@@ -246,9 +250,9 @@
     }
 
     /**
-     * The outcome of {@link SchedulerOutput#probe}.
+     * Handles the outcome of {@link SchedulerOutput#probe}.
      *
-     * @param heartbeat the response; null: there was none
+     * @param heartbeat the heartbeat in the response; null if there was no response
      */
     public void onProbeOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat, double nowSeconds) {
@@ -256,9 +260,9 @@
     }
 
     /**
-     * The outcome of {@link SchedulerOutput#sendCommands}.
+     * Handles the outcome of {@link SchedulerOutput#sendCommands}.
      *
-     * @param heartbeat the worker's, where its response holds one; else null
+     * @param heartbeat the heartbeat in the worker's response; null if there was none
      */
     public void onCommandOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat, double nowSeconds) {
@@ -274,24 +278,24 @@
 
     // ---- cloud ----
 
-    /** The cloud offers these machine types, besides or in place of those known by these names. */
+    /** Adds machine types that the cloud offers; a type replaces a previous one of its name. */
     public void addMachineTypes(Collection<MachineType> newTypes) {
         parts.context.catalog().addTypes(newTypes);
     }
 
-    /** A whole list of the cloud's instances. */
+    /** Handles a complete instance list of the cloud, consisting of all its pages. */
     public void onInstanceList(List<InstanceListPage> pages, double nowSeconds) {
         pages.forEach(page -> parts.autoscaler.onInstanceListPage(page, nowSeconds));
         promotionGate.onInstancesListed(nowSeconds);
     }
 
-    /** The outcome of {@link SchedulerOutput#scaleOut}. */
+    /** Handles the outcome of {@link SchedulerOutput#scaleOut}. */
     public void onScaleOutResponse(
             ScaleOutRequest request, ScaleOutResult result, double nowSeconds) {
         parts.autoscaler.onScaleOutResponse(request, result, nowSeconds);
     }
 
-    /** The cloud confirmed that these machines are terminated, with all that was on them. */
+    /** Handles the cloud's confirmation that these machines, and all tasks on them, have ended. */
     public void onScaleInConfirmed(List<String> names, double nowSeconds) {
         parts.autoscaler.onScaleInConfirmed();
         for (String name : names) {
@@ -299,14 +303,14 @@
         }
     }
 
-    /** Nobody knows whether the last scale-in took place: it is requested again. */
+    /** Handles an unknown outcome of the last scale-in request: it is requested again. */
     public void onScaleInFailed(double nowSeconds) {
         parts.autoscaler.onScaleInFailed(nowSeconds);
     }
 
     // ---- time ----
 
-    /** Does what is due, and decides. Called often, and after each input event. */
+    /** Runs the work that is due and the decisions. Called often and after each input event. */
     public void tick(double nowSeconds) {
         parts.leaseMonitor.run(nowSeconds);
         parts.jobEndWriter.storeDueEnds();
--- a/src/main/java/io/kelphoist/scheduler/StateRecovery.java
+++ b/src/main/java/io/kelphoist/scheduler/StateRecovery.java
@@ -17,8 +17,9 @@
 import io.kelphoist.scheduler.records.SchedulerRecords;
 
 /**
- * Restores what earlier terms stored (starts, done tasks, cached images) and what their leaders
- * replicated of machines. Called after the jobs' records were read, before the first decision.
+ * Restores the records that earlier terms stored (starts, done tasks, cached images) and the
+ * machine states that their leaders replicated. Called after the job records have been read and
+ * before the first decision; only the cached images, which are a hint, may be restored later.
  */
 final class StateRecovery {
     private final MachineCatalog catalog;
@@ -35,7 +36,7 @@
         this.records = records;
     }
 
-    /** Done tasks of an unfinished job. */
+    /** Restores the done tasks of a job, unless the job is not registered. */
     void onProgressLoaded(int page, TaskProgress stored) {
         Job job = jobs.get(stored.jobId());
         if (job != null) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /** Images that should be cached on a machine, which need not be known yet. */
+    /** Restores the images that a machine should have cached, now or once it is registered. */
     void onImagesLoaded(int page, CachedImages images) {
         records.images().addUnclaimed(page, images);
         Machine machine = machines.get(images.machineName());
@@ -54,9 +55,9 @@
     }
 
     /**
-     * A start that an earlier term recorded. Until the machine reports, or its lease has expired,
-     * the task is presumed to be there. No other task can be: a start is recorded before it is
-     * sent.
+     * Restores a start that an earlier term recorded. The task is presumed to run on the machine
+     * until the machine sends a heartbeat or its lease has expired. No task without a record can
+     * run there, because each start is recorded before it is sent.
      */
     void onStartLoaded(int page, RecordedStart start, double nowSeconds) {
         MachineType machineType = catalog.type(start.machineType());
@@ -94,8 +95,9 @@
     }
 
     /**
-     * A machine as an earlier leader replicated it: a hint whom to ask for a heartbeat. It counts
-     * as answered until now, as nobody knows better.
+     * Restores a machine from the state that an earlier leader replicated: a hint to which machines
+     * status requests must be sent. Its lease is measured from now, because it is unknown when an
+     * earlier leader last acknowledged a heartbeat of it.
      */
     void onReplicatedMachine(ReplicatedMachine replicated, double nowSeconds) {
         MachineType machineType = catalog.type(replicated.machineType());
--- a/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
@@ -11,15 +11,15 @@
 import java.util.Map;
 
 /**
- * Records at the state store of which images machines should have cached. Workers do not report
- * this, and a leader without it places tasks where their image has to be fetched first. A hint
- * only, so it is written seldom.
+ * Records in the state store of the images that each machine should have cached. Workers do not
+ * report their cached images, and a leader without these records would place tasks on machines that
+ * have to fetch the image first. The records are only a hint, so they are written seldom.
  */
 public final class ImageCacheRecords {
     private static final int ENTRY_OVERHEAD_BYTES = 8;
     private static final int IMAGE_OVERHEAD_BYTES = 4;
 
-    /** What an earlier term stored of a machine that is not known yet. */
+    /** The cached images that an earlier term stored for a machine that is not registered yet. */
     private record UnclaimedRecord(int pageNumber, CachedImages images) {}
 
     private final ImageCatalog imageCatalog;
@@ -51,19 +51,19 @@
                 + IMAGE_OVERHEAD_BYTES;
     }
 
-    /** Keeps what an earlier term stored of a machine until the machine is known. */
+    /** Keeps the images that an earlier term stored for a machine until that is registered. */
     public void addUnclaimed(int pageNumber, CachedImages images) {
         unclaimedByMachine.put(images.machineName(), new UnclaimedRecord(pageNumber, images));
     }
 
-    /** Gives a machine that became known the images that an earlier term stored of it. */
+    /** Restores the cached images that an earlier term stored for a machine registered now. */
     public void restoreMachine(Machine machine) {
         UnclaimedRecord unclaimed = unclaimedByMachine.remove(machine.name());
         if (unclaimed != null) {
             unclaimed.images.images().forEach(image -> restoreImage(machine, image));
-            boolean alreadyAssigned = pages.contains(machine);
+            boolean alreadyOnPage = pages.contains(machine);
             pages.restore(unclaimed.pageNumber, machine);
-            if (alreadyAssigned) {
+            if (alreadyOnPage) {
                 pages.put(machine);
             }
         }
@@ -74,22 +74,22 @@
         machine.images().recordUse(index, image.sizeGb(), imageCatalog::sizeGb);
     }
 
-    /** The machine's cache has changed. */
+    /** Marks the record of a machine whose cached images have changed to be written. */
     public void onImagesChanged(Machine machine) {
         pages.put(machine);
     }
 
-    /** Removes a machine that is terminated. */
+    /** Removes the record of a machine that is terminated. */
     public void onMachineTerminated(Machine machine) {
         pages.remove(machine);
     }
 
-    /** Starts the writes that are due. */
+    /** Requests the page writes that are due. */
     void writeDuePages(double nowSeconds) {
         pages.writeDuePages(nowSeconds);
     }
 
-    /** Takes in the outcome of a write. */
+    /** Handles the outcome of a page write. */
     public void onPageWritten(int pageNumber, PageWriteOutcome outcome) {
         pages.onPageWritten(pageNumber, outcome);
     }
--- a/src/main/java/io/kelphoist/scheduler/records/ProgressRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/ProgressRecords.java
@@ -13,27 +13,29 @@
 import java.util.Map;
 
 /**
- * Records at the state store of which tasks of unfinished jobs are done. A worker is told to forget
- * a done task only after the task is on record here.
+ * Records in the state store of the done tasks of unfinished jobs. A worker gets the forget command
+ * for a done task only after the task is stored in one of these records.
  */
 public final class ProgressRecords {
     /**
-     * The most tasks of a segment: a kilobyte of bits. Where values must be smaller, segments are
-     * smaller too, so that a whole number of them makes up one of this size.
+     * The most tasks of a segment: one kilobyte of bits. If stored values must be smaller, segments
+     * hold fewer tasks, by a power of two, so that a whole number of them covers a segment of this
+     * size.
      */
     private static final int MAX_TASKS_PER_SEGMENT = 8192;
 
-    /** Done tasks are stored as bits in Base64, which has six bits in each byte. */
+    /** Done tasks are stored as bits in Base64, which encodes six bits in each byte. */
     private static final int TASKS_PER_ENCODED_BYTE = 6;
 
-    /** Base64 encodes 24 bits at a time in 4 bytes. */
+    /** Base64 encodes each group of 24 bits in 4 bytes. */
     private static final int TASKS_PER_BASE64_GROUP = 24;
 
     private static final int BYTES_PER_BASE64_GROUP = 4;
 
-    /** What a segment takes besides its bits, when the size of segments is chosen. */
+    /** Bytes of an entry besides its bits that are assumed when the segment size is chosen. */
     private static final int SEGMENT_OVERHEAD_BYTES = 80;
 
+    /** Bytes of an entry besides its job id and its bits. */
     private static final int ENTRY_OVERHEAD_BYTES = 16;
 
     /** A range of a job's tasks that is stored as one entry. */
@@ -41,7 +43,7 @@
         private final Job job;
         private final int firstTask;
 
-        /** Done tasks of the last write, counted from the first task of the segment. */
+        /** The done tasks in the last write, as indexes relative to the segment's first task. */
         private BitSet doneInFlight;
 
         Segment(Job job, int firstTask) {
@@ -57,7 +59,7 @@
                     + groups * BYTES_PER_BASE64_GROUP;
         }
 
-        /** The done tasks as they are now, to be written. */
+        /** Returns the entry to be written, with the tasks that are done now. */
         TaskProgress beginWrite() {
             doneInFlight = job.tasks().copyOfDone(firstTask, firstTask + tasksPerSegment);
             return new TaskProgress(job.spec().id(), firstTask, doneInFlight);
@@ -94,7 +96,7 @@
                 Integer.highestOneBit(bytesForTasks * TASKS_PER_ENCODED_BYTE));
     }
 
-    /** Adds a stored entry of an earlier term, whose segments may have been larger. */
+    /** Adds an entry that an earlier term stored, whose segments may have been larger. */
     public void restore(int pageNumber, Job job, int firstTask) {
         int endTask = Math.min(firstTask + MAX_TASKS_PER_SEGMENT, job.spec().tasks());
         for (int task = firstTask; task < endTask; task += tasksPerSegment) {
@@ -105,7 +107,7 @@
         }
     }
 
-    /** A task is done, which is to be stored. */
+    /** Marks the segment of a task that is done now to be written. */
     public void onTaskDone(Job job, int task) {
         pages.put(getOrCreateSegment(job, task / tasksPerSegment * tasksPerSegment));
     }
@@ -122,7 +124,7 @@
         return segment;
     }
 
-    /** Removes a job whose end is on record. */
+    /** Removes the segments of a job whose end is stored. */
     public void onJobEnded(Job job) {
         List<Segment> segments = segmentsByJob.remove(job);
         if (segments != null) {
@@ -130,12 +132,12 @@
         }
     }
 
-    /** Starts the writes that are due. */
+    /** Requests the page writes that are due. */
     void writeDuePages(double nowSeconds) {
         pages.writeDuePages(nowSeconds);
     }
 
-    /** Takes in the outcome of a write: what is stored counts as such for the job. */
+    /** Handles the outcome of a page write: marks the done tasks in it as stored if it was. */
     public void onPageWritten(int pageNumber, PageWriteOutcome outcome) {
         for (Segment segment : pages.onPageWritten(pageNumber, outcome)) {
             if (outcome == PageWriteOutcome.STORED) {
--- a/src/main/java/io/kelphoist/scheduler/records/StartIntentLog.java
+++ b/src/main/java/io/kelphoist/scheduler/records/StartIntentLog.java
@@ -11,14 +11,15 @@
 import java.util.Set;
 
 /**
- * Write-ahead records of task starts: a start is sent only after it is on record at the state
- * store, so the next leader knows everything that may run. Starts that are decided at about the
- * same time share a write.
+ * Write-ahead log of task starts: a start command is sent only after the start is stored in the
+ * state store, so that the next leader can read every task attempt that may run. Starts that are
+ * decided at about the same time share a write.
  */
 public final class StartIntentLog {
-    /** Quotes, commas and brackets around an entry that shares nothing with others. */
+    /** Quotes, commas and brackets around an entry that shares nothing with other entries. */
     private static final int ENTRY_OVERHEAD_BYTES = 24;
 
+    /** An upper bound of the digits of a task index. */
     private static final int MAX_TASK_DIGITS = 6;
 
     private final NameIndex zones;
@@ -46,12 +47,12 @@
                 + ENTRY_OVERHEAD_BYTES;
     }
 
-    /** An exited attempt may run again as long as a start of it may still be delivered. */
+    /** Whether the attempt may run: an exited one may run again if its start may still arrive. */
     private static boolean mayRun(TaskAttempt attempt) {
         return attempt.state() != TaskAttempt.State.EXITED || attempt.mayStartArrive();
     }
 
-    /** Adds an attempt that an earlier term stored. */
+    /** Adds an attempt whose start an earlier term stored. */
     public void restore(int pageNumber, TaskAttempt attempt) {
         pages.restore(pageNumber, attempt);
     }
@@ -62,9 +63,9 @@
     }
 
     /**
-     * Adds an attempt of an earlier term that a worker reported.
+     * Adds an attempt of an earlier term that a worker lists.
      *
-     * @param presumed the attempt that stands for it on record; null if there is none
+     * @param presumed the attempt that represents its stored start; null if no start is stored
      */
     public void adopt(TaskAttempt attempt, TaskAttempt presumed) {
         if (presumed == null) {
@@ -74,25 +75,28 @@
         }
     }
 
-    /** Removes an attempt that is gone. */
+    /** Removes an attempt that is proven not to be on its machine. */
     public void onAttemptEnded(TaskAttempt attempt) {
         pages.remove(attempt);
     }
 
     /**
-     * Nothing runs on the machine any more. Its stored attempts are to be removed from the record,
-     * as the next leader would wait for the machine.
+     * Requests that the stored attempts of a machine on which nothing runs any more are removed
+     * from the record: otherwise the next leader would wait for the machine.
      */
     public void onNothingRunning(Machine machine) {
         pages.requestCompaction(attempt -> attempt.machine() == machine);
     }
 
-    /** Starts the writes that are due. */
+    /** Requests the page writes that are due. */
     void writeDuePages(double nowSeconds) {
         pages.writeDuePages(nowSeconds);
     }
 
-    /** Takes in the outcome of a write; returns the machines of its attempts. */
+    /**
+     * Handles the outcome of a page write: marks the attempts in it as recorded if it was stored.
+     * Returns the machines of these attempts.
+     */
     public Set<Machine> onPageWritten(int pageNumber, PageWriteOutcome outcome) {
         Set<Machine> machines = new ReferenceLinkedOpenHashSet<>();
         for (TaskAttempt attempt : pages.onPageWritten(pageNumber, outcome)) {
