--- a/src/main/java/io/kelphoist/scheduler/SchedulerParts.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerComponents.java
@@ -38,7 +38,7 @@
 import java.util.Collection;
 
 /** Creates and connects the components of one term's scheduler. */
-final class SchedulerParts {
+final class SchedulerComponents {
     final SchedulerContext context;
     final ImageCatalog imageCatalog = new ImageCatalog();
     final SchedulerRecords records;
@@ -57,7 +57,7 @@
     final Allocator allocator;
     final Autoscaler autoscaler;
 
-    SchedulerParts(
+    SchedulerComponents(
             SchedulingPolicy policy,
             SchedulerOutput output,
             DelegatedRenewals delegatedRenewals,
--- a/src/main/java/io/kelphoist/scheduler/SchedulerState.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerState.java
@@ -34,11 +34,11 @@
  * seconds of the monotonic clock; the scheduler's requests go to {@link SchedulerOutput}. The class
  * uses no I/O and no clock. Not thread-safe: all methods are called on the event loop.
  *
- * <p>Its state is in the components that {@link SchedulerParts} connects.
+ * <p>Its state is in the components that {@link SchedulerComponents} connects.
  */
 public final class SchedulerState {
     private final PromotionGate promotionGate;
-    private final SchedulerParts parts;
+    private final SchedulerComponents components;
     private final MachineRegistry machines;
 
     /**
@@ -57,17 +57,17 @@
             long term,
             Collection<MachineType> machineTypes) {
         this.promotionGate = promotionGate;
-        this.parts =
-                new SchedulerParts(
+        this.components =
+                new SchedulerComponents(
                         policy, output, delegatedRenewals, promotionGate, term, machineTypes);
-        this.machines = parts.context.machines();
+        this.machines = components.context.machines();
     }
 
     // ---- queries ----
 
     /** The jobs registered with the scheduler; callers must not modify the collection. */
     public Collection<Job> jobs() {
-        return parts.context.jobs().all();
+        return components.context.jobs().all();
     }
 
     /** The machines registered with the scheduler; callers must not modify the collection. */
@@ -77,12 +77,12 @@
 
     /** The leader's term. */
     public long term() {
-        return parts.context.term();
+        return components.context.term();
     }
 
     /** Whether a worker has seen a newer term, so that this leader must resign. */
     public boolean isDeposed() {
-        return parts.senderResolver.isDeposed();
+        return components.senderResolver.isDeposed();
     }
 
     /** Whether decisions are allowed: the first round of heartbeats after failover has ended. */
@@ -102,38 +102,38 @@
 
     /** How many machines were evaluated for jobs so far: a measure of the cost of decisions. */
     public long consideredMachineCount() {
-        return parts.allocator.evaluationCount();
+        return components.allocator.evaluationCount();
     }
 
     /** Names of the machines of a zone whose leases only the leader may renew. */
     public List<String> machinesExcludedFromDelegation(String zone) {
-        return parts.leaseMonitor.machinesExcludedFromDelegation(
-                parts.context.catalog().zones().find(zone));
+        return components.leaseMonitor.machinesExcludedFromDelegation(
+                components.context.catalog().zones().find(zone));
     }
 
     /** The name of a zone by its index, see {@link Machine#zone}. */
     public String zoneName(int zone) {
-        return parts.context.catalog().zones().name(zone);
+        return components.context.catalog().zones().name(zone);
     }
 
     /** The longest wait of a job without any started task, in seconds; 0 if no such job waits. */
     public double longestWaitSeconds() {
-        return parts.queueWaitTracker.longestWaitSeconds();
+        return components.queueWaitTracker.longestWaitSeconds();
     }
 
     /** How many lost jobs and lost tasks {@link #reconcileJobs} has found and repaired so far. */
     public long repairCount() {
-        return parts.jobReconciler.repairCount();
+        return components.jobReconciler.repairCount();
     }
 
     /** The images that a machine should have cached, in the form of their stored record. */
     public CachedImages cachedImages(Machine machine) {
-        return parts.imageCatalog.describeCached(machine.name(), machine.images().cached());
+        return components.imageCatalog.describeCached(machine.name(), machine.images().cached());
     }
 
     /** The machine states to replicate to followers: of machines that are up or will be up. */
     public List<ReplicatedMachine> replicatedMachines() {
-        return MachineReplication.describe(machines.all(), parts.context.catalog().zones());
+        return MachineReplication.describe(machines.all(), components.context.catalog().zones());
     }
 
     // ---- jobs ----
@@ -145,12 +145,12 @@
      *     stored
      */
     public void onJobRecord(JobRecord record, double ageSeconds, double nowSeconds) {
-        parts.jobRecordHandler.onRecord(record, ageSeconds, nowSeconds);
+        components.jobRecordHandler.onRecord(record, ageSeconds, nowSeconds);
     }
 
     /** Handles the outcome of {@link SchedulerOutput#readJob} that no readable record exists. */
     public void onJobNotFound(String id, double nowSeconds) {
-        parts.jobDependencies.onJobNotFound(id, nowSeconds);
+        components.jobDependencies.onJobNotFound(id, nowSeconds);
     }
 
     /**
@@ -158,7 +158,7 @@
      * SchedulerOutput#storeCancelled}: the write is requested again.
      */
     public void onJobEndNotStored(String id) {
-        parts.jobRecordHandler.onEndNotStored(id);
+        components.jobRecordHandler.onEndNotStored(id);
     }
 
     /**
@@ -167,29 +167,29 @@
      */
     public List<JobRecord> reconcileJobs(
             Collection<JobRecord> unfinished, double changesReadUntilSeconds, double nowSeconds) {
-        return parts.jobReconciler.reconcile(unfinished, changesReadUntilSeconds, nowSeconds);
+        return components.jobReconciler.reconcile(unfinished, changesReadUntilSeconds, nowSeconds);
     }
 
     // ---- records of earlier terms, and outcomes of writes ----
 
     /** Restores done tasks that an earlier term stored; called after the job records are read. */
     public void onProgressLoaded(int page, TaskProgress stored) {
-        parts.stateRecovery.onProgressLoaded(page, stored);
+        components.stateRecovery.onProgressLoaded(page, stored);
     }
 
     /** Restores the images that an earlier term stored as cached on a machine, at any time. */
     public void onImagesLoaded(int page, CachedImages images) {
-        parts.stateRecovery.onImagesLoaded(page, images);
+        components.stateRecovery.onImagesLoaded(page, images);
     }
 
     /** Restores a start that an earlier term stored; called after the job records are read. */
     public void onStartLoaded(int page, RecordedStart start, double nowSeconds) {
-        parts.stateRecovery.onStartLoaded(page, start, nowSeconds);
+        components.stateRecovery.onStartLoaded(page, start, nowSeconds);
     }
 
     /** Restores a machine from the state that an earlier leader replicated. */
     public void onReplicatedMachine(ReplicatedMachine replicated, double nowSeconds) {
-        parts.stateRecovery.onReplicatedMachine(replicated, nowSeconds);
+        components.stateRecovery.onReplicatedMachine(replicated, nowSeconds);
     }
 
     /**
@@ -201,22 +201,23 @@
         for (Machine machine : machines.all()) {
             machine.contact().onPossiblyAnswered(nowSeconds);
         }
-        parts.jobRecordHandler.onRecordsLoaded();
+        components.jobRecordHandler.onRecordsLoaded();
     }
 
     /** Handles the outcome of {@link SchedulerOutput#storeProgress}. */
     public void onProgressStored(int page, PageWriteOutcome outcome) {
-        parts.records.progress().onPageWritten(page, outcome);
+        components.records.progress().onPageWritten(page, outcome);
     }
 
     /** Handles the outcome of {@link SchedulerOutput#storeImages}. */
     public void onImagesStored(int page, PageWriteOutcome outcome) {
-        parts.records.images().onPageWritten(page, outcome);
+        components.records.images().onPageWritten(page, outcome);
     }
 
     /** Handles the outcome of {@link SchedulerOutput#storeStarts}. */
     public void onStartsStored(int page, PageWriteOutcome outcome) {
-        parts.commandDispatcher.enqueueAll(parts.records.starts().onPageWritten(page, outcome));
+        components.commandDispatcher.enqueueAll(
+                components.records.starts().onPageWritten(page, outcome));
     }
 
     // ---- workers ----
@@ -230,7 +231,7 @@
      */
     public List<WorkerCommand> onHeartbeat(
             Heartbeat heartbeat, String receivingController, double nowSeconds) {
-        return parts.heartbeatHandler.onHeartbeat(heartbeat, receivingController, nowSeconds);
+        return components.heartbeatHandler.onHeartbeat(heartbeat, receivingController, nowSeconds);
     }
 
     /**
@@ -243,7 +244,7 @@
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat, double nowSeconds) {
         Machine machine = machines.get(machineName);
         if (heartbeat != null) {
-            parts.deliveryOutcomeHandler.onResponse(heartbeat, nowSeconds);
+            components.deliveryOutcomeHandler.onResponse(heartbeat, nowSeconds);
         } else if (machine != null) {
             machine.reachability().onUndelivered(outcome, nowSeconds);
         }
@@ -256,7 +257,8 @@
      */
     public void onProbeOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat, double nowSeconds) {
-        parts.deliveryOutcomeHandler.onProbeOutcome(machineName, outcome, heartbeat, nowSeconds);
+        components.deliveryOutcomeHandler.onProbeOutcome(
+                machineName, outcome, heartbeat, nowSeconds);
     }
 
     /**
@@ -270,9 +272,9 @@
         if (machine == null) {
             return;
         }
-        parts.commandDispatcher.onOutcome(machine, outcome, nowSeconds);
+        components.commandDispatcher.onOutcome(machine, outcome, nowSeconds);
         if (heartbeat != null) {
-            parts.deliveryOutcomeHandler.onResponse(heartbeat, nowSeconds);
+            components.deliveryOutcomeHandler.onResponse(heartbeat, nowSeconds);
         }
     }
 
@@ -280,54 +282,54 @@
 
     /** Adds machine types that the cloud offers; a type replaces a previous one of its name. */
     public void addMachineTypes(Collection<MachineType> newTypes) {
-        parts.context.catalog().addTypes(newTypes);
+        components.context.catalog().addTypes(newTypes);
     }
 
     /** Handles a complete instance list of the cloud, consisting of all its pages. */
     public void onInstanceList(List<InstanceListPage> pages, double nowSeconds) {
-        pages.forEach(page -> parts.autoscaler.onInstanceListPage(page, nowSeconds));
+        pages.forEach(page -> components.autoscaler.onInstanceListPage(page, nowSeconds));
         promotionGate.onInstancesListed(nowSeconds);
     }
 
     /** Handles the outcome of {@link SchedulerOutput#scaleOut}. */
     public void onScaleOutResponse(
             ScaleOutRequest request, ScaleOutResult result, double nowSeconds) {
-        parts.autoscaler.onScaleOutResponse(request, result, nowSeconds);
+        components.autoscaler.onScaleOutResponse(request, result, nowSeconds);
     }
 
     /** Handles the cloud's confirmation that these machines, and all tasks on them, have ended. */
     public void onScaleInConfirmed(List<String> names, double nowSeconds) {
-        parts.autoscaler.onScaleInConfirmed();
+        components.autoscaler.onScaleInConfirmed();
         for (String name : names) {
-            parts.context.machineLifecycle().onTerminated(name, nowSeconds);
+            components.context.machineLifecycle().onTerminated(name, nowSeconds);
         }
     }
 
     /** Handles an unknown outcome of the last scale-in request: it is requested again. */
     public void onScaleInFailed(double nowSeconds) {
-        parts.autoscaler.onScaleInFailed(nowSeconds);
+        components.autoscaler.onScaleInFailed(nowSeconds);
     }
 
     // ---- time ----
 
     /** Runs the work that is due and the decisions. Called often and after each input event. */
     public void tick(double nowSeconds) {
-        parts.leaseMonitor.run(nowSeconds);
-        parts.jobEndWriter.storeDueEnds();
+        components.leaseMonitor.run(nowSeconds);
+        components.jobEndWriter.storeDueEnds();
         if (promotionGate.mayDecide(nowSeconds)) {
-            parts.allocator.allocate(nowSeconds);
-            parts.autoscaler.scaleToDemand(parts.allocator.unplacedJobs(), nowSeconds);
-            parts.queueWaitTracker.run(parts.allocator.unplacedJobs(), nowSeconds);
+            components.allocator.allocate(nowSeconds);
+            components.autoscaler.scaleToDemand(components.allocator.unplacedJobs(), nowSeconds);
+            components.queueWaitTracker.run(components.allocator.unplacedJobs(), nowSeconds);
         }
-        parts.jobDependencies.sendDueRequests(nowSeconds);
-        parts.records.writeDuePages(nowSeconds);
-        parts.commandDispatcher.sendPending(nowSeconds);
+        components.jobDependencies.sendDueRequests(nowSeconds);
+        components.records.writeDuePages(nowSeconds);
+        components.commandDispatcher.sendPending(nowSeconds);
     }
 
     // ---- for tests ----
 
     JobRegistry jobRegistry() {
-        return parts.context.jobs();
+        return components.context.jobs();
     }
 
     MachineRegistry machineRegistry() {
@@ -335,6 +337,6 @@
     }
 
     JobFactory jobFactory() {
-        return parts.jobFactory;
+        return components.jobFactory;
     }
 }
