--- a/src/test/java/io/kelphoist/scheduler/Scenario.java
+++ b/src/test/java/io/kelphoist/scheduler/Scenario.java
@@ -11,12 +11,12 @@
 import java.util.function.Consumer;
 
 /**
- * Plays a scenario: each line is an input of the scheduler at a virtual time, or an expectation of
- * its state and requests. This class dispatches lines, and holds the term and the time. {@code
- * docs/SCENARIOS.md} lists the commands.
+ * Executes a scenario: each line is an input of the scheduler at a virtual time, or an expectation
+ * of its state or of its requests. This class dispatches the lines, and owns the scheduler of the
+ * current term and the virtual time. {@code docs/SCENARIOS.md} lists the commands.
  */
 final class Scenario {
-    /** A heartbeat every 2 s, give or take a quarter. */
+    /** The longest heartbeat interval: 2 s with a jitter of a quarter. */
     private static final double HEARTBEAT_ROUND_SECONDS = 2.5;
 
     private static final int MAX_STATUS_REQUESTS = 100;
@@ -26,7 +26,7 @@
     private final ScenarioElection election = new ScenarioElection();
     private final Map<String, Consumer<ScenarioLine>> commands = new HashMap<>();
 
-    /** Machines of which the new leader requested the status, with their agent epochs. */
+    /** Machines with an open status request of the new leader, with the agent epoch in it. */
     private final Map<String, Long> statusRequests = new TreeMap<>();
 
     private SchedulerState schedulerState;
@@ -47,10 +47,13 @@
         commands.put("expect", expectations::check);
     }
 
-    void play(String text) {
+    void execute(String text) {
         ScenarioLine line = new ScenarioLine(text);
-        commands.getOrDefault(line.command(), election::play).accept(line);
-        assertEquals(List.of(), line.unreadWords(), "words that the command does not know");
+        commands.getOrDefault(line.command(), election::execute).accept(line);
+        assertEquals(
+                List.of(),
+                line.unreadWords(),
+                "words of the line that its command does not support");
     }
 
     SchedulerState schedulerState() {
@@ -65,7 +68,7 @@
         return nowSeconds;
     }
 
-    /** A delegate may have renewed the leases of all machines until then. */
+    /** Sets the time until which a delegate may have renewed the leases of all machines. */
     void delegateLeasesUntil(double untilSeconds) {
         delegatedUntilSeconds = untilSeconds;
     }
@@ -74,7 +77,7 @@
         return Collections.unmodifiableMap(statusRequests);
     }
 
-    /** Returns false if the machine's status was not requested. */
+    /** Removes an open status request; returns whether there was one for the machine. */
     boolean removeStatusRequest(String machine) {
         return statusRequests.remove(machine) != null;
     }
@@ -84,12 +87,12 @@
         commands.put("machine-type", setup::addMachineType);
         commands.put("team", setup::addTeam);
         commands.put("max-record-bytes", line -> setup.setMaxRecordBytes(line.intAt(1)));
-        commands.put("term", line -> beginTerm(line.longAt(1)));
+        commands.put("term", line -> startTerm(line.longAt(1)));
         commands.put("at", line -> advanceTo(line.doubleAt(1)));
         commands.put("repeat", this::repeat);
     }
 
-    private void beginTerm(long term) {
+    private void startTerm(long term) {
         failover =
                 new Failover(
                         term,
@@ -102,13 +105,13 @@
                 new SchedulerState(
                         setup.createPolicy(),
                         output,
-                        (machine, zone, at) -> Math.min(at, delegatedUntilSeconds),
+                        (machine, zone, atSeconds) -> Math.min(atSeconds, delegatedUntilSeconds),
                         failover,
                         term,
                         setup.machineTypes());
         failover.onRecordsLoaded(1, 1, nowSeconds);
         statusRequests.clear();
-        output.onTermBegan(schedulerState);
+        output.onTermStarted(schedulerState);
     }
 
     private void advanceTo(double atSeconds) {
@@ -121,13 +124,13 @@
     }
 
     /**
-     * Plays a line many times, with the numbers from 0 on in place of '#', and the next one in
-     * place of '#+'.
+     * Executes a line repeatedly, with the iteration number, from 0, in place of '#' and the number
+     * of the next iteration in place of '#+'.
      */
     private void repeat(ScenarioLine line) {
         String text = line.textFrom(2);
         for (int i = 0; i < line.intAt(1); i++) {
-            play(text.replace("#+", Integer.toString(i + 1)).replace("#", Integer.toString(i)));
+            execute(text.replace("#+", Integer.toString(i + 1)).replace("#", Integer.toString(i)));
         }
     }
 }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
@@ -10,12 +10,12 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The commands and expectations of a scenario that concern an election. */
+/** Executes the commands and checks the expectations of a scenario that concern an election. */
 final class ScenarioElection implements Election.Actions {
     private static final long LEASE_ID = 7;
 
     private Election election;
-    private boolean following = true;
+    private boolean replicaInSync = true;
     private List<String> peers;
     private final List<String> requests = new ArrayList<>();
     private final Map<String, Double> grantRequestedAtSeconds = new HashMap<>();
@@ -29,7 +29,7 @@
         }
     }
 
-    void play(ScenarioLine line) {
+    void execute(ScenarioLine line) {
         switch (line.command()) {
             case "election" -> start(line);
             case "leader-key" -> onLeaderKey(line);
@@ -54,9 +54,9 @@
             case "grant-requested" -> onGrantRequested(line);
             case "term-ended" ->
                     election.onTermEnded(line.longAt(1), line.has("successor"), nowSeconds);
-            case "replica-in-sync" -> following = line.booleanAt(1);
+            case "replica-in-sync" -> replicaInSync = line.booleanAt(1);
             case "resign" -> election.resign("test", nowSeconds);
-            default -> throw new IllegalArgumentException(line.command());
+            default -> throw new IllegalArgumentException("unknown command: " + line.command());
         }
     }
 
@@ -72,11 +72,12 @@
                         this);
     }
 
-    /** grant-requested PEER TERM granted/refused */
+    /** Syntax: {@code grant-requested PEER TERM granted|refused}. */
     private void onGrantRequested(ScenarioLine line) {
-        assertTrue(peers.contains(line.word(1)), "a controller that the election does not know");
+        assertTrue(peers.contains(line.word(1)), "the requester of a grant must be a peer");
         boolean isGranted = election.onGrantRequested(line.longAt(2), nowSeconds);
-        assertEquals(line.isFirstOf(3, "granted", "refused"), isGranted, "granted");
+        assertEquals(
+                line.isFirstOf(3, "granted", "refused"), isGranted, "whether the grant is given");
     }
 
     private void onLeaderKey(ScenarioLine line) {
@@ -94,13 +95,13 @@
                 assertEquals(line.textFrom(2), ScenarioOutput.describe(requests));
                 requests.clear();
             }
-            default -> throw new IllegalArgumentException(line.text());
+            default -> throw new IllegalArgumentException("unknown expectation: " + line.text());
         }
     }
 
     @Override
     public boolean isFollowing() {
-        return following;
+        return replicaInSync;
     }
 
     @Override
--- a/src/test/java/io/kelphoist/scheduler/ScenarioExpectations.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioExpectations.java
@@ -11,7 +11,7 @@
 import java.util.Locale;
 import java.util.stream.Collectors;
 
-/** What a scenario expects of the scheduler's state and of its requests. */
+/** Checks what a scenario expects of the scheduler's state and of its requests. */
 final class ScenarioExpectations {
     private static final String NONE = "none";
 
@@ -20,7 +20,7 @@
     private final ScenarioJobs jobs;
     private final ScenarioMachines machines;
     private final ScenarioElection election;
-    private long machinesConsideredBefore;
+    private long consideredAtLastCheck;
 
     ScenarioExpectations(
             Scenario scenario,
@@ -44,7 +44,7 @@
             case "scale-in" -> assertEquals(line.textFrom(2), output.scaledInMachines());
             case "status-requests" -> assertEquals(line.textFrom(2), statusRequests());
             case "missing-jobs" ->
-                    assertEquals(line.textFrom(2), ScenarioOutput.describe(jobs.missingJobs()));
+                    assertEquals(line.textFrom(2), ScenarioOutput.describe(jobs.missingJobIds()));
             case "considered-machines-at-most" -> checkConsideredMachines(line);
             default -> checkRecords(line);
         }
@@ -52,10 +52,10 @@
 
     private void checkHeartbeatResponse(ScenarioLine line) {
         if (line.word(1).equals("heartbeat-refused")) {
-            assertTrue(machines.wasHeartbeatReceived(), "no heartbeat was received");
-            assertNull(machines.heartbeatResponse(), "the heartbeat was accepted");
+            assertTrue(machines.wasHeartbeatReceived(), "a heartbeat must have been sent before");
+            assertNull(machines.heartbeatResponse(), "the heartbeat must be refused");
         } else {
-            assertNotNull(machines.heartbeatResponse(), "the heartbeat was not accepted");
+            assertNotNull(machines.heartbeatResponse(), "the heartbeat must be accepted");
             assertEquals(line.textFrom(2), ScenarioOutput.describe(machines.heartbeatResponse()));
         }
     }
@@ -69,9 +69,12 @@
 
     private void checkConsideredMachines(ScenarioLine line) {
         long considered = scenario.schedulerState().consideredMachineCount();
-        long sinceLastCheck = considered - machinesConsideredBefore;
-        machinesConsideredBefore = considered;
-        assertTrue(sinceLastCheck <= line.intAt(2), sinceLastCheck + " machines considered");
+        long consideredSinceLastCheck = considered - consideredAtLastCheck;
+        consideredAtLastCheck = considered;
+        assertTrue(
+                consideredSinceLastCheck <= line.intAt(2),
+                consideredSinceLastCheck
+                        + " machines considered since the last check, which exceeds the limit");
     }
 
     private void checkRecords(ScenarioLine line) {
@@ -84,14 +87,16 @@
             case "start-record-count" -> assertEquals(line.intAt(2), output.recordedPageCount());
             case "recorded-images" ->
                     assertEquals(line.word(3), output.recordedImagesOf(line.word(2)));
-            case "job-reads" -> assertEquals(line.textFrom(2), output.takeReadJobs());
+            case "job-reads" -> assertEquals(line.textFrom(2), output.takeReadJobIds());
             case "writes-at-most" ->
                     assertTrue(
-                            output.writeCount() <= line.intAt(2), output.writeCount() + " writes");
+                            output.writeCount() <= line.intAt(2),
+                            output.writeCount() + " writes requested, which exceeds the limit");
             case "image-record-bytes-at-most" ->
                     assertTrue(
-                            output.maxImageBytes() <= line.intAt(2),
-                            output.maxImageBytes() + " bytes");
+                            output.maxImageRecordBytes() <= line.intAt(2),
+                            output.maxImageRecordBytes()
+                                    + " bytes in an image record, which exceeds the limit");
             default -> checkState(line);
         }
     }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioJobs.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioJobs.java
@@ -13,13 +13,14 @@
 import java.util.function.Consumer;
 
 /**
- * Commands of a scenario that put job records, and records of an earlier term, to the scheduler.
+ * Executes the commands of a scenario that pass job records, and other records of an earlier term,
+ * to the scheduler.
  */
 final class ScenarioJobs {
     private final Scenario scenario;
     private final ScenarioSetup setup;
     private final ScenarioValues values;
-    private final List<String> missingJobs = new ArrayList<>();
+    private final List<String> missingJobIds = new ArrayList<>();
     private long recordVersion = 100;
 
     ScenarioJobs(Scenario scenario, ScenarioSetup setup, ScenarioValues values) {
@@ -28,9 +29,9 @@
         this.values = values;
     }
 
-    /** Jobs that the last reconciliation found to be missing in the scheduler. */
-    List<String> missingJobs() {
-        return Collections.unmodifiableList(missingJobs);
+    /** Ids of the jobs that the last reconciliation found to be missing in the scheduler. */
+    List<String> missingJobIds() {
+        return Collections.unmodifiableList(missingJobIds);
     }
 
     void register(Map<String, Consumer<ScenarioLine>> commands) {
@@ -63,8 +64,8 @@
     private void putJob(ScenarioLine line, JobStatus status) {
         String id = line.word(1);
         JobRecord job = new JobRecord(id, values.job(id, line), status, 0, ++recordVersion);
-        double age = status == JobStatus.ACTIVE ? line.number("age", 0) : 0;
-        scenario.schedulerState().onJobRecord(job, age, scenario.nowSeconds());
+        double ageSeconds = status == JobStatus.ACTIVE ? line.number("age", 0) : 0;
+        scenario.schedulerState().onJobRecord(job, ageSeconds, scenario.nowSeconds());
     }
 
     void putEndedJob(String id, JobStatus status, ScenarioLine line) {
@@ -72,7 +73,10 @@
         scenario.schedulerState().onJobRecord(job, line.number("age", 0), scenario.nowSeconds());
     }
 
-    /** {@code acknowledged}: by another controller, and its record is not read yet. */
+    /**
+     * Cancels a job. With the option {@code acknowledged} another controller has acknowledged the
+     * cancellation to a user, and its record has not been read yet.
+     */
     private void cancelJob(ScenarioLine line) {
         long version = line.has("acknowledged") ? Long.MAX_VALUE : ++recordVersion;
         JobRecord job = new JobRecord(line.word(1), null, JobStatus.CANCELLED, 0, version);
@@ -108,22 +112,22 @@
     }
 
     private void reconcileJobs(ScenarioLine line) {
-        ScenarioLine withoutOptions = new ScenarioLine("");
+        ScenarioLine lineWithoutOptions = new ScenarioLine("");
         List<JobRecord> stored = new ArrayList<>();
         for (String id : line.wordsFrom(2)) {
             stored.add(
                     new JobRecord(
                             id,
-                            values.job(id, withoutOptions),
+                            values.job(id, lineWithoutOptions),
                             JobStatus.ACTIVE,
                             0,
                             recordVersion));
         }
-        missingJobs.clear();
+        missingJobIds.clear();
         for (JobRecord job :
                 scenario.schedulerState()
                         .reconcileJobs(stored, line.doubleAt(1), scenario.nowSeconds())) {
-            missingJobs.add(job.id());
+            missingJobIds.add(job.id());
             scenario.schedulerState().onJobRecord(job, 0, scenario.nowSeconds());
         }
     }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioLine.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioLine.java
@@ -8,9 +8,9 @@
 import java.util.function.Predicate;
 
 /**
- * One line of a scenario: a command and its words. Each word is also an option, {@code name=value}
- * or a name alone. The line knows which of its words were read, so that a misspelled option is an
- * error and not the default.
+ * One line of a scenario: a command and its words. Each word can also be read as an option, which
+ * is {@code name=value} or a name alone. The line records which of its words were read, so that a
+ * misspelled option is an error instead of an unnoticed default value.
  */
 final class ScenarioLine {
     private final String text;
@@ -59,7 +59,7 @@
         return isFirstOf(index, "true", "false");
     }
 
-    /** Whether the word is the first of two; one that is neither is a mistake in the scenario. */
+    /** Whether the word is the first of two alternatives; any other word than these is an error. */
     boolean isFirstOf(int index, String first, String second) {
         String word = word(index);
         if (!word.equals(first) && !word.equals(second)) {
@@ -96,28 +96,28 @@
         return true;
     }
 
-    /** Null: the line does not have the option. */
+    /** Returns the value of an option; null if the line does not have the option. */
     String option(String name) {
         return option(name, null);
     }
 
-    String option(String name, String otherwise) {
+    String option(String name, String defaultValue) {
         if (!has(name)) {
-            return otherwise;
+            return defaultValue;
         }
         String word = word(indexByOption.get(name));
         return word.substring(Math.min(word.length(), name.length() + 1));
     }
 
-    double number(String name, double otherwise) {
-        return has(name) ? Double.parseDouble(option(name)) : otherwise;
+    double number(String name, double defaultValue) {
+        return has(name) ? Double.parseDouble(option(name)) : defaultValue;
     }
 
     List<String> list(String name) {
         return List.of(option(name).split(",", -1));
     }
 
-    /** Words that no step has read: options that its command does not know. */
+    /** Returns the words that were not read: options that the command does not support. */
     List<String> unreadWords() {
         List<String> unread = new ArrayList<>();
         for (int index = 0; index < words.size(); index++) {
--- a/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
@@ -7,10 +7,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A mistake in a scenario is an error: no word of a line goes unread. */
+/**
+ * Guards against mistakes in scenarios that go unnoticed: a misspelled option would leave the
+ * default value in effect, so that the scenario checks something else than it states.
+ */
 class ScenarioLineTest {
     @Test
-    void reportsWordsThatNoStepHasRead() {
+    void reportsUnreadWords() {
         ScenarioLine line = new ScenarioLine("job job-1 tasks=2 prioritty=high");
         assertEquals("job", line.command());
         assertEquals("job-1", line.word(1));
@@ -20,7 +23,7 @@
     }
 
     @Test
-    void refusesWordThatIsNeitherOfTwo() {
+    void rejectsWordThatIsNeitherAlternative() {
         ScenarioLine line = new ScenarioLine("replica-in-sync yes");
         assertThrows(IllegalArgumentException.class, () -> line.booleanAt(1));
     }
@@ -28,10 +31,11 @@
     @Test
     void unknownOptionFailsTheScenario() {
         Scenario scenario = new Scenario();
-        scenario.play("zones a");
+        scenario.execute("zones a");
         AssertionError error =
                 assertThrows(
-                        AssertionError.class, () -> scenario.play("machine-type g4 gpu=4 gpus=2"));
+                        AssertionError.class,
+                        () -> scenario.execute("machine-type g4 gpu=4 gpus=2"));
         assertTrue(error.getMessage().contains("gpu=4"), error.getMessage());
     }
 }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioMachines.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioMachines.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Commands of a scenario that come from workers and the cloud. */
+/** Executes the commands of a scenario that are messages from workers, peers and the cloud. */
 final class ScenarioMachines {
     private final Scenario scenario;
     private final ScenarioOutput output;
@@ -27,7 +27,7 @@
         this.values = values;
     }
 
-    /** The response to the last heartbeat; null: it was refused. */
+    /** The commands in the response to the last heartbeat; null if it was refused. */
     List<WorkerCommand> heartbeatResponse() {
         return heartbeatResponse;
     }
@@ -40,7 +40,7 @@
         commands.put("heartbeat", this::onHeartbeat);
         commands.put("command-outcome", this::onCommandOutcome);
         commands.put("replicated-machine", this::onReplicatedMachine);
-        commands.put("status-request-outcome", this::onStatusOutcome);
+        commands.put("status-request-outcome", this::onStatusRequestOutcome);
         commands.put("probe-outcome", this::onProbeOutcome);
         commands.put("scale-out-response", this::onScaleOutResponse);
         commands.put(
@@ -49,7 +49,7 @@
                         scenario.schedulerState()
                                 .onScaleInConfirmed(List.of(line.word(1)), scenario.nowSeconds()));
         commands.put("delegated-until", line -> scenario.delegateLeasesUntil(line.doubleAt(1)));
-        commands.put("listed-instance", this::onMachineListed);
+        commands.put("listed-instance", this::onInstanceListed);
         commands.put("instance-list-page", line -> onInstanceList(values.instanceListPage(line)));
     }
 
@@ -61,15 +61,15 @@
                                 heartbeat, line.option("relayed-by", ""), scenario.nowSeconds());
         heartbeatReceived = true;
         if (heartbeatResponse != null) {
-            output.noteAttempts(heartbeatResponse);
+            output.recordNewestAttemptIds(heartbeatResponse);
         }
     }
 
     private Heartbeat heartbeat(String machine, ScenarioLine line) {
-        return values.heartbeat(machine, line, output::newestAttempt);
+        return values.heartbeat(machine, line, output::newestAttemptId);
     }
 
-    /** command-outcome MACHINE OUTCOME [HEARTBEAT] */
+    /** Syntax: {@code command-outcome MACHINE OUTCOME [HEARTBEAT]}. */
     private void onCommandOutcome(ScenarioLine line) {
         String machine = line.word(1);
         Heartbeat response = response(line);
@@ -78,18 +78,20 @@
                 .onCommandOutcome(machine, outcome(line), response, scenario.nowSeconds());
     }
 
-    /** status-request-outcome MACHINE OUTCOME [responder=MACHINE] [HEARTBEAT] */
-    private void onStatusOutcome(ScenarioLine line) {
+    /** Syntax: {@code status-request-outcome MACHINE OUTCOME [responder=MACHINE] [HEARTBEAT]}. */
+    private void onStatusRequestOutcome(ScenarioLine line) {
         Heartbeat response = response(line);
         String machine = line.word(1);
-        assertTrue(scenario.removeStatusRequest(machine), "its status was not requested");
+        assertTrue(
+                scenario.removeStatusRequest(machine),
+                "a status request to the machine must be open");
         scenario.schedulerState()
                 .onStatusRequestOutcome(machine, outcome(line), response, scenario.nowSeconds());
         scenario.failover().onResponse(machine, outcome(line), response);
     }
 
     private void onProbeOutcome(ScenarioLine line) {
-        assertTrue(output.removeProbe(line.word(1)), "it was not probed");
+        assertTrue(output.removeProbe(line.word(1)), "a probe of the machine must be open");
         scenario.schedulerState()
                 .onProbeOutcome(line.word(1), outcome(line), response(line), scenario.nowSeconds());
     }
@@ -98,7 +100,7 @@
         return ScenarioValues.parse(DeliveryOutcome.class, line.word(2));
     }
 
-    /** The heartbeat in the response to a command, a status request or a probe; null: none. */
+    /** The heartbeat in the response to a direct request; null if there is no response. */
     private Heartbeat response(ScenarioLine line) {
         return line.has("epoch") ? heartbeat(line.option("responder", line.word(1)), line) : null;
     }
@@ -111,7 +113,10 @@
         scenario.failover().onReplicaApplied(scenario.nowSeconds());
     }
 
-    /** scale-out-response granted MACHINE.../refused/unknown: for the oldest request. */
+    /**
+     * Responds to the oldest open request. Syntax: {@code scale-out-response granted MACHINE...},
+     * {@code scale-out-response refused} or {@code scale-out-response unknown}.
+     */
     private void onScaleOutResponse(ScenarioLine line) {
         ScaleOutRequest request = output.takeOldestScaleOutRequest();
         ScaleOutResult result =
@@ -119,12 +124,13 @@
                     case "granted" -> new ScaleOutResult.Granted(line.wordsFrom(2));
                     case "refused" -> new ScaleOutResult.Refused();
                     case "unknown" -> new ScaleOutResult.Unknown();
-                    default -> throw new IllegalArgumentException(line.text());
+                    default ->
+                            throw new IllegalArgumentException("unknown response: " + line.text());
                 };
         scenario.schedulerState().onScaleOutResponse(request, result, scenario.nowSeconds());
     }
 
-    private void onMachineListed(ScenarioLine line) {
+    private void onInstanceListed(ScenarioLine line) {
         CloudInstance instance = values.instance(line.word(1), line.word(2), line.number("age", 1));
         onInstanceList(new InstanceListPage("", false, List.of(instance)));
     }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
@@ -24,8 +24,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Records what the scheduler requests, and acknowledges writes of starts and images at once unless
- * the scenario says otherwise.
+ * Records the scheduler's requests, and confirms writes of starts and images at once unless the
+ * scenario specifies another outcome.
  */
 final class ScenarioOutput implements SchedulerOutput {
     private static final String NONE = "none";
@@ -33,20 +33,20 @@
     private SchedulerState schedulerState;
     private final Set<String> probedMachines = new TreeSet<>();
     private final Map<String, List<WorkerCommand>> commandsByMachine = new TreeMap<>();
-    private final Map<String, Long> newestAttempts = new HashMap<>();
+    private final Map<String, Long> newestAttemptIdsByTask = new HashMap<>();
     private final Set<String> openWrites = new TreeSet<>();
     private final List<ScaleOutRequest> scaleOutRequests = new ArrayList<>();
     private final Set<String> scaledInMachines = new TreeSet<>();
-    private final Map<Integer, List<TaskAttempt>> recordedStarts = new TreeMap<>();
-    private final Map<String, String> recordedImages = new TreeMap<>();
-    private final List<String> readJobs = new ArrayList<>();
-    private int writes;
-    private int maxImageBytes;
+    private final Map<Integer, List<TaskAttempt>> recordedStartsByPage = new TreeMap<>();
+    private final Map<String, String> recordedImagesByMachine = new TreeMap<>();
+    private final List<String> readJobIds = new ArrayList<>();
+    private int writeCount;
+    private int maxImageRecordBytes;
     private boolean acknowledgesStartWrites = true;
     private PageWriteOutcome imageWriteOutcome = PageWriteOutcome.STORED;
 
-    /** A new term begins: requests of earlier terms are not open any more. */
-    void onTermBegan(SchedulerState newState) {
+    /** Starts a new term, in which requests of earlier terms are not open any more. */
+    void onTermStarted(SchedulerState newState) {
         schedulerState = newState;
         commandsByMachine.clear();
         openWrites.clear();
@@ -66,20 +66,20 @@
     @Override
     public void sendCommands(Machine machine, long agentEpoch, List<WorkerCommand> commands) {
         commandsByMachine.put(machine.name(), commands);
-        noteAttempts(commands);
+        recordNewestAttemptIds(commands);
     }
 
-    void noteAttempts(List<WorkerCommand> commands) {
+    void recordNewestAttemptIds(List<WorkerCommand> commands) {
         for (WorkerCommand command : commands) {
             if (command instanceof WorkerCommand.Start) {
-                newestAttempts.put(
+                newestAttemptIdsByTask.put(
                         command.jobId() + "/" + command.taskIndex(), command.attemptId());
             }
         }
     }
 
-    long newestAttempt(String task) {
-        return newestAttempts.get(task);
+    long newestAttemptId(String task) {
+        return newestAttemptIdsByTask.get(task);
     }
 
     String commandsTo(String machine) {
@@ -116,7 +116,7 @@
         probedMachines.add(machine.name());
     }
 
-    /** Returns false if the machine was not probed. */
+    /** Removes an open probe; returns whether there was one of the machine. */
     boolean removeProbe(String machine) {
         return probedMachines.remove(machine);
     }
@@ -133,7 +133,7 @@
 
     @Override
     public void storeProgress(int page, List<TaskProgress> progress) {
-        writes++;
+        writeCount++;
         progress.forEach(
                 job ->
                         openWrites.add(
@@ -150,7 +150,7 @@
         openWrites.add("cancelled " + job.id());
     }
 
-    /** Returns false if no such write is open. */
+    /** Removes an open write; returns whether there was one of this kind for the job. */
     boolean removeWrite(String kind, String jobId) {
         return openWrites.remove(kind + " " + jobId);
     }
@@ -172,43 +172,43 @@
     }
 
     int writeCount() {
-        return writes;
+        return writeCount;
     }
 
     @Override
     public void readJob(String jobId) {
-        readJobs.add(jobId);
+        readJobIds.add(jobId);
     }
 
-    String takeReadJobs() {
-        String jobs = describe(readJobs);
-        readJobs.clear();
+    String takeReadJobIds() {
+        String jobs = describe(readJobIds);
+        readJobIds.clear();
         return jobs;
     }
 
     @Override
     public void storeStarts(int page, List<TaskAttempt> attempts) {
-        writes++;
-        recordedStarts.put(page, attempts);
+        writeCount++;
+        recordedStartsByPage.put(page, attempts);
         if (acknowledgesStartWrites) {
             schedulerState.onStartsStored(page, PageWriteOutcome.STORED);
         }
     }
 
     int recordedPageCount() {
-        return recordedStarts.size();
+        return recordedStartsByPage.size();
     }
 
     String recordedStartsOf(int page) {
-        return recordedStarts.getOrDefault(page, List.of()).stream()
+        return recordedStartsByPage.getOrDefault(page, List.of()).stream()
                 .map(ScenarioOutput::taskName)
                 .collect(Collectors.joining(" "));
     }
 
-    /** By machine, what may run there according to all pages. */
+    /** The tasks that may run on each machine according to all stored pages. */
     String recordedStarts() {
         Map<String, Set<String>> tasksByMachine = new TreeMap<>();
-        for (List<TaskAttempt> page : recordedStarts.values()) {
+        for (List<TaskAttempt> page : recordedStartsByPage.values()) {
             for (TaskAttempt attempt : page) {
                 tasksByMachine
                         .computeIfAbsent(attempt.machine().name(), machine -> new TreeSet<>())
@@ -227,15 +227,15 @@
 
     @Override
     public void storeImages(int page, List<Machine> machines) {
-        writes++;
+        writeCount++;
         if (machines.size() >= 2) {
             List<CachedImages> images =
                     machines.stream().map(schedulerState::cachedImages).toList();
             byte[] value = MessageEncoding.encodeJson(RecordCodec.encodeImages(0, images).value());
-            maxImageBytes = Math.max(maxImageBytes, value.length);
+            maxImageRecordBytes = Math.max(maxImageRecordBytes, value.length);
         }
         for (Machine machine : machines) {
-            recordedImages.put(
+            recordedImagesByMachine.put(
                     machine.name(),
                     schedulerState.cachedImages(machine).images().stream()
                             .map(CachedImages.Image::name)
@@ -245,14 +245,14 @@
     }
 
     String recordedImagesOf(String machine) {
-        return recordedImages.getOrDefault(machine, NONE);
+        return recordedImagesByMachine.getOrDefault(machine, NONE);
     }
 
-    int maxImageBytes() {
-        return maxImageBytes;
+    int maxImageRecordBytes() {
+        return maxImageRecordBytes;
     }
 
-    // ---- the cloud ----
+    // ---- cloud ----
 
     @Override
     public void scaleOut(ScaleOutRequest request) {
--- a/src/test/java/io/kelphoist/scheduler/ScenarioSetup.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioSetup.java
@@ -8,14 +8,14 @@
 import java.util.List;
 import java.util.Map;
 
-/** Zones, machine types, teams and limits of a scenario. */
+/** Collects the zones, machine types, teams and limits that a scenario declares. */
 final class ScenarioSetup {
-    private static final int DEFAULT_RECORD_BYTES = 2000;
+    private static final int DEFAULT_MAX_RECORD_BYTES = 2000;
 
     private final List<String> zones = new ArrayList<>();
     private final List<Team> teams = new ArrayList<>();
     private final List<MachineType> machineTypes = new ArrayList<>();
-    private int maxRecordBytes = DEFAULT_RECORD_BYTES;
+    private int maxRecordBytes = DEFAULT_MAX_RECORD_BYTES;
 
     void addZones(ScenarioLine line) {
         zones.addAll(line.wordsFrom(1));
@@ -39,11 +39,13 @@
 
     void addTeam(ScenarioLine line) {
         Resources guaranteed =
-                line.has("guest") ? Resources.NONE : limitedGpus(line.number("guaranteed-gpus", 0));
-        teams.add(new Team(line.word(1), guaranteed, limitedGpus(line.number("max-gpus", 0))));
+                line.has("guest")
+                        ? Resources.NONE
+                        : withLimitedGpus(line.number("guaranteed-gpus", 0));
+        teams.add(new Team(line.word(1), guaranteed, withLimitedGpus(line.number("max-gpus", 0))));
     }
 
-    private static Resources limitedGpus(double gpus) {
+    private static Resources withLimitedGpus(double gpus) {
         return new Resources(
                 Double.POSITIVE_INFINITY,
                 gpus == 0 ? Double.POSITIVE_INFINITY : gpus,
@@ -62,12 +64,12 @@
         return teams;
     }
 
-    /** The type of all machines. */
+    /** The machine type of all machines of the scenario. */
     MachineType machineType() {
         return machineTypes.get(0);
     }
 
-    /** The zone of machines that do not state theirs. */
+    /** The zone of machines for which the scenario states none. */
     String zone() {
         return zones.get(0);
     }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioStore.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioStore.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Commands of a scenario that are outcomes of writes at the state store. */
+/** Executes the commands of a scenario that set the outcomes of writes to the state store. */
 final class ScenarioStore {
     private final Scenario scenario;
     private final ScenarioOutput output;
--- a/src/test/java/io/kelphoist/scheduler/ScenarioTest.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Plays every file below {@code scenarios/}; docs/SCENARIOS.md describes their commands. */
+/**
+ * Executes every file below {@code scenarios/}. The first comment of a file states the failure that
+ * it guards against; docs/SCENARIOS.md describes the commands.
+ */
 class ScenarioTest {
     private static final Path DIRECTORY = Path.of("src/test/resources/scenarios");
 
@@ -24,19 +27,19 @@
 
     @ParameterizedTest(name = "{0}")
     @MethodSource("files")
-    void plays(String file) throws IOException {
+    void scenarioHolds(String file) throws IOException {
         Scenario scenario = new Scenario();
-        int number = 0;
+        int lineNumber = 0;
         for (String line : Files.readAllLines(DIRECTORY.resolve(file))) {
-            number++;
+            lineNumber++;
             String text = line.strip();
             if (text.isEmpty() || text.startsWith("#")) {
                 continue;
             }
             try {
-                scenario.play(text);
+                scenario.execute(text);
             } catch (AssertionError | RuntimeException e) {
-                throw new AssertionError(file + ":" + number + ": " + text + "\n  " + e, e);
+                throw new AssertionError(file + ":" + lineNumber + ": " + text + "\n  " + e, e);
             }
         }
     }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioValues.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioValues.java
@@ -17,7 +17,7 @@
 import java.util.Locale;
 import java.util.function.ToLongFunction;
 
-/** Jobs, heartbeats, machines and pages of the instance list that lines of a scenario describe. */
+/** Creates the jobs, heartbeats, machines and instance list pages that scenario lines describe. */
 final class ScenarioValues {
     private final ScenarioSetup setup;
 
@@ -64,13 +64,13 @@
                 ageSeconds);
     }
 
-    /** instance-list-page [after=MACHINE] [last] MACHINE@AGE... */
+    /** Syntax: {@code instance-list-page [after=MACHINE] [last] MACHINE@AGE...}. */
     InstanceListPage instanceListPage(ScenarioLine line) {
         List<CloudInstance> instances = new ArrayList<>();
         for (String word : line.wordsThat(word -> word.contains("@"))) {
-            int at = word.indexOf('@');
-            double ageSeconds = Double.parseDouble(word.substring(at + 1));
-            instances.add(instance(word.substring(0, at), "running", ageSeconds));
+            int atIndex = word.indexOf('@');
+            double ageSeconds = Double.parseDouble(word.substring(atIndex + 1));
+            instances.add(instance(word.substring(0, atIndex), "running", ageSeconds));
         }
         return new InstanceListPage(line.option("after", ""), line.has("last"), instances);
     }
@@ -93,20 +93,21 @@
     }
 
     static TaskRef task(String name) {
-        int slash = name.indexOf('/');
-        return new TaskRef(name.substring(0, slash), Integer.parseInt(name.substring(slash + 1)));
+        int slashIndex = name.indexOf('/');
+        return new TaskRef(
+                name.substring(0, slashIndex), Integer.parseInt(name.substring(slashIndex + 1)));
     }
 
     /**
-     * The heartbeat that the options {@code epoch=N sequence=N token=N} and words {@code
-     * JOB/TASK=PHASE[:EXIT][@ATTEMPT]...} of a line describe.
+     * Creates the heartbeat that a line describes by the options {@code epoch=N sequence=N token=N}
+     * and the words {@code JOB/TASK=PHASE[:EXIT][@ATTEMPT]...}.
      *
-     * @param attemptOf the newest attempt of a task, for words without one
+     * @param newestAttemptId returns the id of a task's newest attempt, for words without an id
      */
-    Heartbeat heartbeat(String machine, ScenarioLine line, ToLongFunction<String> attemptOf) {
+    Heartbeat heartbeat(String machine, ScenarioLine line, ToLongFunction<String> newestAttemptId) {
         List<TaskStatus> statuses = new ArrayList<>();
         for (String word : line.wordsThat(word -> word.startsWith("job-"))) {
-            statuses.add(taskStatus(word, attemptOf));
+            statuses.add(taskStatus(word, newestAttemptId));
         }
         return new Heartbeat(
                 machine,
@@ -123,17 +124,20 @@
                 statuses);
     }
 
-    private static TaskStatus taskStatus(String word, ToLongFunction<String> attemptOf) {
-        int equals = word.indexOf('=');
-        String task = word.substring(0, equals);
-        String[] parts = word.substring(equals + 1).split("[:@]", -1);
-        int at = word.indexOf('@');
-        long attempt =
-                at > 0 ? Long.parseLong(word.substring(at + 1)) : attemptOf.applyAsLong(task);
+    private static TaskStatus taskStatus(String word, ToLongFunction<String> newestAttemptId) {
+        int equalsIndex = word.indexOf('=');
+        String task = word.substring(0, equalsIndex);
+        String[] parts = word.substring(equalsIndex + 1).split("[:@]", -1);
+        int atIndex = word.indexOf('@');
+        long attemptId =
+                atIndex > 0
+                        ? Long.parseLong(word.substring(atIndex + 1))
+                        : newestAttemptId.applyAsLong(task);
         TaskPhase phase = parse(TaskPhase.class, parts[0]);
         ExitReason exitReason =
                 phase == TaskPhase.EXITED ? parse(ExitReason.class, parts[1]) : null;
-        TaskRef ref = task(task);
-        return new TaskStatus(ref.jobId(), ref.taskIndex(), attempt, phase, exitReason, false);
+        TaskRef taskRef = task(task);
+        return new TaskStatus(
+                taskRef.jobId(), taskRef.taskIndex(), attemptId, phase, exitReason, false);
     }
 }
--- a/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
+++ b/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
@@ -36,77 +36,77 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the scheduler's cost by the number of machines; a program, not a test. Workers, cloud
- * and state service respond immediately. {@code mvn -q test-compile exec:java
+ * Benchmark of the scheduler for different numbers of machines; a program, not a test. The emulated
+ * workers, cloud and state store respond immediately. Command: {@code mvn -q test-compile exec:java
  * -Dexec.mainClass=io.kelphoist.scheduler.SchedulerBenchmark -Dexec.classpathScope=test}
  */
 public final class SchedulerBenchmark implements SchedulerOutput {
-    private static final int[] SIZES = {250, 500, 1000, 2000, 4000};
-    private static final int PER_MACHINE = 4;
-    private static final double HEARTBEAT_SECONDS = 4;
-    private final int size;
+    private static final int[] MACHINE_COUNTS = {250, 500, 1000, 2000, 4000};
+    private static final int MACHINE_GPUS = 4;
+    private static final double HEARTBEAT_INTERVAL_SECONDS = 4;
+    private final int machineCount;
     private final List<Team> teams = new ArrayList<>();
     private final MachineType type =
             new MachineType(
-                    "m", new Resources(24, PER_MACHINE, 96), 50, 0.6, 8, 3, 25, List.of("a", "b"));
+                    "m", new Resources(24, MACHINE_GPUS, 96), 50, 0.6, 8, 3, 25, List.of("a", "b"));
     private final Map<String, Map<String, Long>> running = new HashMap<>();
-    private final Deque<Runnable> answers = new ArrayDeque<>();
+    private final Deque<Runnable> outcomes = new ArrayDeque<>();
     private final Histogram heartbeatNanos = new Histogram(3);
     private final Histogram decisionNanos = new Histogram(3);
-    private final List<JobRecord> jobs = new ArrayList<>();
-    private final Map<Integer, List<RecordedStart>> pages = new HashMap<>();
+    private final List<JobRecord> jobRecords = new ArrayList<>();
+    private final Map<Integer, List<RecordedStart>> startsByPage = new HashMap<>();
     private SchedulerState schedulerState;
-    private double now;
+    private double nowSeconds;
     private long sequenceNumber;
-    private long version;
+    private long recordVersion;
 
-    private SchedulerBenchmark(int size) {
-        this.size = size;
-        Resources none = new Resources(Double.POSITIVE_INFINITY, size, Double.POSITIVE_INFINITY);
+    private SchedulerBenchmark(int count) {
+        this.machineCount = count;
+        Resources quota = new Resources(Double.POSITIVE_INFINITY, count, Double.POSITIVE_INFINITY);
         for (int i = 0; i < 12; i++) {
-            teams.add(new Team("team-" + i, none, none));
+            teams.add(new Team("team-" + i, quota, quota));
         }
     }
 
     public static void main(String[] args) {
         System.out.println(
-                "machines  take-over ms  report us (p50, p99)  decision ms (p50, p99, max)  looks a decision  heap MB");
-        new SchedulerBenchmark(SIZES[0]).run(false);
-        for (int size : SIZES) {
-            new SchedulerBenchmark(size).run(true);
+                "machines   failover ms  heartbeat us p50 p99     decision ms p50 p99 max machines/decision heap MiB");
+        new SchedulerBenchmark(MACHINE_COUNTS[0]).measureLoadAndFailover(false);
+        for (int machineCount : MACHINE_COUNTS) {
+            new SchedulerBenchmark(machineCount).measureLoadAndFailover(true);
         }
-        System.out.println("machines  fill: decisions  all s  ms (p50, p99, max)");
-        for (int size : SIZES) {
-            new SchedulerBenchmark(size).fill();
+        System.out.println("machines  fill: decisions  sum s     decision ms p50 p99 max");
+        for (int machineCount : MACHINE_COUNTS) {
+            new SchedulerBenchmark(machineCount).measureFill();
         }
     }
 
     /**
-     * The first minute of a fleet: services, gangs and arrays wait for as many machines as they
-     * need, which come up one after the other, and no image is anywhere yet.
+     * Measures the decisions in the first minute of a new cluster: services, gangs and arrays wait
+     * for the machines that they need, which come up one after the other with empty image caches.
      */
-    private void fill() {
-        begin(1);
-        for (int i = 0; i < size / 8; i++) {
+    private void measureFill() {
+        startTerm(1);
+        for (int i = 0; i < machineCount / 8; i++) {
             submit(i * 3, new int[] {3, 3, 4, 6}[i % 4], JobKind.SERVICE);
             submit(i * 3 + 1, new int[] {1, 2, 1, 4}[i % 4], JobKind.GANG);
             if (i % 2 == 0) {
                 submit(i * 3 + 2, 12, JobKind.ARRAY);
             }
         }
-        double from = now;
-        int started = 0;
-        while (now < from + 60) {
-            now += 0.02;
-            for (; started < Math.min(size, size * (now - from) / 40); started++) {
-                schedulerState.onHeartbeat(createHeartbeat("vm-" + started, started, 1), "", now);
+        double start = nowSeconds;
+        int up = 0;
+        while (nowSeconds < start + 60) {
+            nowSeconds += 0.02;
+            for (; up < Math.min(machineCount, machineCount * (nowSeconds - start) / 40); up++) {
+                schedulerState.onHeartbeat(createHeartbeat("vm-" + up, up, 1), "", nowSeconds);
             }
             tick(true);
         }
         System.out.printf(
                 Locale.ROOT,
                 "%8d  %15d  %5.1f  %8.2f %8.2f %8.2f%n",
-                size,
+                machineCount,
                 decisionNanos.getTotalCount(),
                 decisionNanos.getMean() * decisionNanos.getTotalCount() * 1e-9,
                 decisionNanos.getValueAtPercentile(50) * 1e-6,
@@ -114,10 +114,10 @@
                 decisionNanos.getMaxValue() * 1e-6);
     }
 
-    private void begin(long term) {
+    private void startTerm(long term) {
         schedulerState =
                 new SchedulerState(
-                        newSchedulingPolicy(),
+                        createSchedulingPolicy(),
                         this,
                         DelegatedRenewals.NONE,
                         new OpenPromotionGate(),
@@ -125,11 +125,11 @@
                         List.of(type));
     }
 
-    private SchedulingPolicy newSchedulingPolicy() {
+    private SchedulingPolicy createSchedulingPolicy() {
         return new SchedulingPolicy(
                 List.of("a", "b"),
                 teams,
-                HEARTBEAT_SECONDS,
+                HEARTBEAT_INTERVAL_SECONDS,
                 22,
                 8,
                 5,
@@ -144,7 +144,6 @@
                 Map.of());
     }
 
-    /** The gate of a leader whose promotion checks have all passed. */
     private static final class OpenPromotionGate implements PromotionGate {
         @Override
         public boolean mayDecide(double atSeconds) {
@@ -160,13 +159,13 @@
         public void onInstancesListed(double atSeconds) {}
     }
 
-    private JobRecord job(int number, int tasks, JobKind kind) {
-        boolean gang = kind == JobKind.GANG;
+    private JobRecord createJobRecord(int number, int tasks, JobKind kind) {
+        boolean isGang = kind == JobKind.GANG;
         Priority priority =
-                gang
+                isGang
                         ? Priority.HIGH
                         : kind == JobKind.SERVICE ? Priority.PRODUCTION : Priority.NORMAL;
-        Resources needs = gang ? new Resources(21, PER_MACHINE, 77) : new Resources(5, 1, 18);
+        Resources needs = isGang ? new Resources(21, MACHINE_GPUS, 77) : new Resources(5, 1, 18);
         JobSpec spec =
                 new JobSpec(
                         "job-" + number,
@@ -178,7 +177,7 @@
                         needs,
                         null,
                         null,
-                        gang,
+                        isGang,
                         kind == JobKind.SERVICE,
                         kind != JobKind.SERVICE,
                         "img-" + number % 40,
@@ -188,34 +187,34 @@
                         3,
                         null,
                         List.of());
-        return new JobRecord(spec.id(), spec, JobStatus.ACTIVE, 0, ++version);
+        return new JobRecord(spec.id(), spec, JobStatus.ACTIVE, 0, ++recordVersion);
     }
 
     private void submit(int number, int tasks, JobKind kind) {
-        JobRecord record = job(number, tasks, kind);
-        jobs.add(record);
-        schedulerState.onJobRecord(record, 0, now);
+        JobRecord record = createJobRecord(number, tasks, kind);
+        jobRecords.add(record);
+        schedulerState.onJobRecord(record, 0, nowSeconds);
     }
 
-    private Heartbeat createHeartbeat(String machine, int number, long token) {
+    private Heartbeat createHeartbeat(String machineName, int machineNumber, long token) {
         List<TaskStatus> tasks = new ArrayList<>();
-        running.getOrDefault(machine, Map.of())
+        running.getOrDefault(machineName, Map.of())
                 .forEach(
-                        (task, attempt) ->
+                        (task, attemptId) ->
                                 tasks.add(
                                         new TaskStatus(
                                                 task.substring(0, task.indexOf('/')),
                                                 Integer.parseInt(
                                                         task.substring(task.indexOf('/') + 1)),
-                                                attempt,
+                                                attemptId,
                                                 TaskPhase.RUNNING,
                                                 null,
                                                 false)));
         return new Heartbeat(
-                machine,
+                machineName,
                 "10.0.0.1:9000",
                 "m",
-                number % 2 == 0 ? "a" : "b",
+                machineNumber % 2 == 0 ? "a" : "b",
                 false,
                 1,
                 ++sequenceNumber,
@@ -224,103 +223,102 @@
                 tasks);
     }
 
-    private void sendHeartbeatRound(long token, boolean measured) {
-        for (int i = 0; i < size; i++) {
+    private void sendHeartbeatRound(long token, boolean measure) {
+        for (int i = 0; i < machineCount; i++) {
             Heartbeat heartbeat = createHeartbeat("vm-" + i, i, token);
-            long from = System.nanoTime();
-            schedulerState.onHeartbeat(heartbeat, "", now);
-            if (measured) {
-                heartbeatNanos.recordValue(System.nanoTime() - from);
+            long startNanos = System.nanoTime();
+            schedulerState.onHeartbeat(heartbeat, "", nowSeconds);
+            if (measure) {
+                heartbeatNanos.recordValue(System.nanoTime() - startNanos);
             }
-            if (i % (size / 40) == 0) {
-                tick(measured);
-                now += HEARTBEAT_SECONDS / 40;
+            if (i % (machineCount / 40) == 0) {
+                tick(measure);
+                nowSeconds += HEARTBEAT_INTERVAL_SECONDS / 40;
             }
         }
     }
 
-    private void tick(boolean measured) {
-        long from = System.nanoTime();
-        schedulerState.tick(now);
-        if (measured) {
-            decisionNanos.recordValue(System.nanoTime() - from);
+    private void tick(boolean measure) {
+        long startNanos = System.nanoTime();
+        schedulerState.tick(nowSeconds);
+        if (measure) {
+            decisionNanos.recordValue(System.nanoTime() - startNanos);
         }
-        for (Runnable answer = answers.poll(); answer != null; answer = answers.poll()) {
-            answer.run();
+        for (Runnable outcome = outcomes.poll(); outcome != null; outcome = outcomes.poll()) {
+            outcome.run();
         }
     }
 
-    /** Fills three quarters of the cluster, measures a minute of load, and then a failover. */
-    private void run(boolean printed) {
-        begin(1);
+    /** Fills three quarters of the cluster, then measures steady load and a failover. */
+    private void measureLoadAndFailover(boolean print) {
+        startTerm(1);
         sendHeartbeats(1);
-        int submitted = fillThreeQuarters();
+        int submittedCount = fillThreeQuarters();
         sendHeartbeatRound(1, false);
         long consideredBefore = schedulerState.consideredMachineCount();
-        measureSteadyLoad(submitted);
+        measureSteadyLoad(submittedCount);
         long consideredPerDecision =
                 (schedulerState.consideredMachineCount() - consideredBefore)
                         / Math.max(1, decisionNanos.getTotalCount());
         System.gc();
-        long heapMegabytes =
-                ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() >> 20;
+        long heapMib = ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() >> 20;
         double failoverMillis = measureFailover();
-        if (printed) {
-            printResult(failoverMillis, consideredPerDecision, heapMegabytes);
+        if (print) {
+            printResult(failoverMillis, consideredPerDecision, heapMib);
         }
     }
 
     private void sendHeartbeats(long token) {
-        for (int i = 0; i < size; i++) {
-            schedulerState.onHeartbeat(createHeartbeat("vm-" + i, i, token), "", now);
+        for (int i = 0; i < machineCount; i++) {
+            schedulerState.onHeartbeat(createHeartbeat("vm-" + i, i, token), "", nowSeconds);
         }
     }
 
-    /** Returns the number of jobs that were submitted. */
+    /** Submits jobs and starts their tasks; returns the number of jobs. */
     private int fillThreeQuarters() {
-        int submitted = 0;
-        for (int tasks = 0; tasks < size * PER_MACHINE * 3 / 4; tasks += 12) {
-            submit(submitted++, 12, JobKind.ARRAY);
+        int submittedCount = 0;
+        for (int tasks = 0; tasks < machineCount * MACHINE_GPUS * 3 / 4; tasks += 12) {
+            submit(submittedCount++, 12, JobKind.ARRAY);
         }
         for (int i = 0; i < 200; i++) {
-            now += 0.02;
+            nowSeconds += 0.02;
             tick(false);
         }
-        return submitted;
+        return submittedCount;
     }
 
-    /** For a minute, submits as many new tasks as end. */
+    /** Submits new jobs and sends heartbeats in ten rounds, and measures both. */
     private void measureSteadyLoad(int firstNumber) {
         int number = firstNumber;
         for (int round = 0; round < 10; round++) {
-            for (int i = 0; i < size / 60; i++) {
+            for (int i = 0; i < machineCount / 60; i++) {
                 submit(number++, 12, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY);
             }
             sendHeartbeatRound(1, true);
         }
     }
 
-    /** The next leader loads the stored records and receives one heartbeat of each machine. */
+    /** Measures how long the next leader takes to load all records and one round of heartbeats. */
     private double measureFailover() {
-        long from = System.nanoTime();
-        begin(2);
-        jobs.forEach(job -> schedulerState.onJobRecord(job, 0, now));
-        pages.forEach(
+        long startNanos = System.nanoTime();
+        startTerm(2);
+        jobRecords.forEach(job -> schedulerState.onJobRecord(job, 0, nowSeconds));
+        startsByPage.forEach(
                 (page, starts) ->
-                        starts.forEach(start -> schedulerState.onStartLoaded(page, start, now)));
+                        starts.forEach(
+                                start -> schedulerState.onStartLoaded(page, start, nowSeconds)));
         schedulerState.onRecordsLoaded(0);
         sendHeartbeats(2);
-        now += 1.3 * HEARTBEAT_SECONDS;
-        schedulerState.tick(now);
-        return (System.nanoTime() - from) * 1e-6;
+        nowSeconds += 1.3 * HEARTBEAT_INTERVAL_SECONDS;
+        schedulerState.tick(nowSeconds);
+        return (System.nanoTime() - startNanos) * 1e-6;
     }
 
-    private void printResult(
-            double failoverMillis, long consideredPerDecision, long heapMegabytes) {
+    private void printResult(double failoverMillis, long consideredPerDecision, long heapMib) {
         System.out.printf(
                 Locale.ROOT,
                 "%8d  %12.0f  %9.0f %10.0f  %8.2f %8.2f %8.2f  %16d  %7d%n",
-                size,
+                machineCount,
                 failoverMillis,
                 heartbeatNanos.getValueAtPercentile(50) * 1e-3,
                 heartbeatNanos.getValueAtPercentile(99) * 1e-3,
@@ -328,45 +326,47 @@
                 decisionNanos.getValueAtPercentile(99) * 1e-6,
                 decisionNanos.getMaxValue() * 1e-6,
                 consideredPerDecision,
-                heapMegabytes);
+                heapMib);
     }
 
     @Override
-    public void sendCommands(Machine machine, long session, List<WorkerCommand> commands) {
-        Map<String, Long> attempts =
+    public void sendCommands(Machine machine, long agentEpoch, List<WorkerCommand> commands) {
+        Map<String, Long> attemptIds =
                 running.computeIfAbsent(machine.name(), name -> new LinkedHashMap<>());
         for (WorkerCommand command : commands) {
             if (command instanceof WorkerCommand.Start) {
-                attempts.put(command.jobId() + "/" + command.taskIndex(), command.attemptId());
+                attemptIds.put(command.jobId() + "/" + command.taskIndex(), command.attemptId());
             } else {
-                attempts.remove(command.jobId() + "/" + command.taskIndex());
+                attemptIds.remove(command.jobId() + "/" + command.taskIndex());
             }
         }
         int number = Integer.parseInt(machine.name().substring(3));
-        answers.add(
+        outcomes.add(
                 () ->
                         schedulerState.onCommandOutcome(
                                 machine.name(),
                                 DeliveryOutcome.EXECUTED,
                                 createHeartbeat(machine.name(), number, schedulerState.term()),
-                                now));
+                                nowSeconds));
     }
 
     @Override
-    public void storeStarts(int page, List<TaskAttempt> starts) {
-        pages.put(
+    public void storeStarts(int page, List<TaskAttempt> attempts) {
+        startsByPage.put(
                 page,
-                starts.stream()
+                attempts.stream()
                         .map(
-                                p ->
+                                attempt ->
                                         new RecordedStart(
-                                                p.machine().name(),
+                                                attempt.machine().name(),
                                                 "m",
-                                                p.machine().zone() == 0 ? "a" : "b",
+                                                attempt.machine().zone() == 0 ? "a" : "b",
                                                 false,
-                                                new TaskRef(p.job().spec().id(), p.taskIndex())))
+                                                new TaskRef(
+                                                        attempt.job().spec().id(),
+                                                        attempt.taskIndex())))
                         .toList());
-        answers.add(() -> schedulerState.onStartsStored(page, PageWriteOutcome.STORED));
+        outcomes.add(() -> schedulerState.onStartsStored(page, PageWriteOutcome.STORED));
     }
 
     @Override
@@ -374,26 +374,26 @@
 
     @Override
     public void storeProgress(int page, List<TaskProgress> progress) {
-        answers.add(() -> schedulerState.onProgressStored(page, PageWriteOutcome.STORED));
+        outcomes.add(() -> schedulerState.onProgressStored(page, PageWriteOutcome.STORED));
     }
 
     @Override
     public void storeImages(int page, List<Machine> machines) {
-        answers.add(() -> schedulerState.onImagesStored(page, PageWriteOutcome.STORED));
+        outcomes.add(() -> schedulerState.onImagesStored(page, PageWriteOutcome.STORED));
     }
 
     @Override
-    public void storeDone(JobSpec job, long jobVersion) {}
+    public void storeDone(JobSpec job, long version) {}
 
     @Override
     public void storeCancelled(JobRecord job) {}
 
     @Override
-    public void readJob(String job) {}
+    public void readJob(String jobId) {}
 
     @Override
-    public void scaleOut(ScaleOutRequest rental) {}
+    public void scaleOut(ScaleOutRequest request) {}
 
     @Override
-    public void scaleIn(List<String> machines) {}
+    public void scaleIn(List<String> machineNames) {}
 }
--- a/src/test/java/io/kelphoist/scheduler/TaskAttemptFixture.java
+++ b/src/test/java/io/kelphoist/scheduler/TaskAttemptFixture.java
@@ -14,9 +14,9 @@
 import io.kelphoist.scheduler.cluster.TeamUsage;
 import java.util.List;
 
-/** Makes placements of tasks on machines, for tests in other packages. */
+/** Creates machines and task attempts on them, for tests in other packages. */
 public final class TaskAttemptFixture {
-    private static final MachineType TYPE =
+    private static final MachineType MACHINE_TYPE =
             new MachineType(
                     "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, 45, List.of("a", "b"));
 
@@ -24,15 +24,18 @@
 
     public static Machine createMachine(String name, int zone, boolean spot) {
         return new Machine(
-                new MachineIdentity(name, TYPE, zone, spot), "10.0.0.1:9000", Machine.State.UP, 0);
+                new MachineIdentity(name, MACHINE_TYPE, zone, spot),
+                "10.0.0.1:9000",
+                Machine.State.UP,
+                0);
     }
 
-    public static TaskAttempt createAttempt(JobSpec spec, int task, Machine machine) {
+    public static TaskAttempt createAttempt(JobSpec spec, int taskIndex, Machine machine) {
         NameIndex zones = new NameIndex();
         zones.getOrAssign("a");
         zones.getOrAssign("b");
         JobRecord record = new JobRecord(spec.id(), spec, JobStatus.ACTIVE, 1, 1);
         TeamUsage team = new TeamUsage(new Team(spec.team(), Resources.NONE, Resources.NONE));
-        return new TaskAttempt(new Job(record, team, 0, zones, 0, 0), task, 1, machine, 1, 0);
+        return new TaskAttempt(new Job(record, team, 0, zones, 0, 0), taskIndex, 1, machine, 1, 0);
     }
 }
