--- a/src/main/java/io/kelphoist/records/PackedRecords.java
+++ b/src/main/java/io/kelphoist/records/PackedRecords.java
@@ -292,7 +292,8 @@
     }
 
     /**
-     * Handles the outcome of a page write. If that is unknown, the page is written again.
+     * Handles the outcome of a page write. A page that may not be stored is written again, except
+     * one that is too large and cannot be split.
      *
      * @return the entries of the write; empty if no write of this page was in flight
      */
@@ -313,7 +314,7 @@
 
     /**
      * Reduces the byte limit of all pages, because the state store refused a value of this page's
-     * size. The page is written again unless it holds a single entry, which cannot be split.
+     * size. The page is written again unless it has at most one entry and so cannot be split.
      */
     private void reducePageByteLimit(RecordPage<E> page) {
         pageByteLimit =
--- a/src/main/java/io/kelphoist/scheduler/SchedulerState.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerState.java
@@ -131,7 +131,7 @@
         return components.imageCatalog.describeCached(machine.name(), machine.images().cached());
     }
 
-    /** The machine states to replicate to followers: of machines that are up or will be up. */
+    /** The states, to be replicated to followers, of machines that are up or about to be up. */
     public List<ReplicatedMachine> replicatedMachines() {
         return MachineReplication.describe(machines.all(), components.context.catalog().zones());
     }
@@ -148,17 +148,17 @@
         components.jobRecordHandler.onRecord(record, ageSeconds, nowSeconds);
     }
 
-    /** Handles the outcome of {@link SchedulerOutput#readJob} that no readable record exists. */
-    public void onJobNotFound(String id, double nowSeconds) {
-        components.jobDependencies.onJobNotFound(id, nowSeconds);
+    /** Handles a {@link SchedulerOutput#readJob} request that found no readable record. */
+    public void onJobNotFound(String jobId, double nowSeconds) {
+        components.jobDependencies.onJobNotFound(jobId, nowSeconds);
     }
 
     /**
      * Handles a failure or unknown outcome of {@link SchedulerOutput#storeDone} or {@link
      * SchedulerOutput#storeCancelled}: the write is requested again.
      */
-    public void onJobEndNotStored(String id) {
-        components.jobRecordHandler.onEndNotStored(id);
+    public void onJobEndNotStored(String jobId) {
+        components.jobRecordHandler.onEndNotStored(jobId);
     }
 
     /**
@@ -173,18 +173,18 @@
     // ---- records of earlier terms, and outcomes of writes ----
 
     /** Restores done tasks that an earlier term stored; called after the job records are read. */
-    public void onProgressLoaded(int page, TaskProgress stored) {
-        components.stateRecovery.onProgressLoaded(page, stored);
+    public void onProgressLoaded(int pageNumber, TaskProgress stored) {
+        components.stateRecovery.onProgressLoaded(pageNumber, stored);
     }
 
     /** Restores the images that an earlier term stored as cached on a machine, at any time. */
-    public void onImagesLoaded(int page, CachedImages images) {
-        components.stateRecovery.onImagesLoaded(page, images);
+    public void onImagesLoaded(int pageNumber, CachedImages images) {
+        components.stateRecovery.onImagesLoaded(pageNumber, images);
     }
 
     /** Restores a start that an earlier term stored; called after the job records are read. */
-    public void onStartLoaded(int page, RecordedStart start, double nowSeconds) {
-        components.stateRecovery.onStartLoaded(page, start, nowSeconds);
+    public void onStartLoaded(int pageNumber, RecordedStart start, double nowSeconds) {
+        components.stateRecovery.onStartLoaded(pageNumber, start, nowSeconds);
     }
 
     /** Restores a machine from the state that an earlier leader replicated. */
@@ -205,19 +205,19 @@
     }
 
     /** Handles the outcome of {@link SchedulerOutput#storeProgress}. */
-    public void onProgressStored(int page, PageWriteOutcome outcome) {
-        components.records.progress().onPageWritten(page, outcome);
+    public void onProgressStored(int pageNumber, PageWriteOutcome outcome) {
+        components.records.progress().onPageWritten(pageNumber, outcome);
     }
 
     /** Handles the outcome of {@link SchedulerOutput#storeImages}. */
-    public void onImagesStored(int page, PageWriteOutcome outcome) {
-        components.records.images().onPageWritten(page, outcome);
+    public void onImagesStored(int pageNumber, PageWriteOutcome outcome) {
+        components.records.images().onPageWritten(pageNumber, outcome);
     }
 
     /** Handles the outcome of {@link SchedulerOutput#storeStarts}. */
-    public void onStartsStored(int page, PageWriteOutcome outcome) {
+    public void onStartsStored(int pageNumber, PageWriteOutcome outcome) {
         components.commandDispatcher.enqueueAll(
-                components.records.starts().onPageWritten(page, outcome));
+                components.records.starts().onPageWritten(pageNumber, outcome));
     }
 
     // ---- workers ----
@@ -297,11 +297,11 @@
         components.autoscaler.onScaleOutResponse(request, result, nowSeconds);
     }
 
-    /** Handles the cloud's confirmation that these machines, and all tasks on them, have ended. */
-    public void onScaleInConfirmed(List<String> names, double nowSeconds) {
+    /** Handles the cloud's confirmation that machines are terminated, with all tasks on them. */
+    public void onScaleInConfirmed(List<String> machineNames, double nowSeconds) {
         components.autoscaler.onScaleInConfirmed();
-        for (String name : names) {
-            components.context.machineLifecycle().onTerminated(name, nowSeconds);
+        for (String machineName : machineNames) {
+            components.context.machineLifecycle().onTerminated(machineName, nowSeconds);
         }
     }
 
--- a/src/main/java/io/kelphoist/scheduler/StateRecovery.java
+++ b/src/main/java/io/kelphoist/scheduler/StateRecovery.java
@@ -37,17 +37,17 @@
     }
 
     /** Restores the done tasks of a job, unless the job is not registered. */
-    void onProgressLoaded(int page, TaskProgress stored) {
+    void onProgressLoaded(int pageNumber, TaskProgress stored) {
         Job job = jobs.get(stored.jobId());
         if (job != null) {
             job.tasks().restoreDone(stored.firstTask(), stored.doneTasks());
-            records.progress().restore(page, job, stored.firstTask());
+            records.progress().restore(pageNumber, job, stored.firstTask());
         }
     }
 
     /** Restores the images that a machine should have cached, now or once it is registered. */
-    void onImagesLoaded(int page, CachedImages images) {
-        records.images().addUnclaimed(page, images);
+    void onImagesLoaded(int pageNumber, CachedImages images) {
+        records.images().addUnclaimed(pageNumber, images);
         Machine machine = machines.get(images.machineName());
         if (machine != null) {
             records.images().restoreMachine(machine);
@@ -59,7 +59,7 @@
      * until the machine sends a heartbeat or its lease has expired. No task without a record can
      * run there, because each start is recorded before it is sent.
      */
-    void onStartLoaded(int page, RecordedStart start, double nowSeconds) {
+    void onStartLoaded(int pageNumber, RecordedStart start, double nowSeconds) {
         MachineType machineType = catalog.type(start.machineType());
         Job job = jobs.get(start.task().jobId());
         int taskIndex = start.task().taskIndex();
@@ -77,7 +77,7 @@
         if (machine.attempts().findPresumed(job, taskIndex) == null) {
             TaskAttempt attempt = TaskAttempt.presumed(job, taskIndex, machine, nowSeconds);
             machine.addAttempt(attempt);
-            records.starts().restore(page, attempt);
+            records.starts().restore(pageNumber, attempt);
             attempts.allocate(attempt);
         }
     }
@@ -95,9 +95,9 @@
     }
 
     /**
-     * Restores a machine from the state that an earlier leader replicated: a hint to which machines
-     * status requests must be sent. Its lease is measured from now, because it is unknown when an
-     * earlier leader last acknowledged a heartbeat of it.
+     * Restores a machine from the state that an earlier leader replicated, which is only a hint
+     * that a status request must be sent to it. Its lease is measured from now, because it is
+     * unknown when an earlier leader last acknowledged a heartbeat of it.
      */
     void onReplicatedMachine(ReplicatedMachine replicated, double nowSeconds) {
         MachineType machineType = catalog.type(replicated.machineType());
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
@@ -8,9 +8,9 @@
 import java.util.List;
 
 /**
- * Handles heartbeats from workers. Each heartbeat is applied once, in the order of agent epoch and
- * sequence number, whichever path it was delivered by: copies of a heartbeat may arrive late. The
- * response to an accepted heartbeat carries commands and renews the worker's lease.
+ * Handles heartbeats from workers. Each heartbeat is applied at most once, in the order of agent
+ * epochs and sequence numbers, whichever path delivered it: copies of a heartbeat may arrive late.
+ * The response to an accepted heartbeat carries commands and renews the worker's lease.
  */
 public final class HeartbeatHandler {
     private final long term;
@@ -85,8 +85,9 @@
     }
 
     /**
-     * Handles a heartbeat that is either a late copy, for whose response no worker waits, or from a
-     * restarted worker, which can run only tasks whose start commands are still in flight to it.
+     * Handles a heartbeat that is either a late copy or from a restarted worker. No worker waits
+     * for the response to a copy. A restarted worker runs only tasks whose start commands were
+     * still in flight to it.
      */
     private void onCopyOrRestart(Machine machine, Heartbeat heartbeat, double nowSeconds) {
         MachineReachability reachability = machine.reachability();
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
@@ -202,7 +202,7 @@
 
     /**
      * Recomputes the urgency of the job's direct and transitive dependencies from their other
-     * dependents, because the job has ended.
+     * dependents, because the job has ended or is being cancelled.
      */
     private void withdrawUrgency(Job job) {
         updateDependencies(job, (dependency, dependent) -> recomputeUrgency(dependency));
--- a/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
@@ -51,7 +51,7 @@
                 + IMAGE_OVERHEAD_BYTES;
     }
 
-    /** Keeps the images that an earlier term stored for a machine until that is registered. */
+    /** Keeps the images that an earlier term stored for a machine until it is registered. */
     public void addUnclaimed(int pageNumber, CachedImages images) {
         unclaimedByMachine.put(images.machineName(), new UnclaimedRecord(pageNumber, images));
     }
--- a/src/main/java/io/kelphoist/scheduler/records/ProgressRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/ProgressRecords.java
@@ -19,7 +19,7 @@
 public final class ProgressRecords {
     /**
      * The most tasks of a segment: one kilobyte of bits. If stored values must be smaller, segments
-     * hold fewer tasks, by a power of two, so that a whole number of them covers a segment of this
+     * hold a smaller power of two of tasks, so that a whole number of them covers a segment of this
      * size.
      */
     private static final int MAX_TASKS_PER_SEGMENT = 8192;
