--- a/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
+++ b/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
@@ -274,7 +274,7 @@
         }
     }
 
-    /** Submits jobs and starts their tasks; returns the number of jobs. */
+    /** Starts tasks on three quarters of all GPUs; returns the number of jobs submitted. */
     private int fillThreeQuarters() {
         int submittedCount = 0;
         for (int tasks = 0; tasks < machineCount * MACHINE_GPUS * 3 / 4; tasks += 12) {
@@ -287,7 +287,7 @@
         return submittedCount;
     }
 
-    /** Submits new jobs and sends heartbeats in ten rounds, and measures both. */
+    /** Submits jobs and sends heartbeats in ten rounds; measures heartbeats and decisions. */
     private void measureSteadyLoad(int firstNumber) {
         int number = firstNumber;
         for (int round = 0; round < 10; round++) {
