--- a/src/main/java/io/kelphoist/scheduler/SchedulerParts.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerComponents.java
@@ -14,7 +14,7 @@
 import io.kelphoist.scheduler.heartbeats.DeliveryOutcomeHandler;
 import io.kelphoist.scheduler.heartbeats.HeartbeatApplier;
 import io.kelphoist.scheduler.heartbeats.HeartbeatHandler;
-import io.kelphoist.scheduler.heartbeats.HeartbeatSenders;
+import io.kelphoist.scheduler.heartbeats.HeartbeatSenderResolver;
 import io.kelphoist.scheduler.heartbeats.MachineProber;
 import io.kelphoist.scheduler.heartbeats.TaskAttemptHandler;
 import io.kelphoist.scheduler.images.ImageCatalog;
@@ -37,8 +37,8 @@
 import io.kelphoist.scheduler.spi.SchedulerOutput;
 import java.util.Collection;
 
-/** Creates and connects the parts of one term's scheduler. */
-final class SchedulerParts {
+/** Creates and connects the components of one term's scheduler. */
+final class SchedulerComponents {
     final SchedulerContext context;
     final ImageCatalog imageCatalog = new ImageCatalog();
     final SchedulerRecords records;
@@ -50,14 +50,14 @@
     final JobReconciler jobReconciler;
     final QueueWaitTracker queueWaitTracker;
     final StateRecovery stateRecovery;
-    final HeartbeatSenders heartbeatSenders;
+    final HeartbeatSenderResolver senderResolver;
     final HeartbeatHandler heartbeatHandler;
     final DeliveryOutcomeHandler deliveryOutcomeHandler;
     final LeaseMonitor leaseMonitor;
     final Allocator allocator;
     final Autoscaler autoscaler;
 
-    SchedulerParts(
+    SchedulerComponents(
             SchedulingPolicy policy,
             SchedulerOutput output,
             DelegatedRenewals delegatedRenewals,
@@ -85,14 +85,14 @@
         queueWaitTracker = new QueueWaitTracker(jobs);
         stateRecovery = new StateRecovery(context, records);
         BootTimeEstimator bootTimeEstimator = new BootTimeEstimator();
-        heartbeatSenders = new HeartbeatSenders(term, catalog, context.machines());
+        senderResolver = new HeartbeatSenderResolver(term, catalog, context.machines());
         MachineProber prober = new MachineProber(promotionGate, output);
         HeartbeatApplier applier = createHeartbeatApplier(bootTimeEstimator);
         heartbeatHandler =
                 new HeartbeatHandler(
-                        term, policy.leaseSeconds(), heartbeatSenders, applier, prober, jobs);
+                        term, policy.leaseSeconds(), senderResolver, applier, prober, jobs);
         deliveryOutcomeHandler =
-                new DeliveryOutcomeHandler(context, heartbeatSenders, applier, prober);
+                new DeliveryOutcomeHandler(context, senderResolver, applier, prober);
         leaseMonitor = new LeaseMonitor(context, delegatedRenewals);
         allocator = Allocator.create(context);
         autoscaler = new Autoscaler(context, promotionGate, bootTimeEstimator);
--- a/src/main/java/io/kelphoist/scheduler/SchedulerState.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerState.java
@@ -29,23 +29,25 @@
 import java.util.List;
 
 /**
- * The scheduler of one leader's term: jobs, machines and what may run where. This is the entry for
- * input events, which come with their time in seconds of the monotonic clock; what the scheduler
- * asks for goes to {@link SchedulerOutput}. There is no I/O and no clock here. Not thread-safe: all
- * methods are called on the event loop.
+ * The scheduler of one leader's term: its jobs, its machines, and the task attempts that may run on
+ * each machine. This class is the entry point for input events, each of which has its time in
+ * seconds of the monotonic clock; the scheduler's requests go to {@link SchedulerOutput}. The class
+ * uses no I/O and no clock. Not thread-safe: all methods are called on the event loop.
  *
- * <p>Holds no state itself: that is in {@link SchedulerParts}.
+ * <p>Its state is in the components that {@link SchedulerComponents} connects.
  */
 public final class SchedulerState {
     private final PromotionGate promotionGate;
-    private final SchedulerParts parts;
+    private final SchedulerComponents components;
     private final MachineRegistry machines;
 
     /**
-     * @param delegatedRenewals when others may have renewed a machine's lease
-     * @param promotionGate what must hold before anything is decided
-     * @param term the leader's term, which its fencing token holds
-     * @param machineTypes the types that the cloud offers, as far as known
+     * Creates the scheduler of a term, without jobs and machines.
+     *
+     * @param delegatedRenewals when delegates may have renewed a machine's lease
+     * @param promotionGate the conditions for the first decision
+     * @param term the leader's term, which is its fencing token
+     * @param machineTypes the machine types of the cloud that are known at this time
      */
     public SchedulerState(
             SchedulingPolicy policy,
@@ -55,40 +57,40 @@
             long term,
             Collection<MachineType> machineTypes) {
         this.promotionGate = promotionGate;
-        this.parts =
-                new SchedulerParts(
+        this.components =
+                new SchedulerComponents(
                         policy, output, delegatedRenewals, promotionGate, term, machineTypes);
-        this.machines = parts.context.machines();
+        this.machines = components.context.machines();
     }
 
     // ---- queries ----
 
-    /** The jobs that this term works on; not to be changed. */
+    /** The jobs registered with the scheduler; callers must not modify the collection. */
     public Collection<Job> jobs() {
-        return parts.context.jobs().all();
+        return components.context.jobs().all();
     }
 
-    /** The machines that this term knows; not to be changed. */
+    /** The machines registered with the scheduler; callers must not modify the collection. */
     public Collection<Machine> machines() {
         return machines.all();
     }
 
     /** The leader's term. */
     public long term() {
-        return parts.context.term();
+        return components.context.term();
     }
 
     /** Whether a worker has seen a newer term, so that this leader must resign. */
     public boolean isDeposed() {
-        return parts.heartbeatSenders.isDeposed();
+        return components.senderResolver.isDeposed();
     }
 
-    /** Whether decisions are allowed, as the first round of heartbeats after failover is over. */
+    /** Whether decisions are allowed: the first round of heartbeats after failover has ended. */
     public boolean isRecovered() {
         return promotionGate.maySchedule(Double.NaN);
     }
 
-    /** Whether commands to some machine were sent and have not ended. */
+    /** Whether commands to any machine are in flight. */
     public boolean hasCommandsInFlight() {
         for (Machine machine : machines.all()) {
             if (machine.contact().hasCommandsInFlight()) {
@@ -98,167 +100,171 @@
         return false;
     }
 
-    /** How many machines were considered for jobs so far: a measure of what decisions cost. */
+    /** How many machines were evaluated for jobs so far: a measure of the cost of decisions. */
     public long consideredMachineCount() {
-        return parts.allocator.evaluationCount();
+        return components.allocator.evaluationCount();
     }
 
     /** Names of the machines of a zone whose leases only the leader may renew. */
     public List<String> machinesExcludedFromDelegation(String zone) {
-        return parts.leaseMonitor.machinesExcludedFromDelegation(
-                parts.context.catalog().zones().find(zone));
+        return components.leaseMonitor.machinesExcludedFromDelegation(
+                components.context.catalog().zones().find(zone));
     }
 
     /** The name of a zone by its index, see {@link Machine#zone}. */
     public String zoneName(int zone) {
-        return parts.context.catalog().zones().name(zone);
+        return components.context.catalog().zones().name(zone);
     }
 
-    /** The longest time that a job without any started task waits, in seconds; 0: none waits. */
+    /** The longest wait of a job without any started task, in seconds; 0 if no such job waits. */
     public double longestWaitSeconds() {
-        return parts.queueWaitTracker.longestWaitSeconds();
+        return components.queueWaitTracker.longestWaitSeconds();
     }
 
-    /** How many jobs and tasks {@link #reconcileJobs} found lost so far. */
-    public long reconciledCount() {
-        return parts.jobReconciler.repairCount();
+    /** How many lost jobs and lost tasks {@link #reconcileJobs} has found and repaired so far. */
+    public long repairCount() {
+        return components.jobReconciler.repairCount();
     }
 
-    /** What a machine should have cached, as it is stored. */
-    public CachedImages imagesOn(Machine machine) {
-        return parts.imageCatalog.describeCached(machine.name(), machine.images().cached());
+    /** The images that a machine should have cached, in the form of their stored record. */
+    public CachedImages cachedImages(Machine machine) {
+        return components.imageCatalog.describeCached(machine.name(), machine.images().cached());
     }
 
-    /** What is replicated to followers: the machines that are, or are about to be, up. */
+    /** The states, to be replicated to followers, of machines that are up or about to be up. */
     public List<ReplicatedMachine> replicatedMachines() {
-        return MachineReplication.describe(machines.all(), parts.context.catalog().zones());
+        return MachineReplication.describe(machines.all(), components.context.catalog().zones());
     }
 
     // ---- jobs ----
 
     /**
-     * A job's record, as read or changed at the state service.
+     * Applies a job's record, as read from the state store or as changed there.
      *
-     * @param ageSeconds how long ago the job was accepted; of a done job, how long ago that was
+     * @param ageSeconds seconds since the job was accepted; for a done job, since its end was
      *     stored
      */
     public void onJobRecord(JobRecord record, double ageSeconds, double nowSeconds) {
-        parts.jobRecordHandler.onRecord(record, ageSeconds, nowSeconds);
+        components.jobRecordHandler.onRecord(record, ageSeconds, nowSeconds);
     }
 
-    /** The outcome of {@link SchedulerOutput#readJob} where no readable record exists. */
-    public void onJobNotFound(String id, double nowSeconds) {
-        parts.jobDependencies.onJobNotFound(id, nowSeconds);
+    /** Handles a {@link SchedulerOutput#readJob} request that found no readable record. */
+    public void onJobNotFound(String jobId, double nowSeconds) {
+        components.jobDependencies.onJobNotFound(jobId, nowSeconds);
     }
 
     /**
-     * The outcome of {@link SchedulerOutput#storeDone} or {@link SchedulerOutput#storeCancelled},
-     * unless it was stored for sure: it is requested again.
+     * Handles a failure or unknown outcome of {@link SchedulerOutput#storeDone} or {@link
+     * SchedulerOutput#storeCancelled}: the write is requested again.
      */
-    public void onJobEndNotStored(String id) {
-        parts.jobRecordHandler.onEndNotStored(id);
+    public void onJobEndNotStored(String jobId) {
+        components.jobRecordHandler.onEndNotStored(jobId);
     }
 
     /**
-     * Compares the jobs with their records, see {@link JobReconciler#run}. Returns the records that
-     * are to be passed to {@link #onJobRecord} again.
+     * Compares the jobs with their records, see {@link JobReconciler#reconcile}. Returns the
+     * records that are to be passed to {@link #onJobRecord} again.
      */
     public List<JobRecord> reconcileJobs(
-            Collection<JobRecord> unfinished, double knownUntilSeconds, double nowSeconds) {
-        return parts.jobReconciler.run(unfinished, knownUntilSeconds, nowSeconds);
+            Collection<JobRecord> unfinished, double changesReadUntilSeconds, double nowSeconds) {
+        return components.jobReconciler.reconcile(unfinished, changesReadUntilSeconds, nowSeconds);
     }
 
-    // ---- records of earlier terms, and their writes ----
+    // ---- records of earlier terms, and outcomes of writes ----
 
-    /** Done tasks that an earlier term stored; called after the jobs' parts.records. */
-    public void onProgressLoaded(int page, TaskProgress stored) {
-        parts.stateRecovery.onProgressLoaded(page, stored);
+    /** Restores done tasks that an earlier term stored; called after the job records are read. */
+    public void onProgressLoaded(int pageNumber, TaskProgress stored) {
+        components.stateRecovery.onProgressLoaded(pageNumber, stored);
     }
 
-    /** What an earlier term stored as cached on a machine. */
-    public void onImagesLoaded(int page, CachedImages images) {
-        parts.stateRecovery.onImagesLoaded(page, images);
+    /** Restores the images that an earlier term stored as cached on a machine, at any time. */
+    public void onImagesLoaded(int pageNumber, CachedImages images) {
+        components.stateRecovery.onImagesLoaded(pageNumber, images);
     }
 
-    /** A start that an earlier term stored; called after the jobs' parts.records. */
-    public void onStartLoaded(int page, RecordedStart start, double nowSeconds) {
-        parts.stateRecovery.onStartLoaded(page, start, nowSeconds);
+    /** Restores a start that an earlier term stored; called after the job records are read. */
+    public void onStartLoaded(int pageNumber, RecordedStart start, double nowSeconds) {
+        components.stateRecovery.onStartLoaded(pageNumber, start, nowSeconds);
     }
 
-    /** A machine as an earlier leader replicated it. */
+    /** Restores a machine from the state that an earlier leader replicated. */
     public void onReplicatedMachine(ReplicatedMachine replicated, double nowSeconds) {
-        parts.stateRecovery.onReplicatedMachine(replicated, nowSeconds);
+        components.stateRecovery.onReplicatedMachine(replicated, nowSeconds);
     }
 
     /**
-     * All records were read. Heartbeats that came meanwhile were answered without being applied, so
-     * each machine may have been answered until now.
+     * Handles the end of loading: all records have been read. Heartbeats that arrived during the
+     * load were acknowledged without being applied, so the lease of each machine may have been
+     * renewed at any time until now.
      */
-    public void onLoaded(double nowSeconds) {
+    public void onRecordsLoaded(double nowSeconds) {
         for (Machine machine : machines.all()) {
             machine.contact().onResponsePossiblySent(nowSeconds);
         }
-        parts.jobRecordHandler.onLoaded();
+        components.jobRecordHandler.onRecordsLoaded();
     }
 
-    /** The outcome of {@link SchedulerOutput#storeProgress}. */
-    public void onProgressStored(int page, PageWriteOutcome outcome) {
-        parts.records.progress().onPageWritten(page, outcome);
+    /** Handles the outcome of {@link SchedulerOutput#storeProgress}. */
+    public void onProgressStored(int pageNumber, PageWriteOutcome outcome) {
+        components.records.progress().onPageWritten(pageNumber, outcome);
     }
 
-    /** The outcome of {@link SchedulerOutput#storeImages}. */
-    public void onImagesStored(int page, PageWriteOutcome outcome) {
-        parts.records.images().onPageWritten(page, outcome);
+    /** Handles the outcome of {@link SchedulerOutput#storeImages}. */
+    public void onImagesStored(int pageNumber, PageWriteOutcome outcome) {
+        components.records.images().onPageWritten(pageNumber, outcome);
     }
 
-    /** The outcome of {@link SchedulerOutput#storeStarts}. */
-    public void onStartsStored(int page, PageWriteOutcome outcome) {
-        parts.commandDispatcher.enqueueAll(parts.records.starts().onPageWritten(page, outcome));
+    /** Handles the outcome of {@link SchedulerOutput#storeStarts}. */
+    public void onStartsStored(int pageNumber, PageWriteOutcome outcome) {
+        components.commandDispatcher.enqueueAll(
+                components.records.starts().onPageWritten(pageNumber, outcome));
     }
 
     // ---- workers ----
 
     /**
-     * A heartbeat of a worker; returns the commands of the answer, or null, see {@link
-     * HeartbeatHandler#onHeartbeat}.
+     * Handles a heartbeat from a worker; returns the commands for the response, or null if the
+     * heartbeat must be refused, see {@link HeartbeatHandler#onHeartbeat}.
      *
-     * @param receivingController the controller that the worker sent it to; empty: this one
+     * @param receivingController the controller that the worker sent the heartbeat to; empty for
+     *     this controller
      */
     public List<WorkerCommand> onHeartbeat(
             Heartbeat heartbeat, String receivingController, double nowSeconds) {
-        return parts.heartbeatHandler.onHeartbeat(heartbeat, receivingController, nowSeconds);
+        return components.heartbeatHandler.onHeartbeat(heartbeat, receivingController, nowSeconds);
     }
 
     /**
-     * How a request for a heartbeat ended. The address may belong to another machine by now, which
-     * then responds for itself.
+     * Handles the outcome of a status request. The machine's address may have been reassigned to
+     * another machine, which then responds with its own heartbeat.
      *
-     * @param heartbeat the response; null: there was none
+     * @param heartbeat the heartbeat in the response; null if there was no response
      */
     public void onStatusRequestOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat, double nowSeconds) {
         Machine machine = machines.get(machineName);
         if (heartbeat != null) {
-            parts.deliveryOutcomeHandler.onResponse(heartbeat, nowSeconds);
+            components.deliveryOutcomeHandler.onResponse(heartbeat, nowSeconds);
         } else if (machine != null) {
             machine.reachability().onUndelivered(outcome, nowSeconds);
         }
     }
 
     /**
-     * The outcome of {@link SchedulerOutput#probe}.
+     * Handles the outcome of {@link SchedulerOutput#probe}.
      *
-     * @param heartbeat the response; null: there was none
+     * @param heartbeat the heartbeat in the response; null if there was no response
      */
     public void onProbeOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat, double nowSeconds) {
-        parts.deliveryOutcomeHandler.onProbeOutcome(machineName, outcome, heartbeat, nowSeconds);
+        components.deliveryOutcomeHandler.onProbeOutcome(
+                machineName, outcome, heartbeat, nowSeconds);
     }
 
     /**
-     * The outcome of {@link SchedulerOutput#sendCommands}.
+     * Handles the outcome of {@link SchedulerOutput#sendCommands}.
      *
-     * @param heartbeat the worker's, where its response holds one; else null
+     * @param heartbeat the heartbeat in the worker's response; null if there was none
      */
     public void onCommandOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat, double nowSeconds) {
@@ -266,64 +272,64 @@
         if (machine == null) {
             return;
         }
-        parts.commandDispatcher.onOutcome(machine, outcome, nowSeconds);
+        components.commandDispatcher.onOutcome(machine, outcome, nowSeconds);
         if (heartbeat != null) {
-            parts.deliveryOutcomeHandler.onResponse(heartbeat, nowSeconds);
+            components.deliveryOutcomeHandler.onResponse(heartbeat, nowSeconds);
         }
     }
 
     // ---- cloud ----
 
-    /** The cloud offers these machine types, besides or in place of those known by these names. */
+    /** Adds machine types that the cloud offers; a type replaces a previous one of its name. */
     public void addMachineTypes(Collection<MachineType> newTypes) {
-        parts.context.catalog().addTypes(newTypes);
+        components.context.catalog().addTypes(newTypes);
     }
 
-    /** A whole list of the cloud's instances. */
+    /** Handles a complete instance list of the cloud, consisting of all its pages. */
     public void onInstanceList(List<InstanceListPage> pages, double nowSeconds) {
-        pages.forEach(page -> parts.autoscaler.onInstanceListPage(page, nowSeconds));
+        pages.forEach(page -> components.autoscaler.onInstanceListPage(page, nowSeconds));
         promotionGate.onInstancesListed(nowSeconds);
     }
 
-    /** The outcome of {@link SchedulerOutput#scaleOut}. */
+    /** Handles the outcome of {@link SchedulerOutput#scaleOut}. */
     public void onScaleOutResponse(
             ScaleOutRequest request, ScaleOutResult result, double nowSeconds) {
-        parts.autoscaler.onScaleOutResponse(request, result, nowSeconds);
+        components.autoscaler.onScaleOutResponse(request, result, nowSeconds);
     }
 
-    /** The cloud confirmed that these machines are terminated, with all that was on them. */
-    public void onScaleInConfirmed(List<String> names, double nowSeconds) {
-        parts.autoscaler.onScaleInConfirmed();
-        for (String name : names) {
-            parts.context.machineLifecycle().onTerminated(name, nowSeconds);
+    /** Handles the cloud's confirmation that machines are terminated, with all tasks on them. */
+    public void onScaleInConfirmed(List<String> machineNames, double nowSeconds) {
+        components.autoscaler.onScaleInConfirmed();
+        for (String machineName : machineNames) {
+            components.context.machineLifecycle().onTerminated(machineName, nowSeconds);
         }
     }
 
-    /** Nobody knows whether the last scale-in took place: it is requested again. */
+    /** Handles an unknown outcome of the last scale-in request: it is requested again. */
     public void onScaleInFailed(double nowSeconds) {
-        parts.autoscaler.onScaleInFailed(nowSeconds);
+        components.autoscaler.onScaleInFailed(nowSeconds);
     }
 
     // ---- time ----
 
-    /** Does what is due, and decides. Called often, and after each input event. */
+    /** Runs the work that is due and the decisions. Called often and after each input event. */
     public void tick(double nowSeconds) {
-        parts.leaseMonitor.run(nowSeconds);
-        parts.jobEndWriter.storeDueEnds();
+        components.leaseMonitor.run(nowSeconds);
+        components.jobEndWriter.storeDueEnds();
         if (promotionGate.maySchedule(nowSeconds)) {
-            parts.allocator.allocate(nowSeconds);
-            parts.autoscaler.scaleToDemand(parts.allocator.unplacedJobs(), nowSeconds);
-            parts.queueWaitTracker.run(parts.allocator.unplacedJobs(), nowSeconds);
+            components.allocator.allocate(nowSeconds);
+            components.autoscaler.scaleToDemand(components.allocator.unplacedJobs(), nowSeconds);
+            components.queueWaitTracker.run(components.allocator.unplacedJobs(), nowSeconds);
         }
-        parts.jobDependencies.run(nowSeconds);
-        parts.records.writeDuePages(nowSeconds);
-        parts.commandDispatcher.sendPending(nowSeconds);
+        components.jobDependencies.sendDueRequests(nowSeconds);
+        components.records.writeDuePages(nowSeconds);
+        components.commandDispatcher.sendPending(nowSeconds);
     }
 
     // ---- for tests ----
 
     JobRegistry jobRegistry() {
-        return parts.context.jobs();
+        return components.context.jobs();
     }
 
     MachineRegistry machineRegistry() {
@@ -331,6 +337,6 @@
     }
 
     JobFactory jobFactory() {
-        return parts.jobFactory;
+        return components.jobFactory;
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/StateRecovery.java
+++ b/src/main/java/io/kelphoist/scheduler/StateRecovery.java
@@ -17,8 +17,9 @@
 import io.kelphoist.scheduler.records.SchedulerRecords;
 
 /**
- * Restores what earlier terms stored (starts, done tasks, cached images) and what their leaders
- * replicated of machines. Called after the jobs' records were read, before the first decision.
+ * Restores the records that earlier terms stored (starts, done tasks, cached images) and the
+ * machine states that their leaders replicated. Called after the job records have been read and
+ * before the first decision; only the cached images, which are a hint, may be restored later.
  */
 final class StateRecovery {
     private final MachineCatalog catalog;
@@ -35,18 +36,18 @@
         this.records = records;
     }
 
-    /** Done tasks of an unfinished job. */
-    void onProgressLoaded(int page, TaskProgress stored) {
+    /** Restores the done tasks of a job, unless the job is not registered. */
+    void onProgressLoaded(int pageNumber, TaskProgress stored) {
         Job job = jobs.get(stored.jobId());
         if (job != null) {
             job.tasks().restoreDone(stored.firstTask(), stored.doneTasks());
-            records.progress().restore(page, job, stored.firstTask());
+            records.progress().restore(pageNumber, job, stored.firstTask());
         }
     }
 
-    /** Images that should be cached on a machine, which need not be known yet. */
-    void onImagesLoaded(int page, CachedImages images) {
-        records.images().addUnclaimed(page, images);
+    /** Restores the images that a machine should have cached, now or once it is registered. */
+    void onImagesLoaded(int pageNumber, CachedImages images) {
+        records.images().addUnclaimed(pageNumber, images);
         Machine machine = machines.get(images.machineName());
         if (machine != null) {
             records.images().restoreMachine(machine);
@@ -54,11 +55,11 @@
     }
 
     /**
-     * A start that an earlier term recorded. Until the machine reports, or its lease has expired,
-     * the task is presumed to be there. No other task can be: a start is recorded before it is
-     * sent.
+     * Restores a start that an earlier term recorded. The task is presumed to run on the machine
+     * until the machine sends a heartbeat or its lease has expired. No task without a record can
+     * run there, because each start is recorded before it is sent.
      */
-    void onStartLoaded(int page, RecordedStart start, double nowSeconds) {
+    void onStartLoaded(int pageNumber, RecordedStart start, double nowSeconds) {
         MachineType machineType = catalog.type(start.machineType());
         Job job = jobs.get(start.task().jobId());
         int taskIndex = start.task().taskIndex();
@@ -76,7 +77,7 @@
         if (machine.attempts().findPresumed(job, taskIndex) == null) {
             TaskAttempt attempt = TaskAttempt.presumed(job, taskIndex, machine, nowSeconds);
             machine.addAttempt(attempt);
-            records.starts().restore(page, attempt);
+            records.starts().restore(pageNumber, attempt);
             attempts.allocate(attempt);
         }
     }
@@ -94,8 +95,9 @@
     }
 
     /**
-     * A machine as an earlier leader replicated it: a hint whom to ask for a heartbeat. It counts
-     * as answered until now, as nobody knows better.
+     * Restores a machine from the state that an earlier leader replicated, which is only a hint
+     * that a status request must be sent to it. Its lease is measured from now, because it is
+     * unknown when an earlier leader last acknowledged a heartbeat of it.
      */
     void onReplicatedMachine(ReplicatedMachine replicated, double nowSeconds) {
         MachineType machineType = catalog.type(replicated.machineType());
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
@@ -76,7 +76,7 @@
             machine.hold().end();
             attempts.removeAll(machine, nowSeconds);
             startIntentLog.onNothingRunning(machine);
-            imageRecords.onMachineGone(machine);
+            imageRecords.onMachineTerminated(machine);
             machine.images().clear();
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/spi/SchedulerOutput.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/SchedulerOutput.java
@@ -54,7 +54,7 @@
 
     /**
      * Stores a page of the images that should be cached on machines, see {@code
-     * SchedulerState.imagesOn}; outcome: {@code SchedulerState.onImagesStored}.
+     * SchedulerState.cachedImages}; outcome: {@code SchedulerState.onImagesStored}.
      */
     void storeImages(int page, List<Machine> machines);
 
