--- a/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
@@ -77,7 +77,9 @@
         }
         acknowledge(progress, statement, sentAtSeconds);
         double coveredSinceSeconds =
-                nowSeconds - statement.coveredSeconds() * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT);
+                nowSeconds
+                        - statement.coveredSeconds()
+                                * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO);
         if (statement.complete() && coveredSinceSeconds <= progress.knownUntilSeconds) {
             progress.knownUntilSeconds = Math.max(progress.knownUntilSeconds, sentAtSeconds);
         }
--- a/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
+++ b/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
@@ -68,7 +68,7 @@
         if (stopped) {
             return;
         }
-        Optional<String> leader = leaderSupplier.get().filter(client::isReachable);
+        Optional<String> leader = leaderSupplier.get().filter(client::hasPeer);
         if (isPaused || leader.isEmpty()) {
             loop.schedule(POLL_INTERVAL_SECONDS, this::poll);
             return;
--- a/src/main/java/io/kelphoist/controller/PeerRoutes.java
+++ b/src/main/java/io/kelphoist/controller/PeerRoutes.java
@@ -36,7 +36,7 @@
     public void handleRequest(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
             case PeerPaths.GRANT -> receiveMessage(exchange, this::onGrantRequest);
-            case PeerPaths.TERM_ENDED -> receiveMessage(exchange, this::onTermEnded);
+            case PeerPaths.HANDOVER -> receiveMessage(exchange, this::onTermEnded);
             case PeerPaths.EVENTS -> receiveMessage(exchange, this::onEventsRequest);
             case PeerPaths.HEARTBEAT ->
                     HttpExchanges.receiveBody(
--- a/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
+++ b/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
@@ -97,7 +97,7 @@
 
     /** Returns the update for another controller; empty if no term is led here. */
     Optional<TermUpdate> updateFor(EventsRequest request) {
-        long position = request.term() == term ? request.afterSequence() : UNKNOWN_POSITION;
+        long position = request.term() == term ? request.fromSequence() : UNKNOWN_POSITION;
         return eventLog.map(log -> new TermUpdate(term, log.updateSince(position)));
     }
 }
--- a/src/main/java/io/kelphoist/delegation/DelegationTiming.java
+++ b/src/main/java/io/kelphoist/delegation/DelegationTiming.java
@@ -45,9 +45,9 @@
     public static DelegationTiming of(double cancelSeconds, double leaseSeconds) {
         double remainingSeconds =
                 (cancelSeconds
-                                - leaseSeconds * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT)
+                                - leaseSeconds * (1 + 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO)
                                 - TIMER_MARGIN_SECONDS)
-                        * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT);
+                        * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO);
         return new DelegationTiming(
                 remainingSeconds < MIN_DELEGATION_SECONDS ? 0 : remainingSeconds,
                 Math.max(MIN_RENEWAL_WINDOW_SECONDS, remainingSeconds),
@@ -68,6 +68,7 @@
      */
     public boolean allowsRenewal(double knownUntilSeconds, double nowSeconds) {
         return nowSeconds
-                < knownUntilSeconds + renewalWindowSeconds * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT);
+                < knownUntilSeconds
+                        + renewalWindowSeconds * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO);
     }
 }
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -163,7 +163,7 @@
 
     private double expiresAtSeconds() {
         return latestStartAtSeconds
-                + timing.delegationSeconds() * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT);
+                + timing.delegationSeconds() * (1 + 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO);
     }
 
     /** Whether an offer may be sent: no start of an older delegation is on record. */
@@ -254,7 +254,8 @@
                         : lastRenewalAtSeconds;
         double mayRenewAfterSeconds =
                 answeredRequestSentAtSeconds
-                        + timing.leaderSilenceSeconds() * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT);
+                        + timing.leaderSilenceSeconds()
+                                * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO);
         if (nowSeconds < mayRenewAfterSeconds || excludedMachines.contains(machineName)) {
             return knownRenewalAtSeconds;
         }
--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -318,7 +318,7 @@
 
     private double leaseExpiryAfter(double sentAtSeconds) {
         return sentAtSeconds
-                + leaseSeconds * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT)
+                + leaseSeconds * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO)
                 - SAFETY_MARGIN_SECONDS;
     }
 
--- a/src/main/java/io/kelphoist/election/GivenGrants.java
+++ b/src/main/java/io/kelphoist/election/GivenGrants.java
@@ -47,7 +47,7 @@
     boolean haveExpired(double nowSeconds) {
         return nowSeconds
                 > givenAtSeconds
-                        + grantSeconds * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT)
+                        + grantSeconds * (1 + 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO)
                         + Election.SAFETY_MARGIN_SECONDS;
     }
 }
--- a/src/main/java/io/kelphoist/election/ReceivedGrants.java
+++ b/src/main/java/io/kelphoist/election/ReceivedGrants.java
@@ -21,7 +21,7 @@
         expiresAtSeconds.merge(
                 peer,
                 sentAtSeconds
-                        + grantSeconds * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT)
+                        + grantSeconds * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO)
                         - Election.SAFETY_MARGIN_SECONDS,
                 Math::max);
     }
--- a/src/main/java/io/kelphoist/heartbeat/FollowerHeartbeatHandler.java
+++ b/src/main/java/io/kelphoist/heartbeat/FollowerHeartbeatHandler.java
@@ -52,7 +52,7 @@
     /** Answers a heartbeat. */
     void handle(HttpServerExchange exchange, ReceivedHeartbeat received, double nowSeconds) {
         Heartbeat heartbeat = received.heartbeat();
-        Optional<String> knownLeader = elector.leader().filter(relayClient::isReachable);
+        Optional<String> knownLeader = elector.leader().filter(relayClient::hasPeer);
         boolean leaderReachesUs = elector.hasRecentLeaderContact(nowSeconds);
         if (!leaderReachesUs
                 && isOutOfAlternatives(heartbeat, knownLeader, nowSeconds)
--- a/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
+++ b/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
@@ -32,7 +32,7 @@
          * @param relayAddress address of the controller that relayed the heartbeat; empty if it
          *     came directly
          */
-        Optional<HeartbeatResponse> respond(Heartbeat heartbeat, String relayAddress);
+        Optional<HeartbeatResponse> respondToHeartbeat(Heartbeat heartbeat, String relayAddress);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
@@ -93,7 +93,7 @@
             String relayAddress = exchange.getSourceAddress().getAddress().getHostAddress();
             Optional<HeartbeatResponse> response =
                     elector.election().state() == Election.State.LEADER
-                            ? leaderResponder.respond(heartbeat, relayAddress)
+                            ? leaderResponder.respondToHeartbeat(heartbeat, relayAddress)
                             : Optional.empty();
             if (response.isEmpty()) {
                 HttpExchanges.sendStatus(exchange, StatusCodes.SERVICE_UNAVAILABLE);
@@ -128,7 +128,8 @@
     private void handleAsLeader(
             HttpServerExchange exchange, Heartbeat heartbeat, double nowSeconds) {
         counters.onDirectHeartbeat(nowSeconds);
-        Optional<HeartbeatResponse> response = leaderResponder.respond(heartbeat, NOT_RELAYED);
+        Optional<HeartbeatResponse> response =
+                leaderResponder.respondToHeartbeat(heartbeat, NOT_RELAYED);
         if (response.isPresent()) {
             HttpExchanges.sendCbor(
                     exchange,
--- a/src/main/java/io/kelphoist/heartbeat/WorkerConnections.java
+++ b/src/main/java/io/kelphoist/heartbeat/WorkerConnections.java
@@ -47,7 +47,7 @@
 
     /** Whether a connection on which a heartbeat arrived is kept open after the response. */
     boolean keepAlive(ServerConnection connection, double nowSeconds) {
-        if (budget.isCrowded(incomingConnectionCount.getAsLong())) {
+        if (budget.isNearIncomingLimit(incomingConnectionCount.getAsLong())) {
             return false;
         }
         if (lastUseSecondsByConnection.replace(connection, nowSeconds) != null) {
--- a/src/main/java/io/kelphoist/leadership/CancellationReplication.java
+++ b/src/main/java/io/kelphoist/leadership/CancellationReplication.java
@@ -6,7 +6,7 @@
 import io.kelphoist.metrics.ControllerCounters;
 import io.kelphoist.model.JobRecord;
 import io.kelphoist.model.JobStatus;
-import io.kelphoist.peer.CancellationCodec.Acknowledged;
+import io.kelphoist.peer.CancellationCodec.Acknowledgement;
 import io.kelphoist.peer.CancellationReport;
 import io.kelphoist.peer.GrantRequest;
 import io.kelphoist.peer.GrantResponse;
@@ -102,10 +102,10 @@
     }
 
     /** Returns, for a grant request, what is known of that controller's confirmations. */
-    Optional<Acknowledged> acknowledgementFor(String peer) {
+    Optional<Acknowledgement> acknowledgementFor(String peer) {
         return term.map(
                 current ->
-                        new Acknowledged(
+                        new Acknowledgement(
                                 current.watermark.incarnation(peer),
                                 current.watermark.acknowledgedSequenceNumber(peer)));
     }
@@ -116,7 +116,7 @@
             return;
         }
         LoadedTerm current = term.get();
-        if (response.cancellations() instanceof CancellationReport.Stated stated) {
+        if (response.cancellations() instanceof CancellationReport.Present stated) {
             stated.statement().jobIds().forEach(current.listener);
             current.watermark.onStatement(
                     peer, stated.statement(), sentAtSeconds, loop.nowSeconds());
@@ -148,12 +148,12 @@
         return request.state()
                 .acknowledgedCancellations()
                 .flatMap(acknowledged -> statementFor(request.term(), acknowledged))
-                .<CancellationReport>map(CancellationReport.Stated::new)
+                .<CancellationReport>map(CancellationReport.Present::new)
                 .orElse(CancellationReport.ABSENT);
     }
 
     private Optional<ConfirmedCancellations.Statement> statementFor(
-            long requestedTerm, Acknowledged acknowledged) {
+            long requestedTerm, Acknowledgement acknowledged) {
         return confirmedCancellations.statementFor(
                 requestedTerm,
                 acknowledged.incarnation(),
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -285,7 +285,7 @@
         if (response.granted()) {
             election.onGrantReceived(peer, term, sentAtSeconds);
         }
-        recordStateHealth(response.reachesStateStore());
+        recordStateHealth(response.stateStoreReachable());
         if (election.state() == Election.State.LEADER && election.term() == term) {
             grantMessages.onGrantResponse(peer, response, sentAtSeconds);
         }
@@ -310,7 +310,7 @@
 
     /** Another controller requested a grant as the leader; the election has not answered yet. */
     void onGrantRequest(GrantRequest request) {
-        recordStateHealth(request.reachesStateStore());
+        recordStateHealth(request.stateStoreReachable());
         contacts.onGrantRequest(request.sender());
     }
 
--- a/src/main/java/io/kelphoist/leadership/MachineStateReplication.java
+++ b/src/main/java/io/kelphoist/leadership/MachineStateReplication.java
@@ -108,7 +108,7 @@
             publisher
                     .get()
                     .onAcknowledgement(
-                            peer, status.get().sequence(), status.get().divergentShards());
+                            peer, status.get().appliedSequence(), status.get().divergedShards());
         }
     }
 
--- a/src/main/java/io/kelphoist/model/CloudInstance.java
+++ b/src/main/java/io/kelphoist/model/CloudInstance.java
@@ -9,7 +9,7 @@
 public record CloudInstance(
         String name,
         String address,
-        String type,
+        String machineType,
         String zone,
         boolean spot,
         InstanceState state,
--- a/src/main/java/io/kelphoist/model/ScaleOutRequest.java
+++ b/src/main/java/io/kelphoist/model/ScaleOutRequest.java
@@ -4,6 +4,7 @@
  * A request for machines. Its name holds the term and is never used again by any controller, so
  * that the cloud grants it once however often it is sent.
  *
- * @param count how many machines
+ * @param machineCount how many machines
  */
-public record ScaleOutRequest(String name, String type, String zone, boolean spot, int count) {}
+public record ScaleOutRequest(
+        String name, String machineType, String zone, boolean spot, int machineCount) {}
--- a/src/main/java/io/kelphoist/model/SchedulingPolicy.java
+++ b/src/main/java/io/kelphoist/model/SchedulingPolicy.java
@@ -7,7 +7,7 @@
  * What the settings fix for the scheduler.
  *
  * @param gangPeerTimeoutSeconds within which tasks of a gang notice that another one is gone
- * @param offerFilterSeconds for which a failed hold keeps a job from the next one
+ * @param holdRetryDelaySeconds for which a failed hold keeps a job from the next one
  * @param localityWaitSeconds for which an array waits for a machine that caches its image
  * @param machineHoldSeconds for which a machine is held for a job at the most
  * @param gangHoldSeconds for which room is reserved for a gang at the most
@@ -26,7 +26,7 @@
         double heartbeatIntervalSeconds,
         double leaseSeconds,
         double gangPeerTimeoutSeconds,
-        double offerFilterSeconds,
+        double holdRetryDelaySeconds,
         double localityWaitSeconds,
         double machineHoldSeconds,
         double gangHoldSeconds,
@@ -37,7 +37,7 @@
         double progressWriteIntervalSeconds,
         Map<String, Double> startObjectiveSeconds) {
     /** Clocks of two machines drift apart by at most this share. */
-    public static final double CLOCK_DRIFT = 0.0005;
+    public static final double MAX_CLOCK_DRIFT_RATIO = 0.0005;
 
     /**
      * Heartbeats come every {@code heartbeatIntervalSeconds}, give or take a quarter: after this
--- a/src/main/java/io/kelphoist/peer/CancellationCodec.java
+++ b/src/main/java/io/kelphoist/peer/CancellationCodec.java
@@ -29,21 +29,21 @@
      * @param incarnation of the controller's process
      * @param upToSequence the leader has all cancellations of that incarnation up to this number
      */
-    public record Acknowledged(long incarnation, long upToSequence) {}
+    public record Acknowledgement(long incarnation, long upToSequence) {}
 
     private CancellationCodec() {}
 
     /** Encodes an acknowledgement. */
-    public static ObjectNode encodeAcknowledged(long incarnation, long upToSequence) {
+    public static ObjectNode encodeAcknowledgement(long incarnation, long upToSequence) {
         return MessageEncoding.newObject().put("life", incarnation).put("have", upToSequence);
     }
 
     /** Decodes an acknowledgement; empty if the leader's version does not send any. */
-    public static Optional<Acknowledged> decodeAcknowledged(JsonNode message) {
+    public static Optional<Acknowledgement> decodeAcknowledgement(JsonNode message) {
         JsonNode incarnation = message.path("life");
         JsonNode upToSequence = message.path("have");
         return incarnation.isIntegralNumber() && upToSequence.isIntegralNumber()
-                ? Optional.of(new Acknowledged(incarnation.asLong(), upToSequence.asLong()))
+                ? Optional.of(new Acknowledgement(incarnation.asLong(), upToSequence.asLong()))
                 : Optional.empty();
     }
 
--- a/src/main/java/io/kelphoist/peer/CancellationReport.java
+++ b/src/main/java/io/kelphoist/peer/CancellationReport.java
@@ -11,7 +11,7 @@
     record Absent() implements CancellationReport {}
 
     /** The controller states which cancellations it has confirmed. */
-    record Stated(ConfirmedCancellations.Statement statement) implements CancellationReport {}
+    record Present(ConfirmedCancellations.Statement statement) implements CancellationReport {}
 
     /** There is a statement, but it is malformed: none of it may be used. */
     record Malformed(String reason) implements CancellationReport {}
--- a/src/main/java/io/kelphoist/peer/GrantClient.java
+++ b/src/main/java/io/kelphoist/peer/GrantClient.java
@@ -42,7 +42,7 @@
     public void handOver(String peer, HandoverMessage handover) {
         peers.call(
                 peer,
-                PeerPaths.TERM_ENDED,
+                PeerPaths.HANDOVER,
                 HandoverCodec.encode(handover),
                 TIMEOUT_MILLIS,
                 ignored -> {});
--- a/src/main/java/io/kelphoist/peer/GrantCodec.java
+++ b/src/main/java/io/kelphoist/peer/GrantCodec.java
@@ -17,7 +17,7 @@
 public final class GrantCodec {
     private static final String TERM = "term";
     private static final String SENDER = "from";
-    private static final String REACHES_STATE_STORE = "state_ok";
+    private static final String STATE_STORE_REACHABLE = "state_ok";
     private static final String GRANTED = "granted";
 
     /** Maps a job to a list of two numbers: its done and its running tasks. */
@@ -38,7 +38,7 @@
                 .ifPresent(counts -> encodeTaskCounts(message.putObject(TASK_COUNTS), counts));
         message.put(TERM, request.term())
                 .put(SENDER, request.sender())
-                .put(REACHES_STATE_STORE, request.reachesStateStore());
+                .put(STATE_STORE_REACHABLE, request.stateStoreReachable());
         state.machineStateUpdate()
                 .ifPresent(
                         update ->
@@ -50,7 +50,7 @@
                         acknowledged ->
                                 message.set(
                                         CancellationCodec.FIELD_NAME,
-                                        CancellationCodec.encodeAcknowledged(
+                                        CancellationCodec.encodeAcknowledgement(
                                                 acknowledged.incarnation(),
                                                 acknowledged.upToSequence())));
         state.delegationOffer()
@@ -84,7 +84,7 @@
                 term.asLong(),
                 term.isIntegralNumber(),
                 message.path(SENDER).asText(),
-                message.path(REACHES_STATE_STORE).asBoolean(),
+                message.path(STATE_STORE_REACHABLE).asBoolean(),
                 decodeState(message, term.asLong()));
     }
 
@@ -94,7 +94,7 @@
                         ? Optional.of(decodeTaskCounts(message.path(TASK_COUNTS)))
                         : Optional.empty(),
                 ReplicationCodec.decodeUpdate(message.path(ReplicationCodec.FIELD_NAME)),
-                CancellationCodec.decodeAcknowledged(message.path(CancellationCodec.FIELD_NAME)),
+                CancellationCodec.decodeAcknowledgement(message.path(CancellationCodec.FIELD_NAME)),
                 DelegationCodec.decodeOffer(message.path(DelegationCodec.FIELD_NAME), term));
     }
 
@@ -118,21 +118,22 @@
         ObjectNode message =
                 MessageEncoding.newObject()
                         .put(GRANTED, response.granted())
-                        .put(REACHES_STATE_STORE, response.reachesStateStore());
+                        .put(STATE_STORE_REACHABLE, response.stateStoreReachable());
         response.replicaStatus()
                 .ifPresent(
                         status ->
                                 message.set(
                                         ReplicationCodec.FIELD_NAME,
                                         ReplicationCodec.encodeStatus(
-                                                status.sequence(), status.divergentShards())));
+                                                status.appliedSequence(),
+                                                status.divergedShards())));
         response.delegationStatus()
                 .ifPresent(
                         status ->
                                 message.set(
                                         DelegationCodec.FIELD_NAME,
                                         DelegationCodec.encodeStatus(status)));
-        if (response.cancellations() instanceof CancellationReport.Stated stated) {
+        if (response.cancellations() instanceof CancellationReport.Present stated) {
             message.set(
                     CancellationCodec.FIELD_NAME,
                     CancellationCodec.encodeStatement(stated.statement()));
@@ -149,7 +150,7 @@
     public static GrantResponse decodeResponse(JsonNode message) {
         return new GrantResponse(
                 message.path(GRANTED).asBoolean(),
-                message.path(REACHES_STATE_STORE).asBoolean(),
+                message.path(STATE_STORE_REACHABLE).asBoolean(),
                 ReplicationCodec.decodeStatus(message.path(ReplicationCodec.FIELD_NAME)),
                 DelegationCodec.decodeStatus(message.path(DelegationCodec.FIELD_NAME)),
                 decodeCancellations(message.path(CancellationCodec.FIELD_NAME)));
@@ -158,7 +159,7 @@
     private static CancellationReport decodeCancellations(JsonNode field) {
         try {
             return CancellationCodec.decodeStatement(field)
-                    .<CancellationReport>map(CancellationReport.Stated::new)
+                    .<CancellationReport>map(CancellationReport.Present::new)
                     .orElse(CancellationReport.ABSENT);
         } catch (MalformedMessageException e) {
             return new CancellationReport.Malformed(e.getMessage());
--- a/src/main/java/io/kelphoist/peer/GrantRequest.java
+++ b/src/main/java/io/kelphoist/peer/GrantRequest.java
@@ -8,14 +8,15 @@
  * @param termIsInteger whether the term was sent as an integer: otherwise no grant is given, but
  *     the state is applied
  * @param sender the leader's name; empty if it is missing
- * @param reachesStateStore whether the leader reaches the state store; false if it does not say so
+ * @param stateStoreReachable whether the leader reaches the state store; false if it does not say
+ *     so
  * @param state what the leader replicates
  */
 public record GrantRequest(
         long term,
         boolean termIsInteger,
         String sender,
-        boolean reachesStateStore,
+        boolean stateStoreReachable,
         LeaderState state) {
     /** A request for a grant of a term. */
     public GrantRequest(long term, String sender, boolean reachesStateStore, LeaderState state) {
--- a/src/main/java/io/kelphoist/peer/GrantResponse.java
+++ b/src/main/java/io/kelphoist/peer/GrantResponse.java
@@ -8,8 +8,8 @@
  * controller has got with what the leader replicates.
  *
  * @param granted whether the grant is given; false if it is missing
- * @param reachesStateStore whether the controller reaches the state store; false if it does not say
- *     so
+ * @param stateStoreReachable whether the controller reaches the state store; false if it does not
+ *     say so
  * @param replicaStatus acknowledges machine states; empty if the request had no update, or from a
  *     version without replication of machine states
  * @param delegationStatus the controller's lease delegation; empty from a version without
@@ -18,7 +18,7 @@
  */
 public record GrantResponse(
         boolean granted,
-        boolean reachesStateStore,
+        boolean stateStoreReachable,
         Optional<ReplicationCodec.ReplicaStatus> replicaStatus,
         Optional<PeerStatus> delegationStatus,
         CancellationReport cancellations) {}
--- a/src/main/java/io/kelphoist/peer/HeartbeatRelayClient.java
+++ b/src/main/java/io/kelphoist/peer/HeartbeatRelayClient.java
@@ -17,7 +17,7 @@
     }
 
     /** Whether heartbeats can be relayed to a controller. */
-    public boolean isReachable(String controller) {
+    public boolean hasPeer(String controller) {
         return peers.hasPeer(controller);
     }
 
--- a/src/main/java/io/kelphoist/peer/LeaderState.java
+++ b/src/main/java/io/kelphoist/peer/LeaderState.java
@@ -20,7 +20,7 @@
 public record LeaderState(
         Optional<Map<String, TaskCounts>> taskCounts,
         Optional<MachineStateUpdate> machineStateUpdate,
-        Optional<CancellationCodec.Acknowledged> acknowledgedCancellations,
+        Optional<CancellationCodec.Acknowledgement> acknowledgedCancellations,
         Optional<DelegationOffer> delegationOffer) {
     /** Of a leader whose records are not loaded yet. */
     public static final LeaderState NONE =
--- a/src/main/java/io/kelphoist/peer/PeerPaths.java
+++ b/src/main/java/io/kelphoist/peer/PeerPaths.java
@@ -6,7 +6,7 @@
     public static final String GRANT = "/peer/grant";
 
     /** A leader hands over: its term has ended. */
-    public static final String TERM_ENDED = "/peer/over";
+    public static final String HANDOVER = "/peer/over";
 
     /** A follower requests the leader's task events. */
     public static final String EVENTS = "/peer/events";
--- a/src/main/java/io/kelphoist/peer/ReplicationCodec.java
+++ b/src/main/java/io/kelphoist/peer/ReplicationCodec.java
@@ -41,10 +41,10 @@
     /**
      * What a follower acknowledges.
      *
-     * @param sequence number of the last update that it has applied
-     * @param divergentShards shards whose digest differs from the leader's
+     * @param appliedSequence number of the last update that it has applied
+     * @param divergedShards shards whose digest differs from the leader's
      */
-    public record ReplicaStatus(long sequence, List<Integer> divergentShards) {}
+    public record ReplicaStatus(long appliedSequence, List<Integer> divergedShards) {}
 
     private ReplicationCodec() {}
 
--- a/src/main/java/io/kelphoist/peer/TaskEventClient.java
+++ b/src/main/java/io/kelphoist/peer/TaskEventClient.java
@@ -15,7 +15,7 @@
     }
 
     /** Whether requests can be sent to a controller. */
-    public boolean isReachable(String controller) {
+    public boolean hasPeer(String controller) {
         return peers.hasPeer(controller);
     }
 
--- a/src/main/java/io/kelphoist/peer/TaskEventCodec.java
+++ b/src/main/java/io/kelphoist/peer/TaskEventCodec.java
@@ -21,10 +21,9 @@
      * A request for the task events of the leader.
      *
      * @param term the term that the position is from
-     * @param afterSequence position after which events are requested; negative to request a
-     *     snapshot
+     * @param fromSequence position after which events are requested; negative to request a snapshot
      */
-    public record EventsRequest(long term, long afterSequence) {}
+    public record EventsRequest(long term, long fromSequence) {}
 
     /** An update of the events of a term. */
     public record TermUpdate(long term, TaskEventLog.Update update) {}
@@ -42,7 +41,7 @@
     public static ObjectNode encodeRequest(EventsRequest request) {
         return MessageEncoding.newObject()
                 .put(TERM, request.term())
-                .put(AFTER, request.afterSequence());
+                .put(AFTER, request.fromSequence());
     }
 
     /**
--- a/src/main/java/io/kelphoist/replication/MachineStateDigests.java
+++ b/src/main/java/io/kelphoist/replication/MachineStateDigests.java
@@ -11,7 +11,7 @@
  * find shards that have diverged. A digest does not depend on the order of its machines.
  */
 final class MachineStateDigests {
-    static final int COUNT = 64;
+    static final int SHARD_COUNT = 64;
     private static final HashFunction HASH = Hashing.farmHashFingerprint64();
     private static final double MILLIS_PER_SECOND = 1000;
     private static final int SPOT_BIT = 1;
@@ -20,11 +20,11 @@
     private static final int DISCONNECTED_BIT = 8;
     private static final int UNANSWERED_BIT = 16;
 
-    private final long[] digests = new long[COUNT];
+    private final long[] digests = new long[SHARD_COUNT];
 
     /** The shard that a machine belongs to. */
     static int shardOf(String machine) {
-        return Math.floorMod(HASH.hashString(machine, StandardCharsets.UTF_8).asInt(), COUNT);
+        return Math.floorMod(HASH.hashString(machine, StandardCharsets.UTF_8).asInt(), SHARD_COUNT);
     }
 
     /** Adds a machine's state or removes it, which is the same operation: it is its own inverse. */
--- a/src/main/java/io/kelphoist/replication/MachineStatePublisher.java
+++ b/src/main/java/io/kelphoist/replication/MachineStatePublisher.java
@@ -43,20 +43,20 @@
             double clockSeconds) {}
 
     /** Number of parts of the state that are compared and repaired one by one. */
-    public static final int SHARD_COUNT = MachineStateDigests.COUNT;
+    public static final int SHARD_COUNT = MachineStateDigests.SHARD_COUNT;
 
     /**
      * Most changes in an update, which are some 20 KB as JSON. A follower without any state has
      * that of 4,000 machines after 27 updates.
      */
-    public static final int MAX_CHANGES = 150;
+    public static final int MAX_CHANGES_PER_UPDATE = 150;
 
-    private static final int MAX_REPAIRED_SHARDS = 2;
+    private static final int MAX_REPAIRED_SHARDS_PER_UPDATE = 2;
 
     private static final int DIGESTS_PER_UPDATE = 8;
 
     /** Most removed machines that are kept; a follower that lacks an older removal starts over. */
-    public static final int MAX_REMOVED = 2000;
+    public static final int MAX_RETAINED_REMOVALS = 2000;
 
     /** The last change of one machine. */
     private static final class MachineEntry {
@@ -87,7 +87,7 @@
         private long lastSequence;
 
         boolean isFull() {
-            return changed.size() + removed.size() >= MAX_CHANGES;
+            return changed.size() + removed.size() >= MAX_CHANGES_PER_UPDATE;
         }
 
         void add(MachineEntry entry) {
@@ -107,7 +107,7 @@
     private long headSequence;
 
     /** The newest removal that was evicted. */
-    private long evictedSequence;
+    private long lastEvictedSequence;
 
     private int removedCount;
 
@@ -131,10 +131,10 @@
 
     private void evictOldRemovals() {
         Iterator<MachineEntry> oldestFirst = entriesBySequence.values().iterator();
-        while (removedCount > MAX_REMOVED && oldestFirst.hasNext()) {
+        while (removedCount > MAX_RETAINED_REMOVALS && oldestFirst.hasNext()) {
             MachineEntry entry = oldestFirst.next();
             if (entry.machine == null) {
-                evictedSequence = entry.sequence;
+                lastEvictedSequence = entry.sequence;
                 removedCount--;
                 entries.remove(entry.name);
                 oldestFirst.remove();
@@ -171,7 +171,8 @@
     public void onAcknowledgement(
             String follower, long appliedSequence, Collection<Integer> divergedShards) {
         FollowerProgress progress = progressOf(follower);
-        boolean isUsable = appliedSequence >= evictedSequence && appliedSequence <= headSequence;
+        boolean isUsable =
+                appliedSequence >= lastEvictedSequence && appliedSequence <= headSequence;
         progress.appliedSequence = isUsable ? appliedSequence : 0;
         for (int shard : divergedShards) {
             if (shard >= 0 && shard < SHARD_COUNT) {
@@ -228,7 +229,9 @@
 
     private void repairShards(
             FollowerProgress progress, Map<Integer, List<ReplicatedMachine>> repairedShards) {
-        for (int i = 0; i < MAX_REPAIRED_SHARDS && !progress.divergedShards.isEmpty(); i++) {
+        for (int i = 0;
+                i < MAX_REPAIRED_SHARDS_PER_UPDATE && !progress.divergedShards.isEmpty();
+                i++) {
             int shard = progress.divergedShards.pollFirst();
             repairedShards.put(shard, machinesOf(shard));
         }
--- a/src/main/java/io/kelphoist/replication/MachineStateReplica.java
+++ b/src/main/java/io/kelphoist/replication/MachineStateReplica.java
@@ -31,7 +31,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineStateReplica.class);
 
     /** Several intervals between updates. */
-    private static final double LEADER_QUIET_SECONDS = 2.0;
+    private static final double LEADER_SILENCE_TIMEOUT_SECONDS = 2.0;
 
     /** Updates beyond this are not applied, to bound the memory of the smallest controllers. */
     static final int MAX_MACHINES = 20_000;
@@ -44,7 +44,7 @@
     private long appliedSequence;
     private long repairedShardCount;
     private boolean complete;
-    private double lastHeardAtSeconds = Double.NEGATIVE_INFINITY;
+    private double lastUpdateAtSeconds = Double.NEGATIVE_INFINITY;
 
     /** How far this clock was ahead of the leader's at the last update. */
     private double clockOffsetSeconds;
@@ -70,11 +70,11 @@
             clear();
             transitionTo(State.SYNCING);
         }
-        lastHeardAtSeconds = nowSeconds;
+        lastUpdateAtSeconds = nowSeconds;
         clockOffsetSeconds = nowSeconds - update.clockSeconds();
         if (isApplicable(update)) {
             applyChanges(update);
-            transitionTo(complete ? State.IN_SYNC : withoutNewest());
+            transitionTo(complete ? State.IN_SYNC : stateAfterPartialUpdate());
         } else {
             // The acknowledgement tells the leader where to continue.
             complete = false;
@@ -83,7 +83,7 @@
     }
 
     /** The state after an update that was applied and is not the newest. */
-    private State withoutNewest() {
+    private State stateAfterPartialUpdate() {
         return state == State.IN_SYNC ? State.LAGGING : state;
     }
 
@@ -160,7 +160,8 @@
 
     /** The state, given that a silent leader has probably more to send. */
     public State state(double nowSeconds) {
-        if (state == State.IN_SYNC && nowSeconds > lastHeardAtSeconds + LEADER_QUIET_SECONDS) {
+        if (state == State.IN_SYNC
+                && nowSeconds > lastUpdateAtSeconds + LEADER_SILENCE_TIMEOUT_SECONDS) {
             transitionTo(State.LAGGING);
         }
         return state;
@@ -190,6 +191,6 @@
 
     /** Seconds since the last update. */
     public double lagSeconds(double nowSeconds) {
-        return nowSeconds - lastHeardAtSeconds;
+        return nowSeconds - lastUpdateAtSeconds;
     }
 }
--- a/src/main/java/io/kelphoist/replication/RecordReplica.java
+++ b/src/main/java/io/kelphoist/replication/RecordReplica.java
@@ -43,10 +43,10 @@
     /** Several times the longest duration of a cancellation or a lease. */
     private static final double CANCELLED_RETENTION_SECONDS = 900;
 
-    private static final long UNKNOWN_REVISION = -1;
+    private static final long NOT_LOADED_REVISION = -1;
 
     /** A cancelled job, and when its cancellation was applied. */
-    private record CancelledJob(JobRecord record, double seenAtSeconds) {}
+    private record CancelledJob(JobRecord record, double appliedAtSeconds) {}
 
     private final Map<String, JobRecord> unfinishedJobs = new LinkedHashMap<>();
 
@@ -114,7 +114,8 @@
         cancelledJobs.put(record.id(), new CancelledJob(record, nowSeconds));
         double expiredBeforeSeconds = nowSeconds - CANCELLED_RETENTION_SECONDS;
         while (cancelledJobs.size() > MIN_CANCELLED_JOBS
-                && cancelledJobs.values().iterator().next().seenAtSeconds < expiredBeforeSeconds) {
+                && cancelledJobs.values().iterator().next().appliedAtSeconds
+                        < expiredBeforeSeconds) {
             removeOldest(cancelledJobs);
         }
     }
@@ -171,7 +172,7 @@
      */
     public long oldestRevision() {
         if (revisions.size() < RecordKind.values().length) {
-            return UNKNOWN_REVISION;
+            return NOT_LOADED_REVISION;
         }
         return Collections.min(revisions.values());
     }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -57,7 +57,7 @@
     /** The machine of an instance; null if it is gone already or of an unknown type. */
     private Machine findOrAdopt(CloudInstance instance, double nowSeconds) {
         Machine known = machines.get(instance.name());
-        MachineType type = catalog.type(instance.type());
+        MachineType type = catalog.type(instance.machineType());
         if (known != null || type == null || machines.isTerminated(instance.name())) {
             return known;
         }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
@@ -93,11 +93,11 @@
     private void addRequest(ScaleOutRequest request) {
         int zone = catalog.zones().getOrAssign(request.zone());
         machineCounts.merge(
-                new MachinePool(request.type(), zone, request.spot()),
-                request.count(),
+                new MachinePool(request.machineType(), zone, request.spot()),
+                request.machineCount(),
                 Integer::sum);
-        MachineType type = catalog.type(request.type());
-        for (int i = 0; i < request.count(); i++) {
+        MachineType type = catalog.type(request.machineType());
+        for (int i = 0; i < request.machineCount(); i++) {
             capacities.add(MachineCapacity.ofNewMachine(type, zone, request.spot()));
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
@@ -109,7 +109,7 @@
                 result instanceof ScaleOutResult.Granted granted
                         ? granted.machineNames()
                         : List.of();
-        if (received.size() < request.count()) {
+        if (received.size() < request.machineCount()) {
             onIncomplete(request, received.size(), nowSeconds);
         }
         received.forEach(name -> addMachine(name, request, nowSeconds));
@@ -120,10 +120,10 @@
                 "scale-out incomplete: request={} received={} requested={}",
                 request.name(),
                 receivedCount,
-                request.count());
+                request.machineCount());
         int zone = catalog.zones().getOrAssign(request.zone());
         refusedUntilSeconds.put(
-                new MachinePool(request.type(), zone, request.spot()),
+                new MachinePool(request.machineType(), zone, request.spot()),
                 nowSeconds + REFUSAL_BACKOFF_SECONDS);
     }
 
@@ -133,7 +133,7 @@
                     new Machine(
                             new MachineIdentity(
                                     name,
-                                    catalog.type(request.type()),
+                                    catalog.type(request.machineType()),
                                     catalog.zones().getOrAssign(request.zone()),
                                     request.spot()),
                             null,
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -99,7 +99,7 @@
             return false;
         }
         double leaseSeconds =
-                policy.leaseSeconds() * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT)
+                policy.leaseSeconds() * (1 + 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO)
                         + TIMER_MARGIN_SECONDS;
         double lastRenewedAtSeconds =
                 Math.max(
@@ -137,7 +137,7 @@
         if (hold.isOver(nowSeconds)) {
             Job job = hold.job();
             if (job.isActive() && job.tasks().hasPending()) {
-                job.roomSearch().postponeMachineHold(nowSeconds + policy.offerFilterSeconds());
+                job.roomSearch().postponeMachineHold(nowSeconds + policy.holdRetryDelaySeconds());
             }
             hold.end();
         }
--- a/src/main/java/io/kelphoist/sockets/SocketBudget.java
+++ b/src/main/java/io/kelphoist/sockets/SocketBudget.java
@@ -55,7 +55,7 @@
     }
 
     /** Whether so many incoming connections are open that worker connections are not kept. */
-    public boolean isCrowded(long incomingConnections) {
+    public boolean isNearIncomingLimit(long incomingConnections) {
         return incomingConnections > CROWDED_SHARE * maxIncomingConnections();
     }
 }
--- a/src/main/java/io/kelphoist/wire/CloudCodec.java
+++ b/src/main/java/io/kelphoist/wire/CloudCodec.java
@@ -73,10 +73,10 @@
     public static ObjectNode encodeScaleOutRequest(ScaleOutRequest request) {
         return MessageEncoding.newObject()
                 .put(FieldNames.SCALE_OUT_REQUEST, request.name())
-                .put(FieldNames.MACHINE_TYPE, request.type())
+                .put(FieldNames.MACHINE_TYPE, request.machineType())
                 .put(FieldNames.ZONE, request.zone())
                 .put(FieldNames.SPOT, request.spot())
-                .put("count", request.count());
+                .put("count", request.machineCount());
     }
 
     /** Decodes the names of the instances that a scale-out request created. */
--- a/src/test/java/io/kelphoist/contract/ControllerMessagesContractTest.java
+++ b/src/test/java/io/kelphoist/contract/ControllerMessagesContractTest.java
@@ -218,7 +218,8 @@
             assertEquals(new ReplicationCodec.ReplicaStatus(9, List.of(3, 4)), decoded);
             GoldenFiles.assertJsonMessage(
                     "peer/follow-statement",
-                    ReplicationCodec.encodeStatus(decoded.sequence(), decoded.divergentShards()));
+                    ReplicationCodec.encodeStatus(
+                            decoded.appliedSequence(), decoded.divergedShards()));
         }
     }
 
@@ -228,17 +229,17 @@
         void acknowledgementInAGrantRequestIsDecodedAndEncodedAgain() {
             // given
             GoldenFiles.assertJsonMessage(
-                    "peer/told-acknowledged", CancellationCodec.encodeAcknowledged(5, 17));
+                    "peer/told-acknowledged", CancellationCodec.encodeAcknowledgement(5, 17));
             // when
-            CancellationCodec.Acknowledged decoded =
-                    CancellationCodec.decodeAcknowledged(
+            CancellationCodec.Acknowledgement decoded =
+                    CancellationCodec.decodeAcknowledgement(
                                     GoldenFiles.storedJsonMessage("peer/told-acknowledged"))
                             .orElseThrow();
             // then
-            assertEquals(new CancellationCodec.Acknowledged(5, 17), decoded);
+            assertEquals(new CancellationCodec.Acknowledgement(5, 17), decoded);
             GoldenFiles.assertJsonMessage(
                     "peer/told-acknowledged",
-                    CancellationCodec.encodeAcknowledged(
+                    CancellationCodec.encodeAcknowledgement(
                             decoded.incarnation(), decoded.upToSequence()));
         }
 
--- a/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
@@ -46,7 +46,7 @@
     private int expiredLeases;
 
     DelegationSimulation(boolean leaderInWorkersZone, boolean clocksDrift) {
-        double drift = clocksDrift ? SchedulingPolicy.CLOCK_DRIFT : 0;
+        double drift = clocksDrift ? SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO : 0;
         addController(leaderInWorkersZone ? "b" : "a", 1000, 1 + drift);
         addController("b", 50, 1);
         addController("a", 7000, 1 + drift / 2);
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -30,7 +30,8 @@
 
     /** As the leader counts a lease, see {@code LeaseMonitor}. */
     private static final double COUNTED_LEASE_SECONDS =
-            DelegationSimulation.LEASE_SECONDS * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT) + 0.25;
+            DelegationSimulation.LEASE_SECONDS * (1 + 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO)
+                    + 0.25;
 
     private final long number;
     private final DelegationController leader;
--- a/src/test/java/io/kelphoist/election/ElectionSimulation.java
+++ b/src/test/java/io/kelphoist/election/ElectionSimulation.java
@@ -62,7 +62,9 @@
                 new SimulatedController.Environment(
                         timeline, random, store, links, controllers, counters, listener);
         double[] clockRates = {
-            1, 1 + SchedulingPolicy.CLOCK_DRIFT, 1 + SchedulingPolicy.CLOCK_DRIFT / 2
+            1,
+            1 + SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO,
+            1 + SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO / 2
         };
         for (int i = 0; i < NAMES.size(); i++) {
             controllers.add(
--- a/src/test/java/io/kelphoist/failover/SimulatedFleet.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedFleet.java
@@ -109,7 +109,8 @@
 
     /** Names of the machines: a repeated request has the same response. Empty: no capacity. */
     List<String> scaleOut(ScaleOutRequest request) {
-        return machinesByRequest.computeIfAbsent(request.name(), name -> launch(request.count()));
+        return machinesByRequest.computeIfAbsent(
+                request.name(), name -> launch(request.machineCount()));
     }
 
     private List<String> launch(int count) {
--- a/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
@@ -81,7 +81,7 @@
     }
 
     private static ObjectNode request(
-            long term, Optional<CancellationCodec.Acknowledged> acknowledged) {
+            long term, Optional<CancellationCodec.Acknowledgement> acknowledged) {
         LeaderState state =
                 new LeaderState(Optional.empty(), Optional.empty(), acknowledged, Optional.empty());
         return GrantCodec.encodeRequest(new GrantRequest(term, "l", true, state));
@@ -175,8 +175,8 @@
     void noStatementWithoutRequestOrForAnOlderTerm() {
         firstPeer.beforeStatusReported(job("job-1", JobStatus.CANCELLED));
         assertFalse(response(firstPeer, request(3, Optional.empty())).has("told"));
-        Optional<CancellationCodec.Acknowledged> nothing =
-                Optional.of(new CancellationCodec.Acknowledged(0, 0));
+        Optional<CancellationCodec.Acknowledgement> nothing =
+                Optional.of(new CancellationCodec.Acknowledgement(0, 0));
         ObjectNode response = response(firstPeer, request(3, nothing));
         assertEquals("job-1", response.path("told").path("jobs").path(0).asText());
         assertFalse(response(firstPeer, request(2, nothing)).has("told"));
--- a/src/test/java/io/kelphoist/peer/GrantCodecTest.java
+++ b/src/test/java/io/kelphoist/peer/GrantCodecTest.java
@@ -35,7 +35,7 @@
                     new LeaderState(
                             Optional.of(Map.of("job-7", new TaskCounts(2, 3))),
                             Optional.of(UPDATE),
-                            Optional.of(new CancellationCodec.Acknowledged(8, 9)),
+                            Optional.of(new CancellationCodec.Acknowledgement(8, 9)),
                             Optional.of(OFFER)));
     private static final GrantResponse FULL_RESPONSE =
             new GrantResponse(
@@ -43,7 +43,7 @@
                     true,
                     Optional.of(new ReplicationCodec.ReplicaStatus(3, List.of(1, 4))),
                     Optional.of(new PeerStatus(5, 100.5, 60, 2.5, 6)),
-                    new CancellationReport.Stated(
+                    new CancellationReport.Present(
                             new ConfirmedCancellations.Statement(
                                     8, 12, 9, true, List.of("job-9"))));
 
@@ -119,9 +119,9 @@
     })
     void truthValuesAreReadLeniently(String json, boolean expected)
             throws MalformedMessageException {
-        assertEquals(expected, request("{'state_ok':" + json + "}").reachesStateStore());
+        assertEquals(expected, request("{'state_ok':" + json + "}").stateStoreReachable());
         assertEquals(expected, response("{'granted':" + json + "}").granted());
-        assertEquals(expected, response("{'state_ok':" + json + "}").reachesStateStore());
+        assertEquals(expected, response("{'state_ok':" + json + "}").stateStoreReachable());
     }
 
     /** A field that is there replaces the counts, whatever it holds; without it they stay. */
--- a/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
+++ b/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
@@ -114,7 +114,8 @@
             assertFalse(replica.isComplete(), "complete before it is in sync");
             MachineStatePublisher.MachineStateUpdate update = publisher.nextUpdate("f", messages);
             int changes = update.changedMachines().size();
-            assertTrue(changes <= MachineStatePublisher.MAX_CHANGES, changes + " changes");
+            assertTrue(
+                    changes <= MachineStatePublisher.MAX_CHANGES_PER_UPDATE, changes + " changes");
             replica.apply(5, update, messages++);
             publisher.onAcknowledgement(
                     "f", replica.appliedSequence(5), replica.drainDivergedShards());
@@ -145,7 +146,7 @@
         publisher.publish(List.of(machine(1, 1), machine(2, 1)));
         replica.apply(5, publisher.nextUpdate("f", 0), 0);
         publisher.onAcknowledgement("f", replica.appliedSequence(5), replica.drainDivergedShards());
-        for (int i = 10; i < 10 + MachineStatePublisher.MAX_REMOVED + 50; i++) {
+        for (int i = 10; i < 10 + MachineStatePublisher.MAX_RETAINED_REMOVALS + 50; i++) {
             publisher.publish(List.of(machine(2, 1), machine(i, 1)));
         }
         for (int step = 1;
--- a/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
@@ -272,7 +272,7 @@
     }
 
     private static String describe(ScaleOutRequest request) {
-        return request.count() + " " + request.zone() + (request.spot() ? " spot" : "");
+        return request.machineCount() + " " + request.zone() + (request.spot() ? " spot" : "");
     }
 
     @Override
