--- a/src/main/java/io/kelphoist/replication/MachineStateDigests.java
+++ b/src/main/java/io/kelphoist/replication/MachineStateDigests.java
@@ -7,8 +7,9 @@
 import java.util.Arrays;
 
 /**
- * Digests of the replicated machine state, one for each shard. Leader and follower compare them to
- * find shards that have diverged. A digest does not depend on the order of its machines.
+ * Digests of the replicated machine state, one per shard. A follower compares the digests of its
+ * replica with those of the leader to find shards that have diverged. A digest does not depend on
+ * the order in which machines were added.
  */
 final class MachineStateDigests {
     static final int SHARD_COUNT = 64;
@@ -22,12 +23,15 @@
 
     private final long[] digests = new long[SHARD_COUNT];
 
-    /** The shard that a machine belongs to. */
+    /** Returns the shard that a machine belongs to, derived from a hash of its name. */
     static int shardOf(String machine) {
         return Math.floorMod(HASH.hashString(machine, StandardCharsets.UTF_8).asInt(), SHARD_COUNT);
     }
 
-    /** Adds a machine's state or removes it, which is the same operation: it is its own inverse. */
+    /**
+     * Adds a machine's state to the digest of its shard, or removes it again. Both are the same
+     * operation, because the digest is the XOR of the hashes of its machines.
+     */
     void toggle(int shard, ReplicatedMachine machine) {
         digests[shard] ^=
                 HASH.newHasher()
@@ -51,10 +55,12 @@
                 + (machine.commandUnanswered() ? UNANSWERED_BIT : 0);
     }
 
+    /** Returns the digest of a shard; 0 if the shard has no machines. */
     long digest(int shard) {
         return digests[shard];
     }
 
+    /** Removes all machines from all digests. */
     void clear() {
         Arrays.fill(digests, 0);
     }
--- a/src/main/java/io/kelphoist/replication/MachineStatePublisher.java
+++ b/src/main/java/io/kelphoist/replication/MachineStatePublisher.java
@@ -14,23 +14,28 @@
 import java.util.TreeSet;
 
 /**
- * The leader's side of the replication of machine state, for one term. Each follower gets the
- * changes since the last one it acknowledged, in updates of a bounded size, and digests by which a
- * replica that has diverged is found and repaired. Owns the published state and the progress of the
- * followers. Pure; confined to one thread.
+ * The leader's side of the replication of machine state, for one term. Each change of a machine
+ * gets a sequence number. Each follower gets the changes after the last one that it acknowledged,
+ * in updates of a bounded size, and shard digests that detect a replica that has diverged, so that
+ * its shards can be repaired. Owns the published state and the progress of the followers. Performs
+ * no I/O. Not thread-safe.
  */
 public final class MachineStatePublisher {
     /**
-     * One update for one follower.
+     * One update for one follower: the changes after {@code baseSequence} up to {@code
+     * lastSequence}.
      *
-     * @param baseSequence the change that the receiver must have applied; 0 if none
-     * @param lastSequence the last change that it has applied with this update
-     * @param headSequence the newest change there is
-     * @param changedMachines machines that were added or changed, as they are now
+     * @param baseSequence sequence number up to which the receiver must have applied all changes; 0
+     *     if the update starts from an empty replica
+     * @param lastSequence sequence number up to which the receiver has all changes once it has
+     *     applied this update
+     * @param headSequence sequence number of the leader's newest change
+     * @param changedMachines current state of the machines that were added or changed
      * @param removedMachines names of machines that no longer exist
-     * @param shardDigests digests of some shards as of {@code headSequence}
-     * @param repairedShards all machines of the shards that had diverged
-     * @param clockSeconds the sender's clock, which times in this update refer to
+     * @param shardDigests digests of some shards as of {@code headSequence}, by shard
+     * @param repairedShards for each shard to be repaired, all of its machines, which replace those
+     *     of the receiver
+     * @param clockSeconds the sender's monotonic clock, to which the times in this update refer
      */
     public record MachineStateUpdate(
             long baseSequence,
@@ -42,12 +47,12 @@
             Map<Integer, List<ReplicatedMachine>> repairedShards,
             double clockSeconds) {}
 
-    /** Number of parts of the state that are compared and repaired one by one. */
+    /** Number of shards of the machine state; each is compared and repaired separately. */
     public static final int SHARD_COUNT = MachineStateDigests.SHARD_COUNT;
 
     /**
-     * Most changes in an update, which are some 20 KB as JSON. A follower without any state has
-     * that of 4,000 machines after 27 updates.
+     * Maximum number of changes in an update, which is then about 20 KB of JSON. A follower that
+     * starts with an empty replica gets the state of 4,000 machines in 27 updates.
      */
     public static final int MAX_CHANGES_PER_UPDATE = 150;
 
@@ -55,10 +60,13 @@
 
     private static final int DIGESTS_PER_UPDATE = 8;
 
-    /** Most removed machines that are kept; a follower that lacks an older removal starts over. */
+    /**
+     * Maximum number of removed machines whose removal is retained. A follower that has not applied
+     * an evicted removal restarts from an empty replica.
+     */
     public static final int MAX_RETAINED_REMOVALS = 2000;
 
-    /** The last change of one machine. */
+    /** The latest change of one machine, and its sequence number. */
     private static final class MachineEntry {
         private final String name;
         private final int shard;
@@ -74,13 +82,14 @@
         }
     }
 
+    /** What one follower has acknowledged, and which shards it is to be sent next. */
     private static final class FollowerProgress {
         private long appliedSequence;
         private final TreeSet<Integer> divergedShards = new TreeSet<>();
         private int nextDigestShard;
     }
 
-    /** Some changes for a follower, up to a sequence number. */
+    /** The changes for one update, and the sequence number up to which they are complete. */
     private static final class ChangeBatch {
         private final List<ReplicatedMachine> changed = new ArrayList<>();
         private final List<String> removed = new ArrayList<>();
@@ -106,12 +115,15 @@
     private final Map<String, FollowerProgress> followers = new HashMap<>();
     private long headSequence;
 
-    /** The newest removal that was evicted. */
+    /** Sequence number of the newest removal that was evicted; 0 if none was. */
     private long lastEvictedSequence;
 
     private int removedCount;
 
-    /** Publishes the current state of all machines. */
+    /**
+     * Records the differences between the published state and the current state of all machines.
+     * Machines that are not in {@code machines} are published as removed.
+     */
     public void publish(Collection<ReplicatedMachine> machines) {
         Set<String> presentNames = new HashSet<>();
         for (ReplicatedMachine machine : machines) {
@@ -143,9 +155,9 @@
     }
 
     /**
-     * Records the new state of a machine.
+     * Records the new state of a machine under the next sequence number.
      *
-     * @param machine null if it was removed
+     * @param machine null if the machine was removed
      */
     private void recordChange(MachineEntry entry, ReplicatedMachine machine) {
         boolean wasRemoved = entry.machine == null && entry.sequence > 0;
@@ -163,10 +175,12 @@
     }
 
     /**
-     * A follower acknowledged what it has applied.
+     * Records what a follower has applied. A follower whose position cannot be continued, because a
+     * later removal was evicted or because it is ahead of this leader, restarts from an empty
+     * replica.
      *
-     * @param appliedSequence the last change that it has applied
-     * @param divergedShards shards whose digests differ from those that it received
+     * @param appliedSequence sequence number of the last change that the follower has applied
+     * @param divergedShards shards whose digests in the replica differ from the received ones
      */
     public void onAcknowledgement(
             String follower, long appliedSequence, Collection<Integer> divergedShards) {
@@ -186,10 +200,10 @@
     }
 
     /**
-     * Returns the next update for a follower. It counts as applied only when the follower
-     * acknowledges it.
+     * Returns the next update for a follower. Its changes are sent again until the follower
+     * acknowledges them.
      *
-     * @param clockSeconds this leader's clock
+     * @param clockSeconds this leader's monotonic clock
      */
     public MachineStateUpdate nextUpdate(String follower, double clockSeconds) {
         FollowerProgress progress = progressOf(follower);
@@ -221,7 +235,8 @@
             batch.add(entry);
         }
         if (!batch.isFull()) {
-            // Evicted removals may have been the newest changes.
+            // The update is complete even if the newest sequence numbers belonged to removals that
+            // were evicted and are not in the map.
             batch.lastSequence = headSequence;
         }
         return batch;
@@ -244,7 +259,7 @@
                 .toList();
     }
 
-    /** Adds the digests of the next few shards in turn. */
+    /** Adds the digests of the next few shards; successive updates go through all shards. */
     private void addDigests(FollowerProgress progress, Map<Integer, Long> digests) {
         for (int i = 0; i < DIGESTS_PER_UPDATE; i++) {
             int shard = (progress.nextDigestShard + i) % SHARD_COUNT;
@@ -253,7 +268,10 @@
         progress.nextDigestShard = (progress.nextDigestShard + DIGESTS_PER_UPDATE) % SHARD_COUNT;
     }
 
-    /** The follower that has acknowledged most; empty if none has acknowledged anything. */
+    /**
+     * Returns the follower that has acknowledged the highest sequence number; empty if no follower
+     * has acknowledged any change.
+     */
     public Optional<String> mostCurrentFollower() {
         String best = null;
         long bestSequence = 0;
@@ -266,7 +284,10 @@
         return Optional.ofNullable(best);
     }
 
-    /** Changes that the follower farthest behind has not acknowledged; 0 without followers. */
+    /**
+     * Returns how many sequence numbers the follower that is farthest behind has not acknowledged;
+     * 0 without followers.
+     */
     public long maxLag() {
         return followers.values().stream()
                 .mapToLong(progress -> headSequence - progress.appliedSequence)
--- a/src/main/java/io/kelphoist/replication/MachineStateReplica.java
+++ b/src/main/java/io/kelphoist/replication/MachineStateReplica.java
@@ -11,29 +11,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The follower's side of the replication of machine state: the leader's machines as of its last
- * update. A new leader uses it as a hint only, so that a replica that is wrong, old or missing
- * costs time and nothing else. Owns the replicated machines. Pure; confined to one thread.
+ * The follower's side of the replication of machine state: the leader's machines as of the last
+ * update that was applied. A new leader uses the replica as a hint only, so a replica that is
+ * wrong, outdated or missing makes failover slower but has no other effect. Owns the replicated
+ * machines. Performs no I/O. Not thread-safe.
  */
 public final class MachineStateReplica {
-    /** The states; only {@link #transitionTo} changes them. */
+    /** State of the replica; only {@link #transitionTo} changes it. */
     public enum State {
-        /** No leader has sent an update. */
+        /** Without updates since this process started or since {@link #reset}. */
         EMPTY,
-        /** The first updates of a new leader are being applied. */
+        /** The first updates of a new leader are being applied; changes are still missing. */
         SYNCING,
-        /** All changes that the leader had when it sent its last update are applied. */
+        /** All changes that the leader had recorded when it sent its last update are applied. */
         IN_SYNC,
-        /** More changes are missing than one update holds, or the leader is silent. */
+        /**
+         * The replica was in sync, but changes are missing, or the leader has not sent an update
+         * for some seconds.
+         */
         LAGGING
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(MachineStateReplica.class);
 
-    /** Several intervals between updates. */
+    /** Several times the interval between updates. */
     private static final double LEADER_SILENCE_TIMEOUT_SECONDS = 2.0;
 
-    /** Updates beyond this are not applied, to bound the memory of the smallest controllers. */
+    /**
+     * Maximum number of machines in the replica. An update that could exceed it is not applied,
+     * which bounds the memory of the smallest controllers.
+     */
     static final int MAX_MACHINES = 20_000;
 
     private final TreeMap<String, ReplicatedMachine> machines = new TreeMap<>();
@@ -46,19 +53,21 @@
     private boolean complete;
     private double lastUpdateAtSeconds = Double.NEGATIVE_INFINITY;
 
-    /** How far this clock was ahead of the leader's at the last update. */
+    /** How far this controller's clock was ahead of the leader's clock at the last update. */
     private double clockOffsetSeconds;
 
     private void transitionTo(State next) {
         if (state != next) {
-            LOG.debug("machine state replica changed: from={} to={}", state, next);
+            LOG.debug("machine state replica changed state: from={} to={}", state, next);
             state = next;
         }
     }
 
     /**
-     * Applies an update. Those of older terms are ignored; the first one of a newer term, or one
-     * from a leader that starts over, replaces all that was known.
+     * Applies an update. An update of an older term is ignored. The first update of a newer term,
+     * or one with which the leader restarts from an empty replica, clears the replica first.
+     *
+     * @param nowSeconds this controller's monotonic clock
      */
     public void apply(
             long updateTerm, MachineStatePublisher.MachineStateUpdate update, double nowSeconds) {
@@ -82,7 +91,7 @@
         }
     }
 
-    /** The state after an update that was applied and is not the newest. */
+    /** Returns the state after an update that was applied but did not include all changes. */
     private State stateAfterPartialUpdate() {
         return state == State.IN_SYNC ? State.LAGGING : state;
     }
@@ -140,25 +149,31 @@
         appliedSequence = 0;
     }
 
-    /** Removes everything, as this controller leads now and has better knowledge. */
+    /** Clears the replica, because this controller is the leader now and has the original state. */
     public void reset() {
         clear();
         transitionTo(State.EMPTY);
     }
 
-    /** The last change of a term that is applied; 0 if none is. */
+    /**
+     * Returns the sequence number of the last applied change of a term; 0 if no change of that term
+     * is applied.
+     */
     public long appliedSequence(long queriedTerm) {
         return queriedTerm == term ? appliedSequence : 0;
     }
 
-    /** Returns the shards that were found to have diverged since the last call. */
+    /** Returns and clears the shards that were found to have diverged since the last call. */
     public Set<Integer> drainDivergedShards() {
         Set<Integer> diverged = new TreeSet<>(divergedShards);
         divergedShards.clear();
         return diverged;
     }
 
-    /** The state, given that a silent leader has probably more to send. */
+    /**
+     * Returns the state. A replica that was in sync lags once the leader has been silent for some
+     * seconds, because the leader probably has changes that did not arrive.
+     */
     public State state(double nowSeconds) {
         if (state == State.IN_SYNC
                 && nowSeconds > lastUpdateAtSeconds + LEADER_SILENCE_TIMEOUT_SECONDS) {
@@ -167,29 +182,29 @@
         return state;
     }
 
-    /** Whether all changes are applied that the leader had at its last update. */
+    /** Returns whether all changes that the leader had recorded at its last update are applied. */
     public boolean isComplete() {
         return complete;
     }
 
-    /** The machines, with times on this controller's clock. */
+    /** Returns the machines, with their times converted to this controller's clock. */
     public Collection<ReplicatedMachine> machines() {
         List<ReplicatedMachine> adjusted = new ArrayList<>(machines.size());
         machines.values().forEach(machine -> adjusted.add(machine.shiftedBy(clockOffsetSeconds)));
         return adjusted;
     }
 
-    /** Number of machines. */
+    /** Returns the number of machines. */
     public int size() {
         return machines.size();
     }
 
-    /** Number of shards that had diverged and were repaired. */
+    /** Returns how many times a diverged shard was repaired since this process started. */
     public long repairedShardCount() {
         return repairedShardCount;
     }
 
-    /** Seconds since the last update. */
+    /** Returns the seconds since the last update was received; infinite if none was. */
     public double lagSeconds(double nowSeconds) {
         return nowSeconds - lastUpdateAtSeconds;
     }
--- a/src/main/java/io/kelphoist/replication/RecordReplica.java
+++ b/src/main/java/io/kelphoist/replication/RecordReplica.java
@@ -14,16 +14,18 @@
 import java.util.TreeMap;
 
 /**
- * A passive replica of the records at the state store: unfinished jobs with their specs, recently
- * ended ones without, pages of starts and of completed tasks, and delegations. Every controller
- * keeps one, so that a new leader need not read all records.
+ * A passive replica of records in the state store: unfinished and recently cancelled jobs with
+ * their specs, recently done jobs without, pages of task starts and of completed tasks, and lease
+ * delegations. Every controller keeps one, so that a new leader does not have to read all records.
  *
- * <p>For each key the newest version that was applied wins, in whatever order versions arrive.
- * Memory does not grow with the number of jobs that ever ended: of a done job that was evicted, the
- * state store is asked if another job depends on it. Pure; confined to one thread.
+ * <p>For each key the newest version wins, in whatever order versions are applied. Memory does not
+ * grow with the number of jobs that have ever ended: done jobs are evicted, and the state store is
+ * queried if another job depends on an evicted one. Performs no I/O. Not thread-safe.
  */
 public final class RecordReplica {
-    /** The kinds of record, each of which is followed by itself. */
+    /**
+     * Kinds of records. Each has its own key prefix in the state store and is watched separately.
+     */
     public enum RecordKind {
         JOBS,
         PROGRESS,
@@ -31,29 +33,35 @@
         DELEGATIONS
     }
 
-    /** A value with the revision of its last change. */
+    /** A value, and the revision of the state store at which it was last changed. */
     public record Versioned<V>(V value, long version) {}
 
-    /** Most done jobs that are kept: as many as the scheduler keeps. */
+    /** Maximum number of done jobs that are kept: as many as the scheduler keeps. */
     public static final int MAX_DONE_JOBS = 20_000;
 
-    /** Cancelled jobs that are kept at any age; of more only those that may still have tasks. */
+    /**
+     * Number of cancelled jobs that are kept at any age. Beyond this number a job is kept only
+     * while its tasks may still be running.
+     */
     public static final int MIN_CANCELLED_JOBS = 5_000;
 
-    /** Several times the longest duration of a cancellation or a lease. */
+    /**
+     * How long a cancelled job's tasks may still be running: several times the longest duration of
+     * a cancellation or a worker lease.
+     */
     private static final double CANCELLED_RETENTION_SECONDS = 900;
 
     private static final long NOT_LOADED_REVISION = -1;
 
-    /** A cancelled job, and when its cancellation was applied. */
+    /** A cancelled job, and when its cancellation was applied to this replica. */
     private record CancelledJob(JobRecord record, double appliedAtSeconds) {}
 
     private final Map<String, JobRecord> unfinishedJobs = new LinkedHashMap<>();
 
-    /** Oldest first. */
+    /** In the order in which they were applied, oldest first. */
     private final Map<String, JobRecord> doneJobs = new LinkedHashMap<>();
 
-    /** Oldest first. */
+    /** In the order in which they were applied, oldest first. */
     private final Map<String, CancelledJob> cancelledJobs = new LinkedHashMap<>();
 
     private final TreeMap<Integer, Versioned<List<TaskProgress>>> progressPages = new TreeMap<>();
@@ -63,7 +71,7 @@
 
     // ---- updates ----
 
-    /** Removes all records of a kind, before all of them are applied again. */
+    /** Removes all records of a kind, before a new snapshot of them is applied. */
     public void clear(RecordKind kind) {
         revisions.remove(kind);
         switch (kind) {
@@ -78,13 +86,13 @@
         }
     }
 
-    /** All records of a kind were applied as of a revision. */
+    /** Notes that all records of a kind are applied as of a revision. */
     public void advanceRevision(RecordKind kind, long revision) {
         revisions.merge(kind, revision, Math::max);
     }
 
     /**
-     * Applies a job's record.
+     * Applies a job's record, unless the replica has the same or a newer version.
      *
      * @param nowSeconds the event loop's clock
      */
@@ -108,7 +116,7 @@
         }
     }
 
-    /** Keeps the spec: tasks of the job count until they have stopped. */
+    /** Keeps the spec, because the job's tasks are charged to its team until they have stopped. */
     private void applyCancelledJob(JobRecord record, double nowSeconds) {
         unfinishedJobs.remove(record.id());
         cancelledJobs.put(record.id(), new CancelledJob(record, nowSeconds));
@@ -120,7 +128,7 @@
         }
     }
 
-    /** Returns a job's record; null if it has none here. */
+    /** Returns a job's record; null if the replica has none. */
     private JobRecord findJob(String jobId) {
         JobRecord record = unfinishedJobs.get(jobId);
         if (record == null) {
@@ -136,20 +144,22 @@
         oldestFirst.remove(oldestFirst.keySet().iterator().next());
     }
 
-    /** Applies a page of completed tasks. */
+    /** Applies a page of completed tasks, unless the replica has a newer version. */
     public void applyProgressPage(int page, List<TaskProgress> progress, long version) {
         putIfNewer(progressPages, page, progress, version);
     }
 
-    /** Applies a page of starts. */
+    /** Applies a page of task starts, unless the replica has a newer version. */
     public void applyStartPage(int page, List<RecordedStart> starts, long version) {
         putIfNewer(startPages, page, starts, version);
     }
 
     /**
-     * Applies the record of a delegation.
+     * Applies the record of a lease delegation, unless the replica has a newer version.
      *
-     * @param startsAtMillis latest start of the delegation by the wall clock; NaN if there is none
+     * @param controller the delegate
+     * @param startsAtMillis latest start of the delegation by the wall clock; NaN if the record was
+     *     cleared
      */
     public void applyDelegation(String controller, double startsAtMillis, long version) {
         putIfNewer(delegations, controller, startsAtMillis, version);
@@ -166,9 +176,9 @@
     // ---- reads ----
 
     /**
-     * Returns the revision as of which all kinds are known.
+     * Returns the revision as of which the records of all kinds are loaded.
      *
-     * @return the oldest one of all kinds; negative if some kind is not known
+     * @return the lowest revision of all kinds; negative if some kind is not loaded
      */
     public long oldestRevision() {
         if (revisions.size() < RecordKind.values().length) {
@@ -177,7 +187,7 @@
         return Collections.min(revisions.values());
     }
 
-    /** All jobs: first the done ones, then the cancelled and the unfinished ones. */
+    /** Returns all jobs: the done ones first, then the cancelled, then the unfinished ones. */
     public Collection<JobRecord> allJobs() {
         List<JobRecord> all = new ArrayList<>(doneJobs.values());
         cancelledJobs.values().forEach(job -> all.add(job.record));
@@ -185,32 +195,38 @@
         return all;
     }
 
-    /** Whether a job was cancelled, not so long ago that this no longer matters. */
+    /**
+     * Returns whether a job was cancelled. False for a cancelled job that was evicted, whose tasks
+     * can no longer be running.
+     */
     public boolean isCancelled(String jobId) {
         return cancelledJobs.containsKey(jobId);
     }
 
-    /** Completed tasks by page. */
+    /** Returns the completed tasks, by page number. */
     public Map<Integer, Versioned<List<TaskProgress>>> progressPages() {
         return Collections.unmodifiableMap(progressPages);
     }
 
-    /** Starts by page. */
+    /** Returns the task starts, by page number. */
     public Map<Integer, Versioned<List<RecordedStart>>> startPages() {
         return Collections.unmodifiableMap(startPages);
     }
 
-    /** Latest start of each controller's delegation, by the wall clock in milliseconds. */
+    /**
+     * Returns the latest start of each controller's lease delegation, in milliseconds of the wall
+     * clock; NaN where the record was cleared.
+     */
     public Map<String, Versioned<Double>> delegations() {
         return Collections.unmodifiableMap(delegations);
     }
 
-    /** Jobs that are neither done nor cancelled. */
+    /** Returns the jobs that are neither done nor cancelled. */
     public Collection<JobRecord> unfinishedJobs() {
         return Collections.unmodifiableCollection(unfinishedJobs.values());
     }
 
-    /** Number of jobs that are neither done nor cancelled. */
+    /** Returns the number of jobs that are neither done nor cancelled. */
     public int unfinishedJobCount() {
         return unfinishedJobs.size();
     }
--- a/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
+++ b/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
@@ -13,16 +13,16 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** A follower's replica of the leader's machines: convergence, repair and bounds. */
+/** A follower's replica of the leader's machine state: convergence, repair and bounds. */
 class MachineStateReplicaTest {
-    private static ReplicatedMachine machine(int number, long session) {
+    private static ReplicatedMachine machine(int number, long agentEpoch) {
         return new ReplicatedMachine(
                 "vm-" + number,
                 "10.0.0." + number + ":1",
                 "m",
                 "a",
                 false,
-                session,
+                agentEpoch,
                 true,
                 false,
                 false,
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Updates are lost, repeated and reordered; once they arrive again, the replica equals the
-     * leader's machines.
+     * Updates and acknowledgements are lost, repeated and reordered. Once all of them arrive again,
+     * the replica must become equal to the leader's machines.
      */
     @Property(tries = 1000, seed = "20261204")
     void convergesToTheLeadersMachines(@ForAll long seed) {
@@ -41,7 +41,7 @@
         MachineStatePublisher publisher = new MachineStatePublisher();
         MachineStateReplica replica = new MachineStateReplica();
         List<ReplicatedMachine> machines = new ArrayList<>();
-        List<MachineStatePublisher.MachineStateUpdate> network = new ArrayList<>();
+        List<MachineStatePublisher.MachineStateUpdate> sentUpdates = new ArrayList<>();
         int size = random.nextInt(400);
         for (int step = 0; step < 60; step++) {
             for (int i = random.nextInt(size / 8 + 2); i > 0; i--) {
@@ -52,9 +52,9 @@
                 }
             }
             publisher.publish(machines);
-            network.add(publisher.nextUpdate("f", step));
+            sentUpdates.add(publisher.nextUpdate("f", step));
             if (random.nextInt(3) > 0) {
-                replica.apply(5, network.get(random.nextInt(network.size())), step);
+                replica.apply(5, sentUpdates.get(random.nextInt(sentUpdates.size())), step);
             }
             if (random.nextInt(3) > 0) {
                 publisher.onAcknowledgement(
@@ -71,17 +71,18 @@
     }
 
     /**
-     * A replica that counts as complete has one machine too many, one too few and a wrong one:
-     * digests of its shards find them.
+     * A replica is complete by its sequence number, but has one machine too many, one too few and
+     * one with an outdated agent epoch. The leader's shard digests must reveal this, and the shards
+     * must be repaired.
      */
     @Test
     void repairsDivergedShards() {
         MachineStatePublisher publisher = new MachineStatePublisher();
-        MachineStatePublisher other = new MachineStatePublisher();
+        MachineStatePublisher divergedPublisher = new MachineStatePublisher();
         MachineStateReplica replica = new MachineStateReplica();
         publisher.publish(List.of(machine(1, 1), machine(2, 1), machine(3, 1)));
-        other.publish(List.of(machine(1, 1), machine(2, 9), machine(4, 1)));
-        replica.apply(5, other.nextUpdate("f", 0), 0);
+        divergedPublisher.publish(List.of(machine(1, 1), machine(2, 9), machine(4, 1)));
+        replica.apply(5, divergedPublisher.nextUpdate("f", 0), 0);
         assertEquals(publisher.nextUpdate("f", 0).headSequence(), replica.appliedSequence(5));
         for (int step = 1; step <= 40; step++) {
             publisher.onAcknowledgement(
@@ -93,12 +94,12 @@
                 new HashSet<>(replica.machines()));
         assertTrue(
                 replica.repairedShardCount() >= 2,
-                replica.repairedShardCount() + " shards repaired");
+                replica.repairedShardCount() + " shards repaired, expected at least 2");
     }
 
     /**
-     * A follower that is thousands of changes behind receives updates of a bounded size, and is not
-     * called complete before it has them all.
+     * A follower that is thousands of changes behind must receive updates of a bounded size, and
+     * its replica must not be complete before it has all changes.
      */
     @Test
     void catchesUpInUpdatesOfBoundedSize() {
@@ -109,38 +110,40 @@
             machines.add(machine(i, 1));
         }
         publisher.publish(machines);
-        int messages = 0;
-        while (replica.state(messages) != MachineStateReplica.State.IN_SYNC) {
-            assertFalse(replica.isComplete(), "complete before it is in sync");
-            MachineStatePublisher.MachineStateUpdate update = publisher.nextUpdate("f", messages);
+        int updates = 0;
+        while (replica.state(updates) != MachineStateReplica.State.IN_SYNC) {
+            assertFalse(replica.isComplete(), "replica is complete before it is in sync");
+            MachineStatePublisher.MachineStateUpdate update = publisher.nextUpdate("f", updates);
             int changes = update.changedMachines().size();
             assertTrue(
-                    changes <= MachineStatePublisher.MAX_CHANGES_PER_UPDATE, changes + " changes");
-            replica.apply(5, update, messages++);
+                    changes <= MachineStatePublisher.MAX_CHANGES_PER_UPDATE,
+                    changes + " changes, expected at most MAX_CHANGES_PER_UPDATE");
+            replica.apply(5, update, updates++);
             publisher.onAcknowledgement(
                     "f", replica.appliedSequence(5), replica.drainDivergedShards());
         }
         assertEquals(4000, replica.size());
-        assertTrue(messages <= 28, messages + " messages");
-        // Without updates it lags; a newer leader without machines empties it.
-        assertEquals(MachineStateReplica.State.LAGGING, replica.state(messages + 10));
-        assertTrue(replica.isComplete(), "a lagging replica stays complete");
-        replica.apply(6, new MachineStatePublisher().nextUpdate("f", 0), messages + 11);
+        assertTrue(updates <= 28, updates + " updates, expected at most 28");
+        // Without updates the replica lags; the update of a newer leader without machines clears
+        // it.
+        assertEquals(MachineStateReplica.State.LAGGING, replica.state(updates + 10));
+        assertTrue(replica.isComplete(), "replica is not complete, but only updates are missing");
+        replica.apply(6, new MachineStatePublisher().nextUpdate("f", 0), updates + 11);
         assertEquals(0, replica.size());
-        // A leader resets it at the start of its term: a later term does not use it again.
-        replica.apply(6, publisher.nextUpdate("g", 0), messages + 12);
+        // A new leader resets its own replica, so that a later term does not use outdated machines.
+        replica.apply(6, publisher.nextUpdate("g", 0), updates + 12);
         replica.reset();
-        assertEquals(MachineStateReplica.State.EMPTY, replica.state(messages + 12));
+        assertEquals(MachineStateReplica.State.EMPTY, replica.state(updates + 12));
         assertEquals(0, replica.size());
         assertFalse(replica.isComplete());
     }
 
     /**
-     * More machines are removed than the publisher remembers: a follower that missed all of them
-     * starts from an empty replica instead of keeping removed machines.
+     * More machines are removed than the publisher retains removals. A follower that missed all of
+     * these removals must restart from an empty replica instead of keeping removed machines.
      */
     @Test
-    void startsAgainAfterTooManyRemovals() {
+    void restartsFromEmptyAfterTooManyRemovals() {
         MachineStatePublisher publisher = new MachineStatePublisher();
         MachineStateReplica replica = new MachineStateReplica();
         publisher.publish(List.of(machine(1, 1), machine(2, 1)));
--- a/src/test/java/io/kelphoist/replication/RecordReplicaTest.java
+++ b/src/test/java/io/kelphoist/replication/RecordReplicaTest.java
@@ -6,14 +6,14 @@
 import io.kelphoist.model.JobStatus;
 import org.junit.jupiter.api.Test;
 
-/** Bounds of a controller's replica of job records. */
+/** Memory bounds of a controller's replica of job records. */
 class RecordReplicaTest {
     /**
-     * The replica keeps a bounded number of ended jobs, but drops none whose tasks may still run on
-     * some machine.
+     * Guards against a replica that grows with every job that ends, and against one that evicts a
+     * cancelled job whose tasks may still run on a machine.
      */
     @Test
-    void memoryIsBoundedAsJobsEnd() {
+    void keepsBoundedNumberOfEndedJobs() {
         RecordReplica replica = new RecordReplica();
         for (int i = 0; i < 3 * RecordReplica.MAX_DONE_JOBS; i++) {
             replica.applyJob(jobRecord(i, JobStatus.ACTIVE, 2L * i), i * 0.01);
@@ -22,10 +22,10 @@
                     i * 0.01);
         }
         replica.applyJob(jobRecord(-1, JobStatus.ACTIVE, 1), 600);
-        // An older version than the known one arrives late and is ignored.
+        // A version that is older than the replicated one is ignored.
         replica.applyJob(jobRecord(3 * RecordReplica.MAX_DONE_JOBS - 1, JobStatus.ACTIVE, 1), 600);
         assertEquals(1, replica.unfinishedJobCount());
-        // All jobs cancelled within the last minutes are kept, and the newest done ones.
+        // All recently cancelled jobs are kept, but only the newest done jobs.
         assertEquals(
                 1 + RecordReplica.MAX_DONE_JOBS + 3 * RecordReplica.MAX_DONE_JOBS / 2,
                 replica.allJobs().size());
