--- a/src/main/java/io/kelphoist/peer/CancellationCodec.java
+++ b/src/main/java/io/kelphoist/peer/CancellationCodec.java
@@ -12,22 +12,23 @@
 import java.util.Optional;
 
 /**
- * Encodes and decodes the field for cancellations in messages between controllers: in a grant
- * request the leader acknowledges the cancellations that it has, and in the response a controller
- * states those that it has confirmed to users.
+ * Encodes and decodes the field for cancellations in messages between controllers. In a grant
+ * request the leader acknowledges the confirmed cancellations that it has recorded. In the response
+ * a controller states the cancellations that it has confirmed to users.
  */
 public final class CancellationCodec {
-    /** Name of the field in both messages. Versions without it state no cancellations. */
+    /** Name of the field in both messages. Versions without it report no cancellations. */
     public static final String FIELD_NAME = "told";
 
-    /** A statement with more jobs than this is malformed; no version sends as many. */
+    /** A statement with more jobs than this is malformed: no version sends that many. */
     static final int MAX_JOBS = 10_000;
 
     /**
-     * What a leader acknowledges to a controller.
+     * A leader's acknowledgement of cancellations that a controller confirmed.
      *
-     * @param incarnation of the controller's process
-     * @param upToSequence the leader has all cancellations of that incarnation up to this number
+     * @param incarnation identifies the process of the controller that confirmed them
+     * @param upToSequence the leader has recorded all cancellations of that incarnation up to this
+     *     sequence number
      */
     public record Acknowledgement(long incarnation, long upToSequence) {}
 
@@ -38,7 +39,10 @@
         return MessageEncoding.newObject().put("life", incarnation).put("have", upToSequence);
     }
 
-    /** Decodes an acknowledgement; empty if the leader's version does not send any. */
+    /**
+     * Decodes an acknowledgement; empty if the field is malformed, or missing because the leader's
+     * version does not send it.
+     */
     public static Optional<Acknowledgement> decodeAcknowledgement(JsonNode message) {
         JsonNode incarnation = message.path("life");
         JsonNode upToSequence = message.path("have");
@@ -61,10 +65,11 @@
     }
 
     /**
-     * Decodes a statement; empty if there is none, as from a version without, or from a controller
-     * that knows a newer term.
+     * Decodes a statement; empty if the field is missing, because the controller's version does not
+     * have it or the controller has seen a newer term.
      *
-     * @throws MalformedMessageException if any part is malformed: then none of it may be used
+     * @throws MalformedMessageException if any part of the statement is malformed, so that none of
+     *     it may be used
      */
     public static Optional<ConfirmedCancellations.Statement> decodeStatement(JsonNode message)
             throws MalformedMessageException {
@@ -72,7 +77,8 @@
             return Optional.empty();
         }
         if (!isStatement(message)) {
-            throw new MalformedMessageException("no word on cancellations");
+            throw new MalformedMessageException(
+                    "told is not an object with valid life, since_s, to, whole and jobs");
         }
         return Optional.of(
                 new ConfirmedCancellations.Statement(
@@ -99,7 +105,8 @@
         List<String> jobIds = new ArrayList<>(jobs.size());
         for (JsonNode job : jobs) {
             if (!job.isTextual() || !JobCodec.isJobId(job.asText())) {
-                throw new MalformedMessageException("no job that could be cancelled");
+                throw new MalformedMessageException(
+                        "told has an entry in jobs that is not a job id");
             }
             jobIds.add(job.asText());
         }
--- a/src/main/java/io/kelphoist/peer/DelegationCodec.java
+++ b/src/main/java/io/kelphoist/peer/DelegationCodec.java
@@ -10,8 +10,9 @@
 import java.util.Optional;
 
 /**
- * Encodes and decodes the field for lease delegations in messages between controllers: in a grant
- * request the leader offers a delegation, and in the response a controller reports what it holds.
+ * Encodes and decodes the field for lease delegation in messages between controllers. In a grant
+ * request the leader offers a delegation. In the response a controller reports its status, which
+ * includes the newest offer that it accepted.
  */
 public final class DelegationCodec {
     /** Name of the field in both messages. Versions without lease delegation do not send it. */
@@ -20,18 +21,22 @@
     private DelegationCodec() {}
 
     /** Encodes an offer. */
-    public static ObjectNode encodeOffer(DelegationOffer grant) {
+    public static ObjectNode encodeOffer(DelegationOffer offer) {
         ObjectNode message =
                 MessageEncoding.newObject()
-                        .put("life", grant.incarnation())
-                        .put("seq", grant.sequenceNumber())
-                        .put("from", grant.startsAtSeconds());
+                        .put("life", offer.incarnation())
+                        .put("seq", offer.sequenceNumber())
+                        .put("from", offer.startsAtSeconds());
         ArrayNode excludedMachines = message.putArray("except");
-        grant.excludedMachines().forEach(excludedMachines::add);
+        offer.excludedMachines().forEach(excludedMachines::add);
         return message;
     }
 
-    /** Decodes an offer; empty if there is none that is complete. */
+    /**
+     * Decodes an offer; empty if the field or one of its parts is missing.
+     *
+     * @param term the term of the grant request
+     */
     public static Optional<DelegationOffer> decodeOffer(JsonNode message, long term) {
         if (!message.path("seq").isIntegralNumber()
                 || !message.path("life").isIntegralNumber()
@@ -64,7 +69,7 @@
         return message;
     }
 
-    /** Decodes a status; empty if the controller is of a version without lease delegation. */
+    /** Decodes a status; empty if the controller's version does not have lease delegation. */
     public static Optional<PeerStatus> decodeStatus(JsonNode message) {
         if (!message.path("clock").isNumber()
                 || !message.path("up_s").isNumber()
--- a/src/main/java/io/kelphoist/peer/GrantClient.java
+++ b/src/main/java/io/kelphoist/peer/GrantClient.java
@@ -5,8 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Sends the messages of an election to the other controllers: requests for grants, handovers, and
- * probes. Owns no state; runs on the event loop.
+ * Sends the messages of leader election to the other controllers: grant requests, handovers and
+ * reachability probes. Owns no state; runs on the event loop.
  */
 public final class GrantClient {
     private static final int TIMEOUT_MILLIS = 800;
@@ -24,9 +24,10 @@
     }
 
     /**
-     * Requests a grant.
+     * Requests a grant from another controller.
      *
-     * @param onResponse receives the response; is not called if there is none that can be used
+     * @param onResponse receives the response; not called if the request fails or its response is
+     *     malformed
      */
     public void requestGrant(
             String peer, GrantRequest request, Consumer<GrantResponse> onResponse) {
@@ -38,7 +39,10 @@
                 response -> response.map(GrantCodec::decodeResponse).ifPresent(onResponse));
     }
 
-    /** Hands over; whether the message arrives does not matter to the sender. */
+    /**
+     * Notifies another controller that the term led by this one has ended. The response is ignored,
+     * and a message that is lost is not sent again.
+     */
     public void handOver(String peer, HandoverMessage handover) {
         peers.call(
                 peer,
@@ -49,9 +53,10 @@
     }
 
     /**
-     * Sends a request that every version answers and that changes nothing.
+     * Checks whether another controller is reachable. The probe is an empty request for task
+     * events: every version responds to it, and it changes nothing at the receiver.
      *
-     * @param onResponse is called if there is any response, an error of the controller included
+     * @param onResponse called if there is a response, also if its status is an error
      */
     public void probe(String peer, Runnable onResponse) {
         peers.call(
--- a/src/main/java/io/kelphoist/peer/GrantCodec.java
+++ b/src/main/java/io/kelphoist/peer/GrantCodec.java
@@ -10,9 +10,9 @@
 import java.util.Optional;
 
 /**
- * Encodes and decodes grant requests and the responses to them. A field that is missing, or that
- * has another type than expected, counts as absent or has the default that {@link GrantRequest},
- * {@link LeaderState} and {@link GrantResponse} name; unknown fields are skipped.
+ * Encodes and decodes grant requests and the responses to them. A field that is missing or has an
+ * unexpected type is decoded as absent, or as the default given at {@link GrantRequest}, {@link
+ * LeaderState} and {@link GrantResponse}; unknown fields are skipped.
  */
 public final class GrantCodec {
     private static final String TERM = "term";
@@ -20,7 +20,7 @@
     private static final String STATE_STORE_REACHABLE = "state_ok";
     private static final String GRANTED = "granted";
 
-    /** Maps a job to a list of two numbers: its done and its running tasks. */
+    /** Maps a job id to a list of two numbers: the done and the running tasks of the job. */
     private static final String TASK_COUNTS = "jobs";
 
     private static final int DONE_TASKS_INDEX = 0;
@@ -71,7 +71,7 @@
     /**
      * Decodes the body of a request.
      *
-     * @throws MalformedMessageException if the body is no JSON object
+     * @throws MalformedMessageException if the body is not a JSON object
      */
     public static GrantRequest decodeRequest(byte[] body) throws MalformedMessageException {
         return decodeRequest(MessageEncoding.decodeJson(body));
@@ -133,10 +133,10 @@
                                 message.set(
                                         DelegationCodec.FIELD_NAME,
                                         DelegationCodec.encodeStatus(status)));
-        if (response.cancellations() instanceof CancellationReport.Present stated) {
+        if (response.cancellations() instanceof CancellationReport.Present present) {
             message.set(
                     CancellationCodec.FIELD_NAME,
-                    CancellationCodec.encodeStatement(stated.statement()));
+                    CancellationCodec.encodeStatement(present.statement()));
         }
         return message;
     }
--- a/src/main/java/io/kelphoist/peer/GrantResponse.java
+++ b/src/main/java/io/kelphoist/peer/GrantResponse.java
@@ -4,17 +4,17 @@
 import java.util.Optional;
 
 /**
- * A controller's response to a leader's {@link GrantRequest}. It also reports how far the
- * controller has got with what the leader replicates.
+ * A controller's response to a leader's {@link GrantRequest}. It also acknowledges the state that
+ * the leader replicated with the request.
  *
- * @param granted whether the grant is given; false if it is missing
- * @param stateStoreReachable whether the controller reaches the state store; false if it does not
- *     say so
- * @param replicaStatus acknowledges machine states; empty if the request had no update, or from a
- *     version without replication of machine states
- * @param delegationStatus the controller's lease delegation; empty from a version without
- *     delegation
- * @param cancellations cancellations that the controller has confirmed to users
+ * @param granted whether the grant is given; false if the field is missing
+ * @param stateStoreReachable whether the controller's requests to the state store are succeeding;
+ *     false if the field is missing
+ * @param replicaStatus acknowledges machine state; empty if the request had no update, or if the
+ *     controller's version does not replicate machine state
+ * @param delegationStatus the status of the controller for lease delegation; empty if its version
+ *     does not have lease delegation
+ * @param cancellations the cancellations that the controller has confirmed to users
  */
 public record GrantResponse(
         boolean granted,
--- a/src/main/java/io/kelphoist/peer/HandoverCodec.java
+++ b/src/main/java/io/kelphoist/peer/HandoverCodec.java
@@ -7,14 +7,15 @@
 import java.util.Optional;
 
 /**
- * Encodes and decodes the message with which a leader hands over, and the response to it. Missing
- * fields have the defaults that {@link HandoverMessage} names; unknown fields are skipped.
+ * Encodes and decodes the message with which a leader hands over leadership, and encodes the
+ * response to it. A missing field is decoded as the default given at {@link HandoverMessage};
+ * unknown fields are skipped.
  */
 public final class HandoverCodec {
     private static final String TERM = "term";
     private static final String SENDER = "from";
 
-    /** Empty text if there is no preferred successor. */
+    /** The value is an empty string if there is no preferred successor. */
     private static final String PREFERRED_SUCCESSOR = "next";
 
     private HandoverCodec() {}
@@ -38,7 +39,7 @@
     /**
      * Decodes the body of a message.
      *
-     * @throws MalformedMessageException if the body is no JSON object
+     * @throws MalformedMessageException if the body is not a JSON object
      */
     public static HandoverMessage decode(byte[] body) throws MalformedMessageException {
         JsonNode message = MessageEncoding.decodeJson(body);
@@ -50,7 +51,7 @@
                 ReplicationCodec.decodeUpdate(message.path(ReplicationCodec.FIELD_NAME)));
     }
 
-    /** Encodes the body of the response, which acknowledges the message and says nothing else. */
+    /** Encodes the body of the response: an empty object, which acknowledges the message. */
     public static byte[] encodeResponseBody() {
         return MessageEncoding.encodeJson(MessageEncoding.newObject());
     }
--- a/src/main/java/io/kelphoist/peer/HandoverMessage.java
+++ b/src/main/java/io/kelphoist/peer/HandoverMessage.java
@@ -4,14 +4,16 @@
 import java.util.Optional;
 
 /**
- * A leader hands over: it tells another controller that its term has ended.
+ * The message with which a leader that has given up leadership notifies another controller that its
+ * term has ended.
  *
- * @param endedTerm the term; 0 if it is missing or no number
- * @param sender the name of the former leader
- * @param preferredSuccessor who should lead next; empty if the former leader knows of nobody who is
- *     better prepared than the others, or is of a version that does not say so
- * @param machineStateUpdate the last changes of machines in the ended term; empty if machine states
- *     are not replicated
+ * @param endedTerm the term that ended; 0 if the field is missing or is not a number
+ * @param sender the name of the former leader; empty if the field is missing
+ * @param preferredSuccessor the controller that should lead next; empty if the former leader does
+ *     not know of any controller that is better prepared than the others, or if its version does
+ *     not send the field
+ * @param machineStateUpdate the last changes of machines in the ended term; empty if machine state
+ *     is not replicated
  */
 public record HandoverMessage(
         long endedTerm,
--- a/src/main/java/io/kelphoist/peer/HeartbeatRelayClient.java
+++ b/src/main/java/io/kelphoist/peer/HeartbeatRelayClient.java
@@ -16,17 +16,17 @@
         this.peers = peers;
     }
 
-    /** Whether heartbeats can be relayed to a controller. */
+    /** Returns whether there is another controller with this name; it may be unreachable. */
     public boolean hasPeer(String controller) {
         return peers.hasPeer(controller);
     }
 
     /**
-     * Relays a heartbeat as it came.
+     * Relays a heartbeat unchanged, including fields that this version does not know.
      *
-     * @param callback receives the body for the worker, in CBOR, with all that the leader
-     *     responded, fields that this version does not know included; empty if the leader did not
-     *     accept the heartbeat or was not reached
+     * @param callback receives the body of the response for the worker, in CBOR. It has all fields
+     *     of the leader's response, including those that this version does not know. Empty if the
+     *     leader did not accept the heartbeat or sent no usable response
      */
     public void relay(
             String leader, ReceivedHeartbeat received, Consumer<Optional<byte[]>> callback) {
--- a/src/main/java/io/kelphoist/peer/LeaderState.java
+++ b/src/main/java/io/kelphoist/peer/LeaderState.java
@@ -7,22 +7,23 @@
 import java.util.Optional;
 
 /**
- * What a leader replicates to one other controller with a grant request. Each part is optional:
- * some are not due with every request, and a leader of an older version leaves out those that it
- * does not know.
+ * The state that a leader replicates to one other controller with a grant request. Each part is
+ * optional: some parts are not due with every request, and a leader of an older version omits those
+ * that its version does not have.
  *
- * @param taskCounts the counts of all jobs with started tasks, by job; the map is not copied, and
- *     nobody changes it
- * @param machineStateUpdate changes of machines since the last acknowledged ones
- * @param acknowledgedCancellations which of the receiver's confirmed cancellations the leader has
- * @param delegationOffer offer of a lease delegation
+ * @param taskCounts the task counts of all jobs with started tasks, by job id; the map is not
+ *     copied and must not be modified
+ * @param machineStateUpdate the changes of machines that the receiver has not acknowledged
+ * @param acknowledgedCancellations which of the cancellations that the receiver confirmed to users
+ *     the leader has recorded
+ * @param delegationOffer offer of a lease delegation to the receiver
  */
 public record LeaderState(
         Optional<Map<String, TaskCounts>> taskCounts,
         Optional<MachineStateUpdate> machineStateUpdate,
         Optional<CancellationCodec.Acknowledgement> acknowledgedCancellations,
         Optional<DelegationOffer> delegationOffer) {
-    /** Of a leader whose records are not loaded yet. */
+    /** The state of a leader that has not loaded its records yet: all parts are absent. */
     public static final LeaderState NONE =
             new LeaderState(Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty());
 }
--- a/src/main/java/io/kelphoist/peer/PeerClient.java
+++ b/src/main/java/io/kelphoist/peer/PeerClient.java
@@ -11,15 +11,15 @@
 import java.util.function.Consumer;
 
 /**
- * Connections to the other controllers, which are addressed by name. The clients of this package
- * send their messages with it. Owns no state; methods and callbacks run on the event loop.
+ * Sends requests to the other controllers, which are addressed by name. The other clients of this
+ * package are built on it. Owns no state; methods and callbacks run on the event loop.
  */
 public final class PeerClient {
     private static final int HTTP_OK = 200;
 
-    /** A controller's response whose body could be decoded. */
+    /** A controller's response, with any HTTP status, whose body could be decoded. */
     record PeerResponse(int status, ObjectNode body) {
-        /** Returns whether the controller executed the request. */
+        /** Returns whether the status says that the controller executed the request. */
         boolean isSuccess() {
             return status == HTTP_OK;
         }
@@ -32,8 +32,8 @@
      * Creates a client.
      *
      * @param clientsByPeer an HTTP client for each of the other controllers, by name
-     * @param onMalformedResponse receives the log fields of each response that cannot be decoded;
-     *     its request counts as one without a response
+     * @param onMalformedResponse receives the log fields of each response that cannot be decoded,
+     *     which is then handled as if there was no response
      */
     public PeerClient(
             Map<String, HttpHostClient> clientsByPeer, Consumer<String> onMalformedResponse) {
@@ -55,7 +55,8 @@
      * Sends a request to another controller.
      *
      * @param path one of {@link PeerPaths}
-     * @param callback runs once; empty if there is no usable response
+     * @param callback runs once with the response, whatever its status; empty if there was no
+     *     response or its body could not be decoded
      */
     void call(
             String peer,
@@ -75,11 +76,11 @@
     }
 
     /**
-     * Sends a request of which only a successful response matters.
+     * Sends a request to another controller, whose response is used only if it is successful.
      *
      * @param path one of {@link PeerPaths}
-     * @param callback runs once with the body of the response; empty if the request was not
-     *     executed or there is no usable response
+     * @param callback runs once with the body of the response; empty if the response has an error
+     *     status, could not be decoded or did not arrive
      */
     void request(
             String peer,
--- a/src/main/java/io/kelphoist/peer/PeerPaths.java
+++ b/src/main/java/io/kelphoist/peer/PeerPaths.java
@@ -5,7 +5,7 @@
     /** A leader requests a grant. */
     public static final String GRANT = "/peer/grant";
 
-    /** A leader hands over: its term has ended. */
+    /** A leader hands over leadership: its term has ended. */
     public static final String HANDOVER = "/peer/over";
 
     /** A follower requests the leader's task events. */
--- a/src/main/java/io/kelphoist/peer/ReplicationCodec.java
+++ b/src/main/java/io/kelphoist/peer/ReplicationCodec.java
@@ -14,15 +14,16 @@
 import java.util.TreeMap;
 
 /**
- * Encodes and decodes the field for machine states in messages between controllers: in a grant
- * request, and when it hands over, the leader sends an update, and in the response a follower
- * acknowledges what it has.
+ * Encodes and decodes the field for machine state in messages between controllers. In a grant
+ * request and in a handover the leader sends an update. In the response to a grant request a
+ * follower acknowledges the changes that it has applied.
  */
 public final class ReplicationCodec {
-    /** Name of the field in all messages. Versions without replication do not send it. */
+    /** Name of the field in all messages. Versions that do not replicate machine state omit it. */
     public static final String FIELD_NAME = "follow";
 
-    // A machine is a list; the last element is there only if the cloud has given notice.
+    // A machine is encoded as a list. The last element is present only if the cloud has sent a
+    // termination notice for the machine.
     private static final int NAME_INDEX = 0;
     private static final int ADDRESS_INDEX = 1;
     private static final int MACHINE_TYPE_INDEX = 2;
@@ -39,10 +40,10 @@
     private static final int FLAG_SPOT = 16;
 
     /**
-     * What a follower acknowledges.
+     * A follower's acknowledgement.
      *
-     * @param appliedSequence number of the last update that it has applied
-     * @param divergedShards shards whose digest differs from the leader's
+     * @param appliedSequence sequence number of the last change that it has applied
+     * @param divergedShards shards of its replica whose digest differs from the leader's
      */
     public record ReplicaStatus(long appliedSequence, List<Integer> divergedShards) {}
 
@@ -92,7 +93,9 @@
         }
     }
 
-    /** Decodes an update; empty if there is none that is complete. */
+    /**
+     * Decodes an update; empty if the field or one of its sequence numbers or its clock is missing.
+     */
     public static Optional<MachineStatePublisher.MachineStateUpdate> decodeUpdate(JsonNode node) {
         if (!node.path("after").isIntegralNumber()
                 || !node.path("to").isIntegralNumber()
@@ -123,8 +126,8 @@
     }
 
     private static <V> void putShard(String shardNumber, Map<Integer, V> target, V value) {
-        // Versions with another number of shards assign machines differently: shards that this one
-        // does not have are skipped.
+        // A version with another number of shards assigns machines to other shards. Shard numbers
+        // that do not exist in this version are skipped.
         if (shardNumber.matches("\\d{1,2}")
                 && Integer.parseInt(shardNumber) < MachineStatePublisher.SHARD_COUNT) {
             target.put(Integer.parseInt(shardNumber), value);
@@ -161,19 +164,23 @@
     }
 
     /** Encodes an acknowledgement. */
-    public static ObjectNode encodeStatus(long sequence, Collection<Integer> divergentShards) {
-        ObjectNode node = MessageEncoding.newObject().put("have", sequence);
-        divergentShards.forEach(node.putArray("astray")::add);
+    public static ObjectNode encodeStatus(
+            long appliedSequence, Collection<Integer> divergedShards) {
+        ObjectNode node = MessageEncoding.newObject().put("have", appliedSequence);
+        divergedShards.forEach(node.putArray("astray")::add);
         return node;
     }
 
-    /** Decodes an acknowledgement; empty if the follower's version has no replication. */
+    /**
+     * Decodes an acknowledgement; empty if the follower sent none, for example because its version
+     * does not replicate machine state.
+     */
     public static Optional<ReplicaStatus> decodeStatus(JsonNode node) {
         if (!node.path("have").isIntegralNumber()) {
             return Optional.empty();
         }
-        List<Integer> divergentShards = new ArrayList<>();
-        node.path("astray").forEach(shard -> divergentShards.add(shard.asInt(-1)));
-        return Optional.of(new ReplicaStatus(node.path("have").asLong(), divergentShards));
+        List<Integer> divergedShards = new ArrayList<>();
+        node.path("astray").forEach(shard -> divergedShards.add(shard.asInt(-1)));
+        return Optional.of(new ReplicaStatus(node.path("have").asLong(), divergedShards));
     }
 }
--- a/src/main/java/io/kelphoist/peer/TaskEventClient.java
+++ b/src/main/java/io/kelphoist/peer/TaskEventClient.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Requests the leader's task events. Runs on the event loop. */
+/** Requests the leader's task events. Owns no state; runs on the event loop. */
 public final class TaskEventClient {
     private static final int TIMEOUT_MILLIS = 1000;
 
@@ -14,16 +14,16 @@
         this.peers = peers;
     }
 
-    /** Whether requests can be sent to a controller. */
+    /** Returns whether there is another controller with this name; it may be unreachable. */
     public boolean hasPeer(String controller) {
         return peers.hasPeer(controller);
     }
 
     /**
-     * Requests the events after a position.
+     * Requests task events from a sequence number on.
      *
-     * @param callback receives the leader's update, or nothing if there was no usable response or
-     *     the controller is not the leader; runs on the event loop
+     * @param callback receives the leader's update; empty if there was no usable response or the
+     *     controller is not the leader; runs on the event loop
      */
     public void requestEvents(
             String leader,
--- a/src/main/java/io/kelphoist/peer/TaskEventCodec.java
+++ b/src/main/java/io/kelphoist/peer/TaskEventCodec.java
@@ -13,27 +13,28 @@
 import java.util.Optional;
 
 /**
- * Encodes and decodes the leader's task events in the response to a follower's request. A version
- * reads kinds of events that it does not know as progress.
+ * Encodes and decodes a follower's request for the leader's task events, and the response to it.
+ * Event types that this version does not know are decoded as progress.
  */
 public final class TaskEventCodec {
     /**
-     * A request for the task events of the leader.
+     * A request for the leader's task events.
      *
-     * @param term the term that the position is from
-     * @param fromSequence position after which events are requested; negative to request a snapshot
+     * @param term the term to which the sequence number belongs
+     * @param fromSequence sequence number of the first requested event, which is {@link
+     *     TaskEventLog.Update#nextSequence} of the last update; negative to request a snapshot
      */
     public record EventsRequest(long term, long fromSequence) {}
 
-    /** An update of the events of a term. */
+    /** An update of the task events of a term. */
     public record TermUpdate(long term, TaskEventLog.Update update) {}
 
     private static final String TERM = "term";
-    private static final String AFTER = "after";
-    private static final String NEXT = "next";
+    private static final String FROM_SEQUENCE = "after";
+    private static final String NEXT_SEQUENCE = "next";
 
-    /** Position of a request that names none. */
-    private static final long SNAPSHOT_POSITION = -1;
+    /** The sequence number of a request without one: requests a snapshot. */
+    private static final long SNAPSHOT_SEQUENCE = -1;
 
     private TaskEventCodec() {}
 
@@ -41,51 +42,51 @@
     public static ObjectNode encodeRequest(EventsRequest request) {
         return MessageEncoding.newObject()
                 .put(TERM, request.term())
-                .put(AFTER, request.fromSequence());
+                .put(FROM_SEQUENCE, request.fromSequence());
     }
 
     /**
      * Decodes the body of a request for events.
      *
-     * @throws MalformedMessageException if the body is no JSON object
+     * @throws MalformedMessageException if the body is not a JSON object
      */
     public static EventsRequest decodeRequest(byte[] body) throws MalformedMessageException {
         return decodeRequest(MessageEncoding.decodeJson(body));
     }
 
     /**
-     * Decodes a request for events; a position that is missing requests a snapshot. An empty
-     * request, which is only a probe, has none.
+     * Decodes a request for events. Without a sequence number it requests a snapshot; this includes
+     * the empty request, which is sent as a reachability probe.
      */
     public static EventsRequest decodeRequest(JsonNode message) {
         return new EventsRequest(
-                message.path(TERM).asLong(), message.path(AFTER).asLong(SNAPSHOT_POSITION));
+                message.path(TERM).asLong(), message.path(FROM_SEQUENCE).asLong(SNAPSHOT_SEQUENCE));
     }
 
     /**
      * Encodes the body of the response to a request.
      *
-     * @param update empty if this controller does not lead, or publishes no events
+     * @param update empty if this controller is not the leader, or does not publish events
      */
     public static byte[] encodeResponseBody(Optional<TermUpdate> update) {
         return MessageEncoding.encodeJson(
-                update.map(present -> encode(present.term(), present.update()))
+                update.map(termUpdate -> encode(termUpdate.term(), termUpdate.update()))
                         .orElseGet(MessageEncoding::newObject));
     }
 
-    /** Decodes a response; empty if the controller that sent it does not lead. */
+    /** Decodes a response; empty if the controller that sent it has no update to send. */
     public static Optional<TermUpdate> decodeResponse(JsonNode message) {
-        return message.has(NEXT)
+        return message.has(NEXT_SEQUENCE)
                 ? Optional.of(new TermUpdate(message.path(TERM).asLong(), decode(message)))
                 : Optional.empty();
     }
 
-    /** Encodes the events of a term. */
+    /** Encodes an update of the task events of a term. */
     public static ObjectNode encode(long term, TaskEventLog.Update update) {
         ObjectNode message =
                 MessageEncoding.newObject()
                         .put(TERM, term)
-                        .put(NEXT, update.nextSequence())
+                        .put(NEXT_SEQUENCE, update.nextSequence())
                         .put("whole", update.isSnapshot());
         ArrayNode events = message.putArray("events");
         for (TransientEvent event : update.events()) {
@@ -123,7 +124,7 @@
         }
     }
 
-    /** Decodes events; missing fields are empty or 0. */
+    /** Decodes an update of task events; missing fields are decoded as empty, false or 0. */
     public static TaskEventLog.Update decode(JsonNode message) {
         List<TransientEvent> events = new ArrayList<>();
         for (JsonNode node : message.path("events")) {
@@ -136,7 +137,7 @@
                             node.path("at").asLong()));
         }
         return new TaskEventLog.Update(
-                message.path(NEXT).asLong(), message.path("whole").asBoolean(), events);
+                message.path(NEXT_SEQUENCE).asLong(), message.path("whole").asBoolean(), events);
     }
 
     private static JobEventType decodeType(JsonNode node) {
--- a/src/test/java/io/kelphoist/peer/GrantCodecTest.java
+++ b/src/test/java/io/kelphoist/peer/GrantCodecTest.java
@@ -21,6 +21,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
+/**
+ * Guards against changes of grant requests and responses that controllers of other versions cannot
+ * decode, and against a missing or malformed field that makes the whole message unusable.
+ */
 class GrantCodecTest {
     private static final long TERM = 7;
     private static final MachineStateUpdate UPDATE =
@@ -59,9 +63,9 @@
         return GrantCodec.decodeResponse(MessageEncoding.decodeJson(bytes(json)));
     }
 
-    /** The order of the fields is that of all versions so far. */
+    /** The order of the fields is the same in all versions so far. */
     @Test
-    void requestHasItsFieldsInTheirOrderAndIsDecodedAgain() throws MalformedMessageException {
+    void requestHasFieldsInOrderAndIsDecodedUnchanged() throws MalformedMessageException {
         byte[] encoded = MessageEncoding.encodeJson(GrantCodec.encodeRequest(FULL_REQUEST));
         assertEquals(
                 "{'jobs':{'job-7':[2,3]},'term':7,'from':'hoist-2','state_ok':true,"
@@ -88,7 +92,10 @@
         assertEquals(new GrantRequest(0, false, "", false, LeaderState.NONE), request("{}"));
     }
 
-    /** A term that is no integer gets no grant, but counts for the state if it is a number. */
+    /**
+     * A term that is not encoded as an integer gets no grant. It is still decoded as a number,
+     * because the state in the request is applied under this term.
+     */
     @ParameterizedTest
     @CsvSource({
         "7, 7, true",
@@ -100,7 +107,7 @@
         "null, 0, false",
         "[7], 0, false"
     })
-    void termIsReadAsANumberButOnlyIntegersGetAGrant(String json, long term, boolean isInteger)
+    void termIsDecodedLenientlyButOnlyIntegersGetGrant(String json, long term, boolean isInteger)
             throws MalformedMessageException {
         GrantRequest request = request("{'term':" + json + "}");
         assertEquals(term, request.term());
@@ -117,22 +124,25 @@
         "null, false",
         "{}, false"
     })
-    void truthValuesAreReadLeniently(String json, boolean expected)
+    void booleansAreDecodedLeniently(String json, boolean expected)
             throws MalformedMessageException {
         assertEquals(expected, request("{'state_ok':" + json + "}").stateStoreReachable());
         assertEquals(expected, response("{'granted':" + json + "}").granted());
         assertEquals(expected, response("{'state_ok':" + json + "}").stateStoreReachable());
     }
 
-    /** A field that is there replaces the counts, whatever it holds; without it they stay. */
+    /**
+     * The receiver keeps its task counts only if the field is missing. A field of any type, also a
+     * malformed one, replaces them.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"{}", "null", "7", "[[1,2]]"})
-    void taskCountsThatAreNoMapAreEmptyButPresent(String json) throws MalformedMessageException {
+    void malformedTaskCountsAreEmptyButPresent(String json) throws MalformedMessageException {
         assertEquals(Optional.of(Map.of()), request("{'jobs':" + json + "}").state().taskCounts());
     }
 
     @Test
-    void missingOrMalformedNumbersOfTasksAreZero() throws MalformedMessageException {
+    void missingOrMalformedTaskCountsAreZero() throws MalformedMessageException {
         assertEquals(
                 Optional.of(
                         Map.of(
@@ -142,9 +152,11 @@
                 request("{'jobs':{'a':[1],'b':['x',2],'c':null}}").state().taskCounts());
     }
 
-    /** Parts of the state are independent: a malformed one does not take the others with it. */
+    /**
+     * The parts of the state are decoded independently: a malformed one does not affect the others.
+     */
     @Test
-    void malformedPartsOfARequestAreAbsent() throws MalformedMessageException {
+    void malformedPartsOfStateAreAbsent() throws MalformedMessageException {
         GrantRequest request =
                 request(
                         "{'term':7,'follow':{'after':'1','to':2,'head':3,'clock':4},"
@@ -159,13 +171,13 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "7", "{} {}", "{"})
-    void bodyThatIsNoObjectIsMalformed(String body) {
+    void bodyThatIsNotAnObjectIsMalformed(String body) {
         assertThrows(MalformedMessageException.class, () -> request(body));
     }
 
-    /** The order of the fields is that of all versions so far. */
+    /** The order of the fields is the same in all versions so far. */
     @Test
-    void responseHasItsFieldsInTheirOrderAndIsDecodedAgain() throws MalformedMessageException {
+    void responseHasFieldsInOrderAndIsDecodedUnchanged() throws MalformedMessageException {
         String encoded =
                 new String(GrantCodec.encodeResponseBody(FULL_RESPONSE), StandardCharsets.UTF_8);
         assertEquals(
@@ -193,9 +205,12 @@
                 GrantCodec.encodeResponse(empty).toString().replace('"', '\''));
     }
 
-    /** A malformed statement is neither absent nor used, and the other parts still count. */
+    /**
+     * A malformed statement of cancellations is reported as malformed, not as absent, and does not
+     * affect the other parts of the response.
+     */
     @Test
-    void malformedStatementLeavesTheRestOfTheResponse() throws MalformedMessageException {
+    void malformedStatementDoesNotAffectRestOfResponse() throws MalformedMessageException {
         GrantResponse response =
                 response("{'granted':true,'follow':{'have':3},'told':{'life':8,'to':-1}}");
         assertInstanceOf(CancellationReport.Malformed.class, response.cancellations());
--- a/src/test/java/io/kelphoist/peer/HandoverCodecTest.java
+++ b/src/test/java/io/kelphoist/peer/HandoverCodecTest.java
@@ -11,13 +11,16 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/**
+ * Guards against changes of the handover message that controllers of other versions cannot decode.
+ */
 class HandoverCodecTest {
     private static HandoverMessage decode(String json) throws MalformedMessageException {
         return HandoverCodec.decode(json.replace('\'', '"').getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void messageHasItsFieldsInTheirOrderAndIsDecodedAgain() throws MalformedMessageException {
+    void messageHasFieldsInOrderAndIsDecodedUnchanged() throws MalformedMessageException {
         HandoverMessage handover =
                 new HandoverMessage(
                         7,
@@ -35,9 +38,9 @@
         assertEquals(handover, HandoverCodec.decode(encoded));
     }
 
-    /** The field is always there, since all versions so far have sent it. */
+    /** The field is always present, because all versions so far have sent it. */
     @Test
-    void noPreferredSuccessorIsEmptyText() throws MalformedMessageException {
+    void missingPreferredSuccessorIsEncodedAsEmptyString() throws MalformedMessageException {
         HandoverMessage handover =
                 new HandoverMessage(7, "hoist-1", Optional.empty(), Optional.empty());
         String encoded = HandoverCodec.encode(handover).toString();
@@ -46,7 +49,7 @@
     }
 
     @Test
-    void missingAndMalformedFieldsHaveDefaults() throws MalformedMessageException {
+    void missingAndMalformedFieldsAreDecodedAsDefaults() throws MalformedMessageException {
         HandoverMessage empty = new HandoverMessage(0, "", Optional.empty(), Optional.empty());
         assertEquals(empty, decode("{}"));
         assertEquals(empty, decode("{'term':[7],'from':{},'next':[],'follow':{'to':2}}"));
--- a/src/test/java/io/kelphoist/peer/TaskEventCodecTest.java
+++ b/src/test/java/io/kelphoist/peer/TaskEventCodecTest.java
@@ -13,9 +13,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
+/** Guards against changes of task event messages that other controllers cannot decode. */
 class TaskEventCodecTest {
     @Test
-    void requestIsDecodedAgain() throws MalformedMessageException {
+    void requestIsDecodedUnchanged() throws MalformedMessageException {
         EventsRequest request = new EventsRequest(7, 12);
         assertEquals(
                 request,
@@ -24,21 +25,21 @@
     }
 
     @Test
-    void probeIsARequestForASnapshot() throws MalformedMessageException {
+    void emptyRequestIsDecodedAsSnapshotRequest() throws MalformedMessageException {
         assertEquals(
                 new EventsRequest(0, -1),
                 TaskEventCodec.decodeRequest("{}".getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
-    void responseOfAControllerThatDoesNotLeadIsEmpty() {
+    void responseWithoutUpdateIsEmpty() {
         byte[] encoded = TaskEventCodec.encodeResponseBody(Optional.empty());
         assertEquals("{}", new String(encoded, StandardCharsets.UTF_8));
         assertEquals(Optional.empty(), TaskEventCodec.decodeResponse(MessageEncoding.newObject()));
     }
 
     @Test
-    void responseOfTheLeaderIsDecodedAgain() throws MalformedMessageException {
+    void responseWithUpdateIsDecodedUnchanged() throws MalformedMessageException {
         Optional<TermUpdate> update =
                 Optional.of(new TermUpdate(7, new TaskEventLog.Update(5, true, List.of())));
         ObjectNode message = MessageEncoding.decodeJson(TaskEventCodec.encodeResponseBody(update));
