--- a/src/main/java/io/kelphoist/heartbeat/FollowerHeartbeatHandler.java
+++ b/src/main/java/io/kelphoist/heartbeat/FollowerHeartbeatHandler.java
@@ -19,11 +19,11 @@
 
 /**
  * Handles heartbeats on a controller that is not the leader: relays them to the leader, redirects
- * the worker, or renews the worker's lease under a delegation. Confined to the controller's event
- * loop.
+ * the worker to another controller, or renews the worker's lease under a lease delegation. Confined
+ * to the controller's event loop.
  */
 public final class FollowerHeartbeatHandler {
-    /** Missing among Undertow's status codes. */
+    /** Redirects the worker. {@link StatusCodes} does not define this status. */
     private static final int MISDIRECTED_REQUEST = 421;
 
     private final LeaderElector elector;
@@ -49,18 +49,18 @@
         this.delegationHandler = delegationHandler;
     }
 
-    /** Answers a heartbeat. */
+    /** Responds to a heartbeat that a worker sent to this controller. */
     void handle(HttpServerExchange exchange, ReceivedHeartbeat received, double nowSeconds) {
         Heartbeat heartbeat = received.heartbeat();
-        Optional<String> knownLeader = elector.leader().filter(relayClient::hasPeer);
-        boolean leaderReachesUs = elector.hasRecentLeaderContact(nowSeconds);
-        if (!leaderReachesUs
-                && isOutOfAlternatives(heartbeat, knownLeader, nowSeconds)
+        Optional<String> leader = elector.leader().filter(relayClient::hasPeer);
+        boolean hasLeaderContact = elector.hasRecentLeaderContact(nowSeconds);
+        if (!hasLeaderContact
+                && cannotBeServedElsewhere(heartbeat, leader, nowSeconds)
                 && tryDelegatedRenewal(exchange, heartbeat, nowSeconds)) {
             return;
         }
         HeartbeatRouter.Route route =
-                router.route(heartbeat.machineName(), knownLeader, leaderReachesUs, nowSeconds);
+                router.route(heartbeat.machineName(), leader, hasLeaderContact, nowSeconds);
         if (route instanceof HeartbeatRouter.Relay relay) {
             relay(exchange, received, relay.leader());
         } else if (route instanceof HeartbeatRouter.Redirect redirect) {
@@ -72,30 +72,33 @@
     }
 
     /**
-     * Whether the worker can't be served elsewhere. While there is a leader that other controllers
-     * may reach, its lease is renewed here only after it has tried those in vain.
+     * Returns whether no other controller can be expected to renew the worker's lease. While there
+     * is a leader, other controllers may have contact to it, so the lease is renewed here only
+     * after redirects of the worker to them have failed. This controller does not rely on such a
+     * leader if it has not read the leadership keys recently.
      */
-    private boolean isOutOfAlternatives(
-            Heartbeat heartbeat, Optional<String> knownLeader, double nowSeconds) {
-        return knownLeader.isEmpty()
+    private boolean cannotBeServedElsewhere(
+            Heartbeat heartbeat, Optional<String> leader, double nowSeconds) {
+        return leader.isEmpty()
                 || !elector.hasReadKeysRecently(nowSeconds)
-                || router.hasTriedPeersInVain(
-                        heartbeat.machineName(), knownLeader.get(), nowSeconds);
+                || router.haveRedirectsFailed(heartbeat.machineName(), leader.get(), nowSeconds);
     }
 
     /**
-     * Relays a heartbeat to the leader, for a worker that can't reach it or whose lease might
-     * expire if it were redirected.
+     * Relays a heartbeat to the leader, for a worker that cannot connect to the leader or whose
+     * lease might expire if it were redirected.
      */
     private void relay(HttpServerExchange exchange, ReceivedHeartbeat received, String leader) {
         counters.onHeartbeatRelayed();
         relayClient.relay(
-                leader, received, response -> onRelayed(exchange, received.heartbeat(), response));
+                leader,
+                received,
+                response -> onRelayEnded(exchange, received.heartbeat(), response));
     }
 
-    private void onRelayed(
+    private void onRelayEnded(
             HttpServerExchange exchange, Heartbeat heartbeat, Optional<byte[]> response) {
-        router.onRelayed(heartbeat.machineName(), response.isPresent(), loop.nowSeconds());
+        router.onRelayEnded(heartbeat.machineName(), response.isPresent(), loop.nowSeconds());
         if (response.isPresent()) {
             HttpExchanges.sendCbor(exchange, StatusCodes.OK, response.get());
         } else if (elector.hasRecentLeaderContact(loop.nowSeconds())
@@ -106,8 +109,9 @@
     }
 
     /**
-     * Renews a worker's lease under the held delegation and responds to the heartbeat; returns
-     * false and sends nothing if that is not allowed now.
+     * Renews a worker's lease under the lease delegation that this controller holds, and responds
+     * to the heartbeat. Returns false and sends no response if the delegation does not allow the
+     * renewal now.
      */
     boolean tryDelegatedRenewal(
             HttpServerExchange exchange, Heartbeat heartbeat, double nowSeconds) {
--- a/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
+++ b/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
@@ -17,20 +17,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * HTTP endpoint of heartbeats, from workers directly and relayed by other controllers. The leader
- * answers them; on any other controller {@link FollowerHeartbeatHandler} handles them, after a
- * short wait for an election that is in progress.
+ * HTTP endpoint for heartbeats that workers send directly or that other controllers relay. The
+ * leader responds to them itself. On any other controller {@link FollowerHeartbeatHandler} handles
+ * direct heartbeats; while an election is in progress they are deferred for a short time.
  *
- * <p>Owns the number of waiting heartbeats. Confined to the controller's event loop.
+ * <p>Owns the number of deferred heartbeats. Confined to the controller's event loop.
  */
 public final class HeartbeatEndpoint {
-    /** Answers heartbeats as the leader. */
+    /** Responds to heartbeats as the leader. */
     public interface LeaderResponder {
         /**
-         * Returns the response; empty if this controller must not answer the heartbeat.
+         * Returns the response; empty if this controller must not renew the worker's lease.
          *
-         * @param relayAddress address of the controller that relayed the heartbeat; empty if it
-         *     came directly
+         * @param relayAddress IP address of the controller that relayed the heartbeat; empty if the
+         *     worker sent it here
          */
         Optional<HeartbeatResponse> respondToHeartbeat(Heartbeat heartbeat, String relayAddress);
     }
@@ -38,11 +38,11 @@
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
     private static final String NOT_RELAYED = "";
 
-    /** How long a heartbeat may wait for the end of an election. */
-    private static final double MAX_PARK_SECONDS = 0.8;
+    /** Maximum time for which a heartbeat waits for the end of an election. */
+    private static final double MAX_DEFERRAL_SECONDS = 0.8;
 
-    private static final double PARK_RETRY_INTERVAL_SECONDS = 0.05;
-    private static final int MAX_PARKED = 200;
+    private static final double DEFERRAL_RETRY_INTERVAL_SECONDS = 0.05;
+    private static final int MAX_DEFERRED_HEARTBEATS = 200;
 
     private final LeaderElector elector;
     private final EventLoop loop;
@@ -50,7 +50,7 @@
     private final WorkerConnections connections;
     private final LeaderResponder leaderResponder;
     private final FollowerHeartbeatHandler followerHandler;
-    private int parkedCount;
+    private int deferredCount;
 
     /** Creates the endpoint; the caller registers its handlers with the HTTP server. */
     public HeartbeatEndpoint(
@@ -83,10 +83,12 @@
         if (!connections.keepAlive(exchange.getConnection(), loop.nowSeconds())) {
             exchange.setPersistent(false);
         }
-        handle(exchange, received, loop.nowSeconds() + MAX_PARK_SECONDS);
+        handle(exchange, received, loop.nowSeconds() + MAX_DEFERRAL_SECONDS);
     }
 
-    /** Handles a heartbeat that another controller relayed to this one as the leader. */
+    /**
+     * Handles a heartbeat that another controller relayed because it takes this one for the leader.
+     */
     public void handleRelayed(HttpServerExchange exchange, byte[] body) {
         try {
             Heartbeat heartbeat = WorkerCodec.decodeRelayedHeartbeat(body);
@@ -110,16 +112,17 @@
     }
 
     private void handle(
-            HttpServerExchange exchange, ReceivedHeartbeat received, double parkUntilSeconds) {
+            HttpServerExchange exchange, ReceivedHeartbeat received, double deferUntilSeconds) {
         double nowSeconds = loop.nowSeconds();
         Election.State state = elector.election().state();
         if (state == Election.State.LEADER) {
             handleAsLeader(exchange, received.heartbeat(), nowSeconds);
         } else if (state != Election.State.FOLLOWER
-                && nowSeconds < parkUntilSeconds
-                && parkedCount < MAX_PARKED) {
-            // The election ends soon, possibly with this controller as the leader.
-            park(exchange, received, parkUntilSeconds);
+                && nowSeconds < deferUntilSeconds
+                && deferredCount < MAX_DEFERRED_HEARTBEATS) {
+            // The election is likely to end within this time, possibly with this controller as the
+            // leader.
+            defer(exchange, received, deferUntilSeconds);
         } else {
             followerHandler.handle(exchange, received, nowSeconds);
         }
@@ -137,20 +140,22 @@
                     WorkerCodec.encodeHeartbeatResponseBody(response.get()));
         } else if (elector.election().isLeader(nowSeconds)
                 || !followerHandler.tryDelegatedRenewal(exchange, heartbeat, nowSeconds)) {
-            // A leader that may act and does not answer has a reason, such as an agent epoch that
-            // has ended: it must not renew under its own delegation what it refuses as leader.
+            // A leader whose leader lease or grants are valid refuses a heartbeat only for a
+            // reason,
+            // such as an agent epoch that has ended. It must not renew under its own delegation a
+            // lease that it refuses to renew as the leader.
             HttpExchanges.sendStatus(exchange, StatusCodes.SERVICE_UNAVAILABLE);
         }
     }
 
-    private void park(
-            HttpServerExchange exchange, ReceivedHeartbeat received, double parkUntilSeconds) {
-        parkedCount++;
+    private void defer(
+            HttpServerExchange exchange, ReceivedHeartbeat received, double deferUntilSeconds) {
+        deferredCount++;
         loop.schedule(
-                PARK_RETRY_INTERVAL_SECONDS,
+                DEFERRAL_RETRY_INTERVAL_SECONDS,
                 () -> {
-                    parkedCount--;
-                    handle(exchange, received, parkUntilSeconds);
+                    deferredCount--;
+                    handle(exchange, received, deferUntilSeconds);
                 });
     }
 }
--- a/src/main/java/io/kelphoist/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/kelphoist/heartbeat/HeartbeatRouter.java
@@ -7,13 +7,14 @@
 
 /**
  * Decides what a controller that is not the leader does with a worker's heartbeat: relay it to the
- * leader or redirect the worker.
+ * leader, or redirect the worker to another controller.
  *
- * <p>An attempt at an unreachable controller costs a worker five seconds, so two in a row end its
- * lease. The first heartbeat of a worker is therefore relayed, and the worker is redirected to the
- * leader only with a fresh lease. A worker that comes back from there can't reach the leader and is
- * relayed for a while. A controller that does not hear the leader itself redirects workers to
- * another controller.
+ * <p>A worker waits five seconds for an unreachable controller, so two such attempts in a row let
+ * its lease expire. Therefore the first heartbeat of a worker is relayed, which renews its lease,
+ * and the worker is redirected to the leader only while its lease is fresh. A worker that returns
+ * after a redirect to the leader could not connect to the leader, and its heartbeats are relayed
+ * for a while. A controller that has no contact to the leader itself redirects workers to another
+ * controller.
  *
  * <p>Owns a bounded history per worker. Performs no I/O: the time (the event loop's monotonic
  * clock, in seconds) is passed in. Confined to the controller's event loop.
@@ -22,42 +23,49 @@
     /** What to do with a heartbeat. */
     sealed interface Route permits Relay, Redirect {}
 
-    /** Relay the heartbeat to the leader and pass its response on. */
+    /** Relay the heartbeat to the leader, and the response of the leader to the worker. */
     record Relay(String leader) implements Route {}
 
     /**
-     * Redirect the worker.
+     * Redirect the worker to another controller.
      *
-     * @param controller where to; empty if no controller can be named
+     * @param controller name of that controller; empty to let the worker try any other one
      */
     record Redirect(Optional<String> controller) implements Route {}
 
+    /** Redirect that names no controller, because the leader is unknown. */
     private static final Redirect REDIRECT_ANYWHERE = new Redirect(Optional.empty());
+
+    /** How long heartbeats of a worker that could not connect to the leader are relayed. */
     private static final double RELAY_DURATION_SECONDS = 30;
-    private static final double RETENTION_SECONDS = 120;
 
-    /** A lease is fresh for this part of its duration. */
+    private static final double HISTORY_RETENTION_SECONDS = 120;
+
+    /** A lease is fresh for this fraction of its duration after it was renewed: one third. */
     private static final int FRESH_LEASE_DIVISOR = 3;
 
-    /** The other controllers and their zones. */
+    /** Zone of each other controller, by the name of the controller. */
     private final Map<String, String> peerZones;
 
     private final double leaseSeconds;
-    private final Map<String, WorkerRoute> routesByWorker = new HashMap<>();
-    private double sweptAtSeconds;
+    private final Map<String, WorkerHistory> historyByWorker = new HashMap<>();
+    private double lastEvictionAtSeconds;
 
-    private static final class WorkerRoute {
-        double relayAnsweredAtSeconds = Double.NEGATIVE_INFINITY;
-        double redirectedAtSeconds = Double.NEGATIVE_INFINITY;
+    /** What this router did with the latest heartbeats of one worker. */
+    private static final class WorkerHistory {
+        double relaySucceededAtSeconds = Double.NEGATIVE_INFINITY;
+        double redirectedToLeaderAtSeconds = Double.NEGATIVE_INFINITY;
         double relayUntilSeconds = Double.NEGATIVE_INFINITY;
 
-        /** Last redirect to another controller because this one does not hear the leader. */
-        double sentElsewhereAtSeconds = Double.NEGATIVE_INFINITY;
+        /**
+         * Last redirect to a controller other than the leader, for lack of contact to the leader.
+         */
+        double redirectedToOtherPeerAtSeconds = Double.NEGATIVE_INFINITY;
 
-        /** Such redirects, each within a lease of the one before. */
-        int sentElsewhereCount;
+        /** Number of such redirects, each within the duration of a lease after the one before. */
+        int otherPeerRedirectCount;
 
-        double seenAtSeconds;
+        double lastHeartbeatAtSeconds;
     }
 
     /**
@@ -72,86 +80,88 @@
     }
 
     /**
-     * Decides on a heartbeat.
+     * Decides what to do with a heartbeat, and records the decision in the worker's history.
      *
-     * @param leader the leader's name; empty if it is unknown
-     * @param leaderReachesUs whether messages of the leader arrived here recently
+     * @param leader name of the leader; empty if it is unknown
+     * @param hasLeaderContact whether this controller received messages of the leader recently
      */
     Route route(
-            String worker, Optional<String> leader, boolean leaderReachesUs, double nowSeconds) {
+            String worker, Optional<String> leader, boolean hasLeaderContact, double nowSeconds) {
         if (leader.isEmpty()) {
             return REDIRECT_ANYWHERE;
         }
         evictIdle(nowSeconds);
-        WorkerRoute workerRoute =
-                routesByWorker.computeIfAbsent(worker, ignored -> new WorkerRoute());
-        workerRoute.seenAtSeconds = nowSeconds;
-        if (!leaderReachesUs) {
-            countSentElsewhere(workerRoute, nowSeconds);
+        WorkerHistory history =
+                historyByWorker.computeIfAbsent(worker, ignored -> new WorkerHistory());
+        history.lastHeartbeatAtSeconds = nowSeconds;
+        if (!hasLeaderContact) {
+            countRedirectToOtherPeer(history, nowSeconds);
             return new Redirect(otherPeer(leader.get()));
         }
-        return routeToLeader(workerRoute, leader.get(), nowSeconds);
+        return routeToLeader(history, leader.get(), nowSeconds);
     }
 
-    private void countSentElsewhere(WorkerRoute workerRoute, double nowSeconds) {
-        boolean isRepeated = nowSeconds - workerRoute.sentElsewhereAtSeconds < leaseSeconds;
-        workerRoute.sentElsewhereCount = isRepeated ? workerRoute.sentElsewhereCount + 1 : 1;
-        workerRoute.sentElsewhereAtSeconds = nowSeconds;
+    private void countRedirectToOtherPeer(WorkerHistory history, double nowSeconds) {
+        boolean isRepeated = nowSeconds - history.redirectedToOtherPeerAtSeconds < leaseSeconds;
+        history.otherPeerRedirectCount = isRepeated ? history.otherPeerRedirectCount + 1 : 1;
+        history.redirectedToOtherPeerAtSeconds = nowSeconds;
     }
 
-    private Route routeToLeader(WorkerRoute workerRoute, String leader, double nowSeconds) {
-        boolean cameBack = nowSeconds - workerRoute.redirectedAtSeconds < leaseSeconds;
-        if (cameBack) {
-            workerRoute.relayUntilSeconds = nowSeconds + RELAY_DURATION_SECONDS;
-            workerRoute.redirectedAtSeconds = Double.NEGATIVE_INFINITY;
+    private Route routeToLeader(WorkerHistory history, String leader, double nowSeconds) {
+        boolean hasReturnedFromLeader =
+                nowSeconds - history.redirectedToLeaderAtSeconds < leaseSeconds;
+        if (hasReturnedFromLeader) {
+            history.relayUntilSeconds = nowSeconds + RELAY_DURATION_SECONDS;
+            history.redirectedToLeaderAtSeconds = Double.NEGATIVE_INFINITY;
         }
         boolean isLeaseFresh =
-                nowSeconds - workerRoute.relayAnsweredAtSeconds
-                        < leaseSeconds / FRESH_LEASE_DIVISOR;
-        if (nowSeconds < workerRoute.relayUntilSeconds || !isLeaseFresh) {
+                nowSeconds - history.relaySucceededAtSeconds < leaseSeconds / FRESH_LEASE_DIVISOR;
+        if (nowSeconds < history.relayUntilSeconds || !isLeaseFresh) {
             return new Relay(leader);
         }
-        workerRoute.redirectedAtSeconds = nowSeconds;
+        history.redirectedToLeaderAtSeconds = nowSeconds;
         return new Redirect(Optional.of(leader));
     }
 
     /**
-     * Whether a worker was redirected to other controllers within its lease and none keeps
-     * answering it.
+     * Returns whether a worker was redirected to the other follower within its lease and returned,
+     * so that the other follower cannot serve it.
      *
-     * <p>A controller in a third zone may have answered the worker and then, as it does not know
-     * where the worker is, redirected it to the leader once. It is tried again and relays from then
-     * on, so two attempts are needed. A controller in the leader's zone is as unreachable as the
-     * leader, so one attempt is enough.
+     * <p>Two redirects are needed if the other follower is not in the leader's zone. It may have
+     * relayed the first heartbeat and then redirected the worker to the leader once, because it
+     * does not know that the worker cannot connect to the leader. After the second redirect it
+     * relays the heartbeats of the worker. One redirect is enough if the other follower is in the
+     * leader's zone, because it is as unreachable for the worker as the leader.
      */
-    boolean hasTriedPeersInVain(String worker, String leader, double nowSeconds) {
-        WorkerRoute workerRoute = routesByWorker.get(worker);
-        boolean isThirdZoneKnown =
+    boolean haveRedirectsFailed(String worker, String leader, double nowSeconds) {
+        WorkerHistory history = historyByWorker.get(worker);
+        boolean isOtherPeerOutsideLeaderZone =
                 otherPeer(leader)
                         .filter(peer -> !peerZones.get(peer).equals(peerZones.get(leader)))
                         .isPresent();
-        int requiredAttempts = isThirdZoneKnown ? 2 : 1;
-        return workerRoute != null
-                && nowSeconds - workerRoute.sentElsewhereAtSeconds < leaseSeconds
-                && workerRoute.sentElsewhereCount >= requiredAttempts;
+        int requiredRedirects = isOtherPeerOutsideLeaderZone ? 2 : 1;
+        return history != null
+                && nowSeconds - history.redirectedToOtherPeerAtSeconds < leaseSeconds
+                && history.otherPeerRedirectCount >= requiredRedirects;
     }
 
     /**
-     * A relay of a worker's heartbeat ended.
+     * Records the outcome of relaying a worker's heartbeat to the leader.
      *
-     * @param isAnswered whether the leader responded, which renewed the worker's lease
+     * @param isSuccess whether the leader responded, which renewed the worker's lease
      */
-    void onRelayed(String worker, boolean isAnswered, double nowSeconds) {
-        WorkerRoute workerRoute = routesByWorker.get(worker);
-        if (workerRoute != null) {
-            if (isAnswered) {
-                workerRoute.relayAnsweredAtSeconds = nowSeconds;
+    void onRelayEnded(String worker, boolean isSuccess, double nowSeconds) {
+        WorkerHistory history = historyByWorker.get(worker);
+        if (history != null) {
+            if (isSuccess) {
+                history.relaySucceededAtSeconds = nowSeconds;
             } else {
-                workerRoute.relayUntilSeconds = Double.NEGATIVE_INFINITY;
+                history.relayUntilSeconds = Double.NEGATIVE_INFINITY;
             }
         }
     }
 
+    /** Returns the first controller other than this one and the leader; empty if there is none. */
     private Optional<String> otherPeer(String leader) {
         for (String peer : peerZones.keySet()) {
             if (!peer.equals(leader)) {
@@ -161,14 +171,16 @@
         return Optional.empty();
     }
 
+    /** Removes the histories of workers that have not sent a heartbeat here for some time. */
     private void evictIdle(double nowSeconds) {
-        if (nowSeconds - sweptAtSeconds > RETENTION_SECONDS) {
-            sweptAtSeconds = nowSeconds;
-            routesByWorker
+        if (nowSeconds - lastEvictionAtSeconds > HISTORY_RETENTION_SECONDS) {
+            lastEvictionAtSeconds = nowSeconds;
+            historyByWorker
                     .values()
                     .removeIf(
-                            workerRoute ->
-                                    nowSeconds - workerRoute.seenAtSeconds > RETENTION_SECONDS);
+                            history ->
+                                    nowSeconds - history.lastHeartbeatAtSeconds
+                                            > HISTORY_RETENTION_SECONDS);
         }
     }
 }
--- a/src/main/java/io/kelphoist/heartbeat/WorkerConnections.java
+++ b/src/main/java/io/kelphoist/heartbeat/WorkerConnections.java
@@ -9,43 +9,48 @@
 import org.xnio.IoUtils;
 
 /**
- * Connections on which workers send heartbeats. A bounded number is kept open between two
+ * Connections on which workers send heartbeats. A bounded number of them is kept open between two
  * heartbeats; all others are closed after the response.
  *
- * <p>Owns the kept connections. Confined to the controller's event loop, except {@link #size}.
+ * <p>Owns the connections that are kept open. Confined to the controller's event loop, except
+ * {@link #size}.
  */
 public final class WorkerConnections {
     private static final int INITIAL_CAPACITY = 16;
     private static final float LOAD_FACTOR = 0.75f;
-    private static final double SWEEP_INTERVAL_SECONDS = 2;
+    private static final double IDLE_CHECK_INTERVAL_SECONDS = 2;
 
     private final SocketBudget budget;
     private final double idleTimeoutSeconds;
     private LongSupplier incomingConnectionCount = () -> 0;
 
-    /** When each connection was last used, the least recently used first. */
+    /** Time of the last heartbeat on each connection, the least recently used connection first. */
     private final Map<ServerConnection, Double> lastUseSecondsByConnection =
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
-    private double nextSweepAtSeconds;
+    private double nextIdleCheckAtSeconds;
 
     /**
      * Creates an empty set of connections.
      *
-     * @param idleTimeoutSeconds silence after which a worker has certainly given its connection up,
-     *     even if no close was received
+     * @param budget bounds the number of connections that are kept open
+     * @param idleTimeoutSeconds time without a heartbeat after which the worker no longer uses its
+     *     connection, even if no close was received
      */
     public WorkerConnections(SocketBudget budget, double idleTimeoutSeconds) {
         this.budget = budget;
         this.idleTimeoutSeconds = idleTimeoutSeconds;
     }
 
-    /** Sets the source of the number of open incoming connections; 0 until then. */
+    /** Sets the supplier of the number of open incoming connections, which is 0 until then. */
     public void setIncomingConnectionCount(LongSupplier connectionCount) {
         incomingConnectionCount = connectionCount;
     }
 
-    /** Whether a connection on which a heartbeat arrived is kept open after the response. */
+    /**
+     * Decides whether a connection on which a heartbeat arrived is kept open after the response,
+     * and records its use if so.
+     */
     boolean keepAlive(ServerConnection connection, double nowSeconds) {
         if (budget.isNearIncomingLimit(incomingConnectionCount.getAsLong())) {
             return false;
@@ -62,16 +67,16 @@
     }
 
     /**
-     * Closes idle connections. Without this a connection that was cut off would be closed much
-     * later, if ever.
+     * Closes idle connections, if a check is due. Without this, a connection that was cut off
+     * without a close would stay open for much longer or for ever.
      */
     public void closeIdle(double nowSeconds) {
-        if (nowSeconds < nextSweepAtSeconds) {
+        if (nowSeconds < nextIdleCheckAtSeconds) {
             return;
         }
-        nextSweepAtSeconds = nowSeconds + SWEEP_INTERVAL_SECONDS;
+        nextIdleCheckAtSeconds = nowSeconds + IDLE_CHECK_INTERVAL_SECONDS;
         while (closeLeastRecentlyUsedIfIdle(nowSeconds)) {
-            // A new iterator each time, because a close listener removes entries as well.
+            // Each call uses a new iterator, because the close listener also removes map entries.
         }
     }
 
@@ -81,16 +86,18 @@
         if (!iterator.hasNext()) {
             return false;
         }
-        Map.Entry<ServerConnection, Double> eldest = iterator.next();
-        if (nowSeconds - eldest.getValue() < idleTimeoutSeconds) {
+        Map.Entry<ServerConnection, Double> leastRecentlyUsed = iterator.next();
+        if (nowSeconds - leastRecentlyUsed.getValue() < idleTimeoutSeconds) {
             return false;
         }
         iterator.remove();
-        IoUtils.safeClose(eldest.getKey());
+        IoUtils.safeClose(leastRecentlyUsed.getKey());
         return true;
     }
 
-    /** Number of kept connections; for the metrics, from any thread. */
+    /**
+     * Returns the number of connections that are kept open. For metrics; callable on any thread.
+     */
     public int size() {
         return lastUseSecondsByConnection.size();
     }
--- a/src/test/java/io/kelphoist/heartbeat/HeartbeatRouterTest.java
+++ b/src/test/java/io/kelphoist/heartbeat/HeartbeatRouterTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A worker must get a response within its lease (10 s here); a controller that does not respond
- * costs it 5 s.
+ * A worker must get a response within its lease, which is 10 s here, and waits 5 s for a controller
+ * that does not respond. Guards against routes that let the lease expire while some controller
+ * could have had it renewed.
  */
 class HeartbeatRouterTest {
     private static final Optional<String> LEADER = Optional.of("lead");
@@ -21,48 +22,49 @@
             new HeartbeatRouter(ImmutableMap.of("lead", "a", "third", "c"), 10);
 
     @Test
-    void redirectsOnlyWithFreshLease() {
+    void redirectsToLeaderOnlyWhileLeaseIsFresh() {
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 100));
-        router.onRelayed("vm-1", true, 100);
+        router.onRelayEnded("vm-1", true, 100);
         assertEquals(REDIRECT, router.route("vm-1", LEADER, true, 101.5));
     }
 
     @Test
-    void relaysAgainWhenAWorkerReturns() {
+    void relaysWhileReturnedWorkerCannotConnectToLeader() {
         router.route("vm-1", LEADER, true, 100);
-        router.onRelayed("vm-1", true, 100);
+        router.onRelayEnded("vm-1", true, 100);
         assertEquals(REDIRECT, router.route("vm-1", LEADER, true, 101.5));
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 106.5));
-        router.onRelayed("vm-1", true, 106.5);
+        router.onRelayEnded("vm-1", true, 106.5);
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 108));
-        assertEquals(REDIRECT, router.route("vm-1", LEADER, true, afterRelaying()));
+        assertEquals(REDIRECT, router.route("vm-1", LEADER, true, onRelaySucceededLater()));
     }
 
-    private double afterRelaying() {
-        router.onRelayed("vm-1", true, 139);
+    private double onRelaySucceededLater() {
+        router.onRelayEnded("vm-1", true, 139);
         return 140;
     }
 
     /**
-     * The controller of the third zone responds, but redirects a worker once to the leader that the
-     * worker can't reach.
+     * The controller in the third zone responds to the worker, but redirects it once to the leader,
+     * to which the worker cannot connect. So one redirect to this controller is not enough to give
+     * it up.
      */
     @Test
-    void thirdZoneIsTriedTwice() {
-        assertFalse(router.hasTriedPeersInVain("vm-1", "lead", 100));
+    void redirectsTwiceToControllerInThirdZone() {
+        assertFalse(router.haveRedirectsFailed("vm-1", "lead", 100));
         router.route("vm-1", LEADER, false, 100);
-        assertFalse(router.hasTriedPeersInVain("vm-1", "lead", 106));
+        assertFalse(router.haveRedirectsFailed("vm-1", "lead", 106));
         router.route("vm-1", LEADER, false, 106);
-        assertTrue(router.hasTriedPeersInVain("vm-1", "lead", 111));
-        assertFalse(router.hasTriedPeersInVain("vm-1", "lead", 116));
+        assertTrue(router.haveRedirectsFailed("vm-1", "lead", 111));
+        assertFalse(router.haveRedirectsFailed("vm-1", "lead", 116));
         HeartbeatRouter twoZones =
                 new HeartbeatRouter(ImmutableMap.of("lead", "a", "third", "a"), 10);
         twoZones.route("vm-1", LEADER, false, 100);
-        assertTrue(twoZones.hasTriedPeersInVain("vm-1", "lead", 106));
+        assertTrue(twoZones.haveRedirectsFailed("vm-1", "lead", 106));
     }
 
     @Test
-    void redirectsToAThirdZoneWithoutContactToTheLeader() {
+    void redirectsToOtherPeerWithoutLeaderContact() {
         assertEquals(
                 new HeartbeatRouter.Redirect(Optional.of("third")),
                 router.route("vm-1", LEADER, false, 100));
