--- a/src/main/java/io/kelphoist/cloud/CloudClient.java
+++ b/src/main/java/io/kelphoist/cloud/CloudClient.java
@@ -20,8 +20,9 @@
 import java.util.function.Consumer;
 
 /**
- * Client of the cloud, within its request limit; scaling has priority over listing. Owns the rate
- * limit. All methods must be called on the event loop, and all callbacks run there.
+ * Client of the cloud that stays within the cloud's request limit; scale-out and scale-in requests
+ * have priority over listing instances. Owns the rate limiter. All methods must be called on the
+ * event loop, and all callbacks run there.
  */
 public final class CloudClient {
     /** Decodes the body of a successful response. */
@@ -31,14 +32,22 @@
 
     private static final int TIMEOUT_MILLIS = 4000;
 
-    /** Part of the request limit that is used; the rest covers differences between clocks. */
+    /**
+     * Share of the request limit that is used. The rest covers the difference between this
+     * controller's clock and the cloud's.
+     */
     private static final double USED_RATE_SHARE = 0.9;
 
-    private static final int BURST_REQUESTS = 2;
+    /** The rate limiter accumulates the permits of at most this time. */
+    private static final int BURST_SECONDS = 2;
 
-    /** Requests that must be available before a page is listed: one is left for scaling. */
-    private static final int REQUESTS_BEFORE_LISTING = 2;
+    /**
+     * Permits that must be available before a page of the instance list is requested, so that one
+     * is left for scaling.
+     */
+    private static final int MIN_PERMITS_FOR_LISTING = 2;
 
+    /** Added to the computed wait for a permit, so that the permit is available at the retry. */
     private static final double RETRY_MARGIN_SECONDS = 0.01;
 
     private final HttpHostClient httpClient;
@@ -50,8 +59,8 @@
      * Creates a client.
      *
      * @param requestsPerSecond the cloud's request limit
-     * @param onMalformedResponse receives the log fields of each response that can't be decoded; it
-     *     is then treated as no response
+     * @param onMalformedResponse receives the log fields of each response that cannot be decoded,
+     *     which is then handled as if there was no response
      */
     public CloudClient(
             HttpHostClient httpClient,
@@ -60,12 +69,13 @@
             Consumer<String> onMalformedResponse) {
         this.httpClient = httpClient;
         this.loop = loop;
-        this.rateLimiter = new TokenBucket(requestsPerSecond * USED_RATE_SHARE, BURST_REQUESTS);
+        this.rateLimiter = new TokenBucket(requestsPerSecond * USED_RATE_SHARE, BURST_SECONDS);
         this.onMalformedResponse = onMalformedResponse;
     }
 
     /**
-     * Requests the machine types; the callback gets an empty Optional without a usable response.
+     * Requests the machine types. The callback receives an empty Optional if the rate limit does
+     * not allow a request now or there is no usable response.
      */
     public void listMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
         if (!rateLimiter.tryAcquire(1, loop.nowSeconds())) {
@@ -83,10 +93,11 @@
     }
 
     /**
-     * Requests machines, as soon as the request limit allows it.
+     * Requests new machines as soon as the rate limit allows it.
      *
-     * @param isStillLeader evaluated when the request is sent, because a process that was suspended
-     *     meanwhile may no longer be the leader; if false, the request is not sent
+     * @param isStillLeader evaluated right before the request is sent, because a process that was
+     *     suspended in the meantime may no longer be the leader. If false, the request is not sent
+     *     and its outcome is reported as unknown
      */
     public void scaleOut(
             ScaleOutRequest request,
@@ -130,7 +141,10 @@
                         && CloudCodec.isOutOfCapacity(response.body()));
     }
 
-    /** Terminates machines; the callback gets whether the cloud confirmed it. */
+    /**
+     * Requests the termination of machines. The callback receives whether the cloud confirmed it;
+     * false also if the rate limit does not allow a request now.
+     */
     public void scaleIn(List<String> machineNames, Consumer<Boolean> callback) {
         if (!rateLimiter.tryAcquire(1, loop.nowSeconds())) {
             callback.accept(false);
@@ -140,8 +154,8 @@
     }
 
     /**
-     * Lists all instances; the callback gets the pages in order, or an empty Optional if any of
-     * them could not be read.
+     * Requests all pages of the instance list. The callback receives the pages in order, or an
+     * empty Optional if any of them could not be requested or decoded.
      */
     public void listInstances(Consumer<Optional<List<InstanceListPage>>> callback) {
         listPage("", new ArrayList<>(), callback);
@@ -151,7 +165,7 @@
             String afterName,
             List<InstanceListPage> pages,
             Consumer<Optional<List<InstanceListPage>>> callback) {
-        if (rateLimiter.secondsUntilAvailable(REQUESTS_BEFORE_LISTING, loop.nowSeconds()) > 0
+        if (rateLimiter.secondsUntilAvailable(MIN_PERMITS_FOR_LISTING, loop.nowSeconds()) > 0
                 || !rateLimiter.tryAcquire(1, loop.nowSeconds())) {
             callback.accept(Optional.empty());
             return;
@@ -195,9 +209,10 @@
     }
 
     /**
-     * Decodes the body of a successful response; empty if there is none that can be decoded.
+     * Decodes the body of a successful response; empty if the response is not successful or cannot
+     * be decoded.
      *
-     * @param requestLogFields names the request if its response is malformed
+     * @param requestLogFields log fields that identify the request if its response is malformed
      */
     private <T> Optional<T> decodeBody(
             String requestLogFields, HttpHostClient.CallResult result, BodyDecoder<T> decoder) {
--- a/src/main/java/io/kelphoist/cloud/package-info.java
+++ b/src/main/java/io/kelphoist/cloud/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Client of the cloud's HTTP interface: machine types, scale out, scale in and the list of
- * instances, within the cloud's request limit. Decides nothing about which machines are needed;
- * that is the autoscaler's task. Depends on {@code model} for its types and on {@code wire} for
- * encoding. Everything runs on the controller's event loop.
+ * Client of the cloud's HTTP interface: machine types, scale out, scale in and the instance list,
+ * within the cloud's request limit. Which machines are needed is decided by the autoscaler, not
+ * here. Depends on {@code model} for its types and on {@code wire} for encoding. Everything runs on
+ * the controller's event loop.
  */
 package io.kelphoist.cloud;
--- a/src/main/java/io/kelphoist/worker/WorkerClient.java
+++ b/src/main/java/io/kelphoist/worker/WorkerClient.java
@@ -15,20 +15,22 @@
 import java.util.function.Function;
 
 /**
- * Sends commands to workers, over one connection per worker. The number of connections is bounded:
- * for a further one the least recently used idle connection is closed. If all are in use, the
- * commands are not sent; the worker gets them with the response to its next heartbeat.
+ * Sends commands and status requests to workers, over one connection per worker. The number of
+ * connections is bounded: to open one beyond the bound, the least recently used idle connection is
+ * closed. If all connections are in use, commands are not sent; the worker gets them with the
+ * response to its next heartbeat.
  *
  * <p>Owns the connections. Confined to the controller's event loop, except {@link
  * #openConnectionCount}.
  */
 public final class WorkerClient {
-    /** Receives the outcome of a request, on the event loop. */
+    /** Receives the outcome of a request to a worker, on the event loop. */
     public interface CommandCallback {
         /**
-         * The request ended.
+         * Called once when the request has ended.
          *
-         * @param heartbeat the worker's status in its response; null if there was no response
+         * @param heartbeat the status of the machine and its tasks in the worker's response; null
+         *     if there was no usable response
          */
         void onComplete(DeliveryOutcome outcome, Heartbeat heartbeat);
     }
@@ -36,8 +38,11 @@
     private static final String COMMANDS_PATH = "/orders";
     private static final int COMMAND_TIMEOUT_MILLIS = 2500;
 
-    /** Shorter for a request without commands: nothing depends on a late response. */
-    private static final int PROBE_TIMEOUT_MILLIS = 600;
+    /**
+     * Timeout of a request without commands. It is shorter because a response that arrives late is
+     * not needed.
+     */
+    private static final int STATUS_REQUEST_TIMEOUT_MILLIS = 600;
 
     private static final double IDLE_TIMEOUT_SECONDS = 40;
     private static final int INITIAL_CAPACITY = 16;
@@ -46,10 +51,11 @@
     private final Function<String, HttpHostClient> connectionFactory;
     private final int maxConnections;
 
-    /** By address, the least recently used first. */
+    /** Connections by the address of the worker, the least recently used first. */
     private final Map<String, Connection> connectionsByAddress =
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
+    /** The connection to one worker, and when it was last used. */
     private static final class Connection {
         final HttpHostClient httpClient;
         double lastUsedAtSeconds;
@@ -62,15 +68,15 @@
     /**
      * Creates a client without connections.
      *
-     * @param connectionFactory creates the connection to an address
-     * @param maxConnections bound on open connections, in use or idle
+     * @param connectionFactory creates the HTTP client for an address
+     * @param maxConnections maximum number of open connections, in use or idle
      */
     public WorkerClient(Function<String, HttpHostClient> connectionFactory, int maxConnections) {
         this.connectionFactory = connectionFactory;
         this.maxConnections = maxConnections;
     }
 
-    /** Number of open connections; for the metrics, from any thread. */
+    /** Returns the number of open connections. For metrics; callable on any thread. */
     public int openConnectionCount() {
         return connectionsByAddress.size();
     }
@@ -78,9 +84,11 @@
     /**
      * Sends commands to a worker.
      *
-     * @param fencingToken the leader's term; the worker refuses a lower one than it has seen
-     * @param agentEpoch the worker process that the commands are for
-     * @param commands empty to request the worker's status only
+     * @param address host and port of the worker
+     * @param fencingToken the leader's term; the worker refuses a token that is lower than the
+     *     highest one that it has seen
+     * @param agentEpoch the agent epoch of the worker to which the commands apply
+     * @param commands empty for a status request or a reachability probe
      */
     public void sendCommands(
             String address,
@@ -99,11 +107,14 @@
                 HttpRequest.post(
                         COMMANDS_PATH,
                         WorkerCodec.encodeCommandRequest(fencingToken, agentEpoch, commands)),
-                commands.isEmpty() ? PROBE_TIMEOUT_MILLIS : COMMAND_TIMEOUT_MILLIS,
+                commands.isEmpty() ? STATUS_REQUEST_TIMEOUT_MILLIS : COMMAND_TIMEOUT_MILLIS,
                 result -> onResult(result, callback));
     }
 
-    /** Returns the connection to an address, opened if needed; null if all are in use. */
+    /**
+     * Returns the connection to an address, and opens it if there is none; null if the maximum
+     * number of connections is open and all are in use.
+     */
     private Connection connectionTo(String address) {
         Connection connection = connectionsByAddress.get(address);
         if (connection != null) {
@@ -134,7 +145,7 @@
         try {
             heartbeat = WorkerCodec.decodeHeartbeat(response.body());
         } catch (MalformedMessageException e) {
-            // Whether the commands were executed is as unknown as without any response.
+            // As without a response, it is unknown whether the commands were executed.
             callback.onComplete(DeliveryOutcome.NO_RESPONSE, null);
             return;
         }
@@ -145,7 +156,9 @@
                 heartbeat);
     }
 
-    /** Closes the least recently used idle connection; returns false if all are in use. */
+    /**
+     * Closes the least recently used idle connection. Returns false if all connections are in use.
+     */
     private boolean closeLeastRecentlyUsed() {
         for (Iterator<Connection> iterator = connectionsByAddress.values().iterator();
                 iterator.hasNext(); ) {
@@ -156,6 +169,7 @@
         return false;
     }
 
+    /** Closes a connection unless it is in use, and removes it through the iterator. */
     private static boolean closeIfUnused(Connection connection, Iterator<Connection> iterator) {
         if (!connection.httpClient.isUnused()) {
             return false;
@@ -165,7 +179,7 @@
         return true;
     }
 
-    /** Closes connections that have not been used for a while. */
+    /** Closes connections that have been idle for longer than {@link #IDLE_TIMEOUT_SECONDS}. */
     public void closeIdle(double nowSeconds) {
         for (Iterator<Connection> iterator = connectionsByAddress.values().iterator();
                 iterator.hasNext(); ) {
--- a/src/test/java/io/kelphoist/cloud/CloudClientTest.java
+++ b/src/test/java/io/kelphoist/cloud/CloudClientTest.java
@@ -9,35 +9,36 @@
 import java.util.Deque;
 import org.junit.jupiter.api.Test;
 
-/** Requests to the cloud that wait for the rate limit. */
+/** Requests to the cloud that wait for the rate limiter. */
 class CloudClientTest {
     private final Deque<Runnable> timers = new ArrayDeque<>();
-    private double now = 100;
+    private double nowSeconds = 100;
     private boolean isLeader = true;
-    private int unknownOutcomes;
+    private int unknownOutcomeCount;
 
     private final EventLoop loop =
             new EventLoop() {
                 @Override
                 public double nowSeconds() {
-                    return now;
+                    return nowSeconds;
                 }
 
                 @Override
-                public void schedule(double seconds, Runnable task) {
+                public void schedule(double delaySeconds, Runnable task) {
                     timers.add(task);
                 }
             };
 
     private void onResult(ScaleOutResult result) {
         assertEquals(new ScaleOutResult.Unknown(), result);
-        unknownOutcomes++;
+        unknownOutcomeCount++;
     }
 
     /**
-     * A scale-out request waits for the rate limit, and the process stands still until it does not
-     * lead any more: the request is not sent, and its outcome is unknown. As there are no
-     * connections, a request that is sent ends in an exception.
+     * Guards against a scale-out request that is sent by a controller that is no longer the leader:
+     * it waits for the rate limiter while the process is suspended and loses the leadership. The
+     * request must not be sent, and its outcome must be unknown. There is no HTTP client here, so
+     * sending a request would throw an exception.
      */
     @Test
     void queuedScaleOutIsSentOnlyWhileLeading() {
@@ -45,22 +46,22 @@
         ScaleOutRequest request = new ScaleOutRequest("r", "g8", "a", false, 1);
         isLeader = false;
         cloud.scaleOut(request, () -> isLeader, this::onResult);
-        assertEquals(1, unknownOutcomes);
+        assertEquals(1, unknownOutcomeCount);
         isLeader = true;
-        // Lists that can't be sent here use up the rate limit; the request has to wait.
+        // These requests use up the permits of the rate limiter, so that the next one has to wait.
         for (int i = 0; i < 10; i++) {
             try {
                 cloud.listMachineTypes(list -> {});
             } catch (NullPointerException e) {
-                // It counts for the rate limit; this test has no client that could send it.
+                // The permit was acquired; sending fails, because there is no HTTP client.
             }
         }
         cloud.scaleOut(request, () -> isLeader, this::onResult);
-        assertEquals(1, unknownOutcomes);
+        assertEquals(1, unknownOutcomeCount);
         assertEquals(1, timers.size());
-        now += 25;
+        nowSeconds += 25;
         isLeader = false;
         timers.poll().run();
-        assertEquals(2, unknownOutcomes);
+        assertEquals(2, unknownOutcomeCount);
     }
 }
