--- a/src/main/java/io/kelphoist/model/CloudInstance.java
+++ b/src/main/java/io/kelphoist/model/CloudInstance.java
@@ -1,10 +1,10 @@
 package io.kelphoist.model;
 
 /**
- * A machine as the cloud lists it. The list lags behind.
+ * A machine in the instance list of the cloud. The list lags behind the actual state.
  *
- * @param address host and port of its worker; null: not assigned yet
- * @param ageSeconds how long ago it was launched
+ * @param address host and port of the machine's worker; null if none is assigned yet
+ * @param ageSeconds time since the machine was launched
  */
 public record CloudInstance(
         String name,
@@ -14,13 +14,13 @@
         boolean spot,
         InstanceState state,
         double ageSeconds) {
-    /** What the cloud says of an instance. */
+    /** State of an instance in the instance list. */
     public enum InstanceState {
-        /** Launched; its worker does not run yet. */
+        /** Launched; the worker is not running yet. */
         BOOTING,
-        /** Its worker runs. */
+        /** The worker is running. */
         RUNNING,
-        /** It stopped by itself. */
+        /** The instance stopped without a request to terminate it. */
         FAILED
     }
 }
--- a/src/main/java/io/kelphoist/model/DelegatedRenewals.java
+++ b/src/main/java/io/kelphoist/model/DelegatedRenewals.java
@@ -1,16 +1,17 @@
 package io.kelphoist.model;
 
 /**
- * When a controller other than the leader may have renewed machines' leases: the leader delegates
- * that, for a zone that is cut off from it, to a controller there.
+ * Upper bound of when a controller other than the leader may have renewed a machine's worker lease.
+ * For a zone that is partitioned from the leader, the leader delegates renewals to a controller in
+ * that zone.
  */
 public interface DelegatedRenewals {
-    /** Nothing was delegated. */
+    /** The bound if no lease delegation exists: no lease was renewed by a delegate. */
     DelegatedRenewals NONE = (machine, zone, nowSeconds) -> Double.NEGATIVE_INFINITY;
 
     /**
-     * The latest time at which another controller may have renewed a machine's lease, in seconds of
-     * the monotonic clock; never after {@code nowSeconds}.
+     * Returns the latest time at which a controller other than the leader may have renewed a
+     * machine's lease, in seconds of the monotonic clock; never later than {@code nowSeconds}.
      */
     double latestRenewalAtSeconds(String machineName, String zone, double nowSeconds);
 }
--- a/src/main/java/io/kelphoist/model/ExitReason.java
+++ b/src/main/java/io/kelphoist/model/ExitReason.java
@@ -2,20 +2,26 @@
 
 /** Why a task exited, or why a worker refused to start it. */
 public enum ExitReason {
-    /** Completed. The result is kept: started again, the task exits with this reason at once. */
+    /**
+     * Completed. The worker keeps the result: if it is commanded to start the task again, the task
+     * exits with this reason at once.
+     */
     DONE,
-    /** Stopped by command. */
+    /** Stopped by a command of the leader. */
     STOPPED,
-    /** Of a gang: another task of the gang is gone. */
+    /** Task of a gang: another task of the gang is no longer running. */
     PEER_EXITED,
-    /** Of a gang: the gang was not complete in time. */
+    /** Task of a gang: the gang was not complete within the timeout. */
     PEERS_MISSING,
-    /** Failed. Mostly the machine is faulty; a job with a mistake fails on every machine. */
+    /**
+     * Failed. In most cases the machine is faulty; a job that is itself faulty fails on every
+     * machine.
+     */
     ERROR,
-    /** Start refused: the machine has not enough free resources. */
+    /** Start refused: the machine does not have enough free resources. */
     INSUFFICIENT_RESOURCES,
-    /** Start refused: the machine has the task with another attempt. */
+    /** Start refused: the machine has another attempt of the same task. */
     BUSY,
-    /** Start refused: the worker knows no such job or task. */
+    /** Start refused: the job or task is unknown to the worker. */
     UNKNOWN
 }
--- a/src/main/java/io/kelphoist/model/Heartbeat.java
+++ b/src/main/java/io/kelphoist/model/Heartbeat.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * A worker's message with the status of its machine and tasks: a heartbeat, or the response to a
- * command. Of two messages that with the larger ({@code agentEpoch}, {@code sequenceNumber}) is
- * newer.
+ * A worker's message with the status of its machine and tasks: a heartbeat, or the response to
+ * commands or a status request. Of two messages of a worker the one with the greater pair ({@code
+ * agentEpoch}, {@code sequenceNumber}) is newer.
  *
  * @param address host and port of the worker
- * @param agentEpoch increases each time the worker lost its lease and began anew
+ * @param agentEpoch increases each time the worker has lost its lease and starts anew, without the
+ *     tasks of earlier agent epochs
+ * @param sequenceNumber increases with each message of an agent epoch
  * @param fencingToken the highest term that the worker has seen
- * @param terminationNoticeSeconds seconds until the cloud takes the machine; null: no notice was
- *     given
+ * @param terminationNoticeSeconds seconds until the cloud terminates the machine; null if the cloud
+ *     has sent no termination notice
  */
 public record Heartbeat(
         String machineName,
@@ -24,7 +26,7 @@
         long fencingToken,
         Double terminationNoticeSeconds,
         List<TaskStatus> tasks) {
-    /** Whether this message is newer than the one with these numbers. */
+    /** Returns whether this message is newer than the one with these numbers. */
     public boolean isNewerThan(long otherAgentEpoch, long otherSequenceNumber) {
         return agentEpoch > otherAgentEpoch
                 || (agentEpoch == otherAgentEpoch && sequenceNumber > otherSequenceNumber);
--- a/src/main/java/io/kelphoist/model/InstanceListPage.java
+++ b/src/main/java/io/kelphoist/model/InstanceListPage.java
@@ -3,7 +3,8 @@
 import java.util.List;
 
 /**
- * A page of the cloud's list of instances, as of some moment: all instances whose names come after
- * {@code afterName}, up to the last one here or, on the last page, all.
+ * A page of the cloud's instance list, which is sorted by name. It lists all instances that existed
+ * at some point in time and whose names come after {@code afterName}, up to the last name on the
+ * page; the last page lists all remaining instances.
  */
 public record InstanceListPage(String afterName, boolean lastPage, List<CloudInstance> instances) {}
--- a/src/main/java/io/kelphoist/model/JobKind.java
+++ b/src/main/java/io/kelphoist/model/JobKind.java
@@ -1,6 +1,6 @@
 package io.kelphoist.model;
 
-/** How the tasks of a job belong together. */
+/** Kind of a job: how its tasks depend on each other and when they end. */
 public enum JobKind {
     /** Independent tasks. */
     ARRAY,
--- a/src/main/java/io/kelphoist/model/JobOwner.java
+++ b/src/main/java/io/kelphoist/model/JobOwner.java
@@ -1,4 +1,7 @@
 package io.kelphoist.model;
 
-/** The team and class of a job, which decide who may read it. Kept also of jobs that ended. */
+/**
+ * The team and the class of a job, which determine who may read the job. Also kept for jobs that
+ * have ended.
+ */
 public record JobOwner(String team, String jobClass) {}
--- a/src/main/java/io/kelphoist/model/JobRecord.java
+++ b/src/main/java/io/kelphoist/model/JobRecord.java
@@ -1,13 +1,14 @@
 package io.kelphoist.model;
 
 /**
- * A job as stored.
+ * A job as stored in the state store.
  *
- * @param spec null: dropped, as the job is done
- * @param timestampMillis when the job was accepted; of a done job, when that was stored; 0: not
- *     stored
- * @param version revision of the record's last change at the state service
- * @param owner null: not stored, as of jobs that ended before it was
+ * @param spec null if the job is done, because the spec is then no longer stored, or if it was
+ *     removed by {@link #withoutSpec}
+ * @param timestampMillis when the job was accepted, or for a done job when its end was stored; 0 if
+ *     the record has no timestamp
+ * @param version revision of the state store at which the record was last changed
+ * @param owner null if the record has none, because the job ended before owners were stored
  */
 public record JobRecord(
         String id,
@@ -16,13 +17,13 @@
         long timestampMillis,
         long version,
         JobOwner owner) {
-    /** Takes the owner from the description. */
+    /** Creates a record whose owner is taken from the spec; without a spec the owner is null. */
     public JobRecord(
             String id, JobSpec spec, JobStatus status, long timestampMillis, long version) {
         this(id, spec, status, timestampMillis, version, spec == null ? null : spec.owner());
     }
 
-    /** The same without the description, for caches of many records. */
+    /** Returns this record without the spec, for caches of many records. */
     public JobRecord withoutSpec() {
         return new JobRecord(id, null, status, timestampMillis, version, owner);
     }
--- a/src/main/java/io/kelphoist/model/JobSpec.java
+++ b/src/main/java/io/kelphoist/model/JobSpec.java
@@ -4,18 +4,21 @@
 import java.util.Set;
 
 /**
- * A job as its user described it.
+ * The spec of a job, as a user submitted it.
  *
- * @param jobClass the name by which similar jobs are grouped
- * @param machineTypes allowed machine types; null: any
- * @param zone the only allowed zone; null: any
- * @param singleZone all tasks must be in one zone
- * @param spreadAcrossZones at most half of the tasks may share a zone
+ * @param jobClass name of the class by which similar jobs are grouped
+ * @param tasks number of tasks
+ * @param machineTypes allowed machine types; null if all are allowed
+ * @param zone the only allowed zone; null if all are allowed
+ * @param singleZone whether all tasks must run in the same zone
+ * @param spreadAcrossZones whether at most half of the tasks may run in the same zone
+ * @param spotAllowed whether tasks may run on spot instances
  * @param estimatedSeconds expected run time
- * @param checkpointIntervalSeconds between two checkpoints; 0: the job saves none
- * @param checkpointSaveSeconds how long it takes to save a checkpoint
- * @param deadlineSeconds wanted completion, from submission; null: none
- * @param dependencies ids of jobs that must be done before any task starts, each once
+ * @param checkpointIntervalSeconds time between two checkpoints; 0 if the job saves none
+ * @param checkpointSaveSeconds time to save a checkpoint
+ * @param deadlineSeconds time from submission within which the job should be done; null if there is
+ *     no deadline
+ * @param dependencies ids of the jobs that must be done before any task starts, without duplicates
  */
 public record JobSpec(
         String id,
@@ -37,36 +40,40 @@
         double checkpointSaveSeconds,
         Double deadlineSeconds,
         List<String> dependencies) {
-    /** Longer image names are cut in {@link #abridged}. */
+    /** Maximum length of the image name in {@link #abridged}; longer names are truncated. */
     private static final int ABRIDGED_IMAGE_LENGTH = 64;
 
-    /** Who may read the job. */
+    /** Returns the owner, which determines who may read the job. */
     public JobOwner owner() {
         return new JobOwner(team, jobClass);
     }
 
-    /** Whether tasks may run on machines of a type. */
+    /** Returns whether tasks may run on machines of a type. */
     public boolean allowsMachineType(String type) {
         return machineTypes == null || machineTypes.contains(type);
     }
 
-    /** How many tasks may share a zone at the most. */
+    /** Returns the maximum number of tasks that may run in the same zone. */
     public int maxTasksPerZone() {
         return spreadAcrossZones ? (tasks + 1) / 2 : tasks;
     }
 
-    /** Whether tasks save checkpoints. */
+    /** Returns whether tasks save checkpoints. */
     public boolean isCheckpointed() {
         return checkpointIntervalSeconds > 0;
     }
 
-    /** The time that a stopped task gets to save a checkpoint, in seconds; 0: it saves none. */
+    /**
+     * Returns the time, in seconds, that a task which is being stopped gets to save a checkpoint; 0
+     * if the job saves none.
+     */
     public double checkpointGraceSeconds() {
         return isCheckpointed() ? checkpointSaveSeconds : 0;
     }
 
     /**
-     * What still matters of a cancelled job, for a record that must fit the state service's limit.
+     * Returns the spec without the parts that are not needed once the job is cancelled, so that the
+     * record of the cancelled job stays within the value size limit of the state store.
      */
     public JobSpec abridged() {
         String shortImage =
--- a/src/main/java/io/kelphoist/model/JobStatus.java
+++ b/src/main/java/io/kelphoist/model/JobStatus.java
@@ -1,15 +1,15 @@
 package io.kelphoist.model;
 
-/** The status of a job's record. DONE and CANCELLED are final. */
+/** Status of a job in its record. DONE and CANCELLED are final. */
 public enum JobStatus {
-    /** Accepted and not ended. */
+    /** Accepted and not yet ended. */
     ACTIVE,
     /** All tasks are done. */
     DONE,
-    /** Cancelled by a user, or with a dependency. */
+    /** Cancelled by a user, or because a dependency was cancelled. */
     CANCELLED;
 
-    /** Whether the job has ended. */
+    /** Returns whether the job has ended. */
     public boolean isFinal() {
         return this != ACTIVE;
     }
--- a/src/main/java/io/kelphoist/model/MachineType.java
+++ b/src/main/java/io/kelphoist/model/MachineType.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * A machine type as the cloud describes it.
+ * A machine type that the cloud offers.
  *
- * @param cacheGb size of the image cache
- * @param fetchGbPerSecond at which images are fetched
- * @param price of an on-demand machine
- * @param spotPrice of a spot machine
- * @param bootSeconds nominal time to boot
- * @param zones in which it is offered
+ * @param cacheGb size of the image cache of a machine
+ * @param fetchGbPerSecond rate at which a machine fetches images
+ * @param price hourly price of an on-demand instance
+ * @param spotPrice hourly price of a spot instance
+ * @param bootSeconds nominal time to boot a machine
+ * @param zones zones in which the cloud offers this type
  */
 public record MachineType(
         String name,
@@ -21,7 +21,7 @@
         double spotPrice,
         double bootSeconds,
         List<String> zones) {
-    /** The price of a spot or an on-demand machine. */
+    /** Returns the hourly price of a spot or an on-demand instance. */
     public double price(boolean spot) {
         return spot ? spotPrice : price;
     }
--- a/src/main/java/io/kelphoist/model/NameIndex.java
+++ b/src/main/java/io/kelphoist/model/NameIndex.java
@@ -4,17 +4,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Maps names to dense indices, in the order in which they were first seen. Not thread-safe. */
+/**
+ * Assigns names consecutive indices from 0, in the order in which they are added. Not thread-safe.
+ */
 public final class NameIndex {
     private final Object2IntOpenHashMap<String> indicesByName = new Object2IntOpenHashMap<>();
     private final List<String> names = new ArrayList<>();
 
-    /** An index without names. */
+    /** Creates an index without names. */
     public NameIndex() {
         indicesByName.defaultReturnValue(-1);
     }
 
-    /** The index of a name, which is assigned if the name is new. */
+    /** Returns the index of a name, and assigns the next one if the name is new. */
     public int getOrAssign(String name) {
         int index = indicesByName.getInt(name);
         if (index >= 0) {
@@ -25,17 +27,17 @@
         return names.size() - 1;
     }
 
-    /** The index of a name; -1: it has none. */
+    /** Returns the index of a name; -1 if it has none. */
     public int find(String name) {
         return indicesByName.getInt(name);
     }
 
-    /** The name with an index. */
+    /** Returns the name that has an index. */
     public String name(int index) {
         return names.get(index);
     }
 
-    /** How many names have an index. */
+    /** Returns the number of names. */
     public int size() {
         return names.size();
     }
--- a/src/main/java/io/kelphoist/model/Priority.java
+++ b/src/main/java/io/kelphoist/model/Priority.java
@@ -1,6 +1,8 @@
 package io.kelphoist.model;
 
-/** Priorities of jobs, lowest first: compared by their order. */
+/**
+ * Priority of a job. Declared from lowest to highest: priorities are compared by declaration order.
+ */
 public enum Priority {
     LOW,
     NORMAL,
--- a/src/main/java/io/kelphoist/model/RecordedStart.java
+++ b/src/main/java/io/kelphoist/model/RecordedStart.java
@@ -1,5 +1,8 @@
 package io.kelphoist.model;
 
-/** A task that may be on a machine, as it is stored before its start is sent. */
+/**
+ * The record that a task may run on a machine. It is stored before the start command is sent to the
+ * worker.
+ */
 public record RecordedStart(
         String machineName, String machineType, String zone, boolean spot, TaskRef task) {}
--- a/src/main/java/io/kelphoist/model/ReplicatedMachine.java
+++ b/src/main/java/io/kelphoist/model/ReplicatedMachine.java
@@ -1,18 +1,20 @@
 package io.kelphoist.model;
 
 /**
- * A machine as the leader replicates it to followers: after failover, a hint whom to ask for a
- * heartbeat, and what not to request again.
+ * The state of a machine that the leader replicates to followers. After a failover it is a hint for
+ * the new leader: to which workers it should send a status request, and which machines are already
+ * booting and must not be requested from the cloud again.
  *
- * @param address host and port of its worker; null: not known
- * @param agentEpoch of its worker; 0: not known
- * @param hasReported whether its worker has sent a heartbeat; else the machine boots
- * @param drainedAsFaulty it was drained as it is faulty
- * @param possiblyDisconnected it had missed a heartbeat
- * @param commandUnanswered a command to it had no response yet
- * @param launchedAtSeconds on the monotonic clock of whoever holds this
- * @param terminationAtSeconds when the cloud takes it, on the same clock; infinite: no notice was
- *     given
+ * @param address host and port of the machine's worker; null if unknown
+ * @param agentEpoch agent epoch of the worker; 0 if unknown
+ * @param hasReported whether the worker has sent a heartbeat; otherwise the machine is booting
+ * @param drainedAsFaulty whether the leader drains the machine because it is faulty
+ * @param possiblyDisconnected whether the worker has missed a heartbeat
+ * @param commandUnanswered whether a command to the worker has had no response yet
+ * @param launchedAtSeconds when the machine was launched, on the monotonic clock of the controller
+ *     that holds this object
+ * @param terminationAtSeconds when the cloud will terminate the machine, on the same clock;
+ *     infinite without a termination notice
  */
 public record ReplicatedMachine(
         String name,
@@ -27,7 +29,7 @@
         boolean commandUnanswered,
         double launchedAtSeconds,
         double terminationAtSeconds) {
-    /** The same on a clock that is ahead by so much. */
+    /** Returns the same state with its times converted to a clock that is ahead by an offset. */
     public ReplicatedMachine shiftedBy(double offsetSeconds) {
         return new ReplicatedMachine(
                 name,
--- a/src/main/java/io/kelphoist/model/ScaleOutRequest.java
+++ b/src/main/java/io/kelphoist/model/ScaleOutRequest.java
@@ -1,10 +1,11 @@
 package io.kelphoist.model;
 
 /**
- * A request for machines. Its name holds the term and is never used again by any controller, so
- * that the cloud grants it once however often it is sent.
+ * A request to the cloud for new machines.
  *
- * @param machineCount how many machines
+ * @param name identifies the request. It includes the term, and no controller ever uses it for
+ *     another request, so that the cloud grants the request only once even if it is sent again
+ * @param machineCount number of requested machines
  */
 public record ScaleOutRequest(
         String name, String machineType, String zone, boolean spot, int machineCount) {}
--- a/src/main/java/io/kelphoist/model/ScaleOutResult.java
+++ b/src/main/java/io/kelphoist/model/ScaleOutResult.java
@@ -11,9 +11,12 @@
      */
     record Granted(List<String> machineNames) implements ScaleOutResult {}
 
-    /** The cloud refused: it has no capacity, or does not accept such a request. */
+    /** The cloud refused the request: it has no capacity, or it does not accept such a request. */
     record Refused() implements ScaleOutResult {}
 
-    /** No usable response, or the request was not sent: machines may or may not be granted. */
+    /**
+     * The outcome is unknown, because there was no usable response or the request was not sent. The
+     * cloud may have granted machines.
+     */
     record Unknown() implements ScaleOutResult {}
 }
--- a/src/main/java/io/kelphoist/model/SchedulingPolicy.java
+++ b/src/main/java/io/kelphoist/model/SchedulingPolicy.java
@@ -4,20 +4,28 @@
 import java.util.Map;
 
 /**
- * What the settings fix for the scheduler.
+ * Parameters of the scheduler, derived from the settings of the platform and the operator.
  *
- * @param gangPeerTimeoutSeconds within which tasks of a gang notice that another one is gone
- * @param holdRetryDelaySeconds for which a failed hold keeps a job from the next one
- * @param localityWaitSeconds for which an array waits for a machine that caches its image
- * @param machineHoldSeconds for which a machine is held for a job at the most
- * @param gangHoldSeconds for which room is reserved for a gang at the most
+ * @param zones names of all zones
+ * @param teams all teams with their quotas
+ * @param heartbeatIntervalSeconds interval between two heartbeats of a worker
+ * @param leaseSeconds duration of a worker lease
+ * @param gangPeerTimeoutSeconds time within which tasks of a gang detect that another task of the
+ *     gang is no longer running
+ * @param holdRetryDelaySeconds after the hold of a machine for a job expired, how long no other
+ *     machine is held for that job
+ * @param localityWaitSeconds how long a job array waits for a machine that has its image in the
+ *     cache
+ * @param machineHoldSeconds maximum time for which a machine is held for a job
+ * @param gangHoldSeconds maximum time for which resources are reserved for a gang
  * @param headroom share of machines that should be free
- * @param idleBeforeScaleInSeconds for which a machine must be idle before it is returned
- * @param maxRecordBytes size of a stored value at the most
- * @param startWriteIntervalSeconds least time between two writes of starts, so that the state
- *     service's limits leave room for others
- * @param progressWriteIntervalSeconds the same for done tasks and for cached images
- * @param startObjectiveSeconds by job class, the time within which its tasks should start; classes
+ * @param idleBeforeScaleInSeconds how long a machine must be idle before it is terminated to scale
+ *     in
+ * @param maxRecordBytes maximum size of a value in the state store
+ * @param startWriteIntervalSeconds minimum time between two writes of task starts, so that the
+ *     write limit of the state store leaves capacity for other writes
+ * @param progressWriteIntervalSeconds the same for writes of done tasks and of cached images
+ * @param startObjectiveSeconds by job class, the time within which tasks should start; classes
  *     without such an objective are absent
  */
 public record SchedulingPolicy(
@@ -36,12 +44,15 @@
         double startWriteIntervalSeconds,
         double progressWriteIntervalSeconds,
         Map<String, Double> startObjectiveSeconds) {
-    /** Clocks of two machines drift apart by at most this share. */
+    /**
+     * Upper bound of the relative drift between the clocks of two machines, in seconds per second.
+     * Durations that another machine measures are lengthened or shortened by twice this ratio.
+     */
     public static final double MAX_CLOCK_DRIFT_RATIO = 0.0005;
 
     /**
-     * Heartbeats come every {@code heartbeatIntervalSeconds}, give or take a quarter: after this
-     * many intervals one was missed.
+     * Number of intervals after which a heartbeat counts as missed. Workers send heartbeats every
+     * {@code heartbeatIntervalSeconds} with a jitter of up to a quarter of the interval.
      */
     public static final double MISSED_HEARTBEAT_FACTOR = 1.25;
 }
--- a/src/main/java/io/kelphoist/model/TaskCounts.java
+++ b/src/main/java/io/kelphoist/model/TaskCounts.java
@@ -1,7 +1,7 @@
 package io.kelphoist.model;
 
-/** The numbers of a job's finished and running tasks, for display. */
+/** Numbers of the done and the running tasks of a job, for display to users. */
 public record TaskCounts(int doneTasks, int runningTasks) {
-    /** Of a job without any started task. */
+    /** Counts of a job that has no done and no running task. */
     public static final TaskCounts NONE = new TaskCounts(0, 0);
 }
--- a/src/main/java/io/kelphoist/model/TaskPhase.java
+++ b/src/main/java/io/kelphoist/model/TaskPhase.java
@@ -1,15 +1,15 @@
 package io.kelphoist.model;
 
-/** The phase of a task as its worker reports it. */
+/** Phase of a task attempt, as its worker reports it. */
 public enum TaskPhase {
-    /** Waits for its image. */
+    /** Waits until its image is fetched. */
     FETCHING,
-    /** Of a gang: waits for the other tasks of its attempt. */
+    /** Task of a gang: waits for the other tasks of its attempt. */
     WAITING,
-    /** Runs. */
+    /** Is running. */
     RUNNING,
-    /** Was told to stop and saves a checkpoint. */
+    /** Received a stop command and saves a checkpoint. */
     SAVING,
-    /** Ended, see {@link ExitReason}. */
+    /** Has ended; see {@link ExitReason}. */
     EXITED
 }
--- a/src/main/java/io/kelphoist/model/TaskRef.java
+++ b/src/main/java/io/kelphoist/model/TaskRef.java
@@ -1,4 +1,4 @@
 package io.kelphoist.model;
 
-/** The name of a task: its job and its index there. */
+/** Identifies a task by its job and its index in the job. */
 public record TaskRef(String jobId, int taskIndex) {}
--- a/src/main/java/io/kelphoist/model/TaskStatus.java
+++ b/src/main/java/io/kelphoist/model/TaskStatus.java
@@ -1,10 +1,10 @@
 package io.kelphoist.model;
 
 /**
- * The status of one task in a heartbeat.
+ * Status of one task attempt in a heartbeat.
  *
- * @param exitReason null: the task has not exited
- * @param checkpointSaved whether its progress was saved before it exited
+ * @param exitReason null if the task has not exited
+ * @param checkpointSaved whether the task saved a checkpoint before it exited
  */
 public record TaskStatus(
         String jobId,
--- a/src/main/java/io/kelphoist/model/Team.java
+++ b/src/main/java/io/kelphoist/model/Team.java
@@ -1,13 +1,17 @@
 package io.kelphoist.model;
 
 /**
- * A team and its quota. A resource without guarantee and limit does not bind: both are infinite.
+ * A team and its quota. A resource that has neither a guarantee nor a limit is not restricted: both
+ * are infinite.
  *
- * @param guarantee resources that the team gets even if others must be preempted
- * @param limit resources that the team may use at the most
+ * @param guarantee resources that the team gets even if tasks of other teams must be preempted
+ * @param limit maximum resources that the team may use
  */
 public record Team(String name, Resources guarantee, Resources limit) {
-    /** Whether the team is guaranteed nothing: it gets what is unused, and gives it back first. */
+    /**
+     * Returns whether this is a guest team, which has no guarantee. It gets unused resources only,
+     * and its tasks are preempted first.
+     */
     public boolean isGuest() {
         return guarantee.equals(Resources.NONE);
     }
--- a/src/main/java/io/kelphoist/model/WorkerCommand.java
+++ b/src/main/java/io/kelphoist/model/WorkerCommand.java
@@ -1,27 +1,29 @@
 package io.kelphoist.model;
 
-/** A command to a worker about one attempt at a task. */
+/** A command to a worker for one task attempt. */
 public sealed interface WorkerCommand {
-    /** The id of the task's job. */
+    /** Returns the id of the task's job. */
     String jobId();
 
-    /** The task's index in its job. */
+    /** Returns the index of the task in its job. */
     int taskIndex();
 
-    /** The attempt, unique among all attempts of all terms. */
+    /** Returns the id of the attempt, unique among all attempts of all terms. */
     long attemptId();
 
-    /** Starts the attempt, unless the worker has it already. */
+    /** Starts the attempt, unless the worker already has it. */
     record Start(String jobId, int taskIndex, long attemptId) implements WorkerCommand {}
 
     /**
      * Stops the attempt.
      *
-     * @param graceSeconds for saving a checkpoint; 0: none
+     * @param graceSeconds time to save a checkpoint; 0 for no grace period
      */
     record Stop(String jobId, int taskIndex, long attemptId, double graceSeconds)
             implements WorkerCommand {}
 
-    /** Removes an exited attempt from the worker's heartbeats; the worker then knows it no more. */
+    /**
+     * Makes the worker discard an exited attempt, which then no longer appears in its heartbeats.
+     */
     record Forget(String jobId, int taskIndex, long attemptId) implements WorkerCommand {}
 }
--- a/src/main/java/io/kelphoist/model/package-info.java
+++ b/src/main/java/io/kelphoist/model/package-info.java
@@ -1,9 +1,10 @@
 /**
- * Values that several packages share: jobs as described and stored, machines as the cloud, workers
- * and followers see them, messages between the leader and workers, and the scheduling policy.
+ * Value types that several packages share: jobs as submitted and as stored, machines as reported by
+ * the cloud, by workers and by the leader to its followers, messages between the leader and
+ * workers, and the scheduling policy.
  *
- * <p>Everything here is immutable but {@link io.kelphoist.model.NameIndex}, has no I/O, and depends
- * on no other package of the project. How values are written on the wire and in records is known to
- * codecs only.
+ * <p>All types are immutable except {@link io.kelphoist.model.NameIndex}. They perform no I/O and
+ * depend on no other package of the project. Their encoding on the wire and in records is defined
+ * in the codecs only.
  */
 package io.kelphoist.model;
--- a/src/test/java/io/kelphoist/model/JobSpecBuilder.java
+++ b/src/test/java/io/kelphoist/model/JobSpecBuilder.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Builds job descriptions for tests: a job array of one task, with values that no test depends on
- * unless it sets them.
+ * Builds job specs for tests. The default is a job array of one task; tests depend only on values
+ * that they set.
  */
 public final class JobSpecBuilder {
     private final String id;
