--- a/src/main/java/io/kelphoist/eventloop/package-info.java
+++ b/src/main/java/io/kelphoist/eventloop/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The event loop as its users see it: a monotonic clock and timers of one thread.
+ * Interface of the event loop: the monotonic clock and the timers of one thread.
  *
  * <p>Owns no state and depends on no other package. The controller process supplies the
  * implementation on an XNIO I/O thread.
--- a/src/test/java/io/kelphoist/simulation/ScheduledEvents.java
+++ b/src/test/java/io/kelphoist/simulation/ScheduledEvents.java
@@ -4,7 +4,10 @@
 import java.util.PriorityQueue;
 import java.util.function.DoubleConsumer;
 
-/** What is scheduled in virtual time; events of one instant keep their order. */
+/**
+ * Queue of the events that are scheduled in virtual time. Events scheduled for the same time run in
+ * the order in which they were added.
+ */
 public final class ScheduledEvents {
     private record Event(double atSeconds, long order, Runnable action) {}
 
@@ -13,14 +16,16 @@
                     Comparator.comparingDouble(Event::atSeconds).thenComparing(Event::order));
     private long nextOrder;
 
+    /** Schedules an action. */
     public void add(double atSeconds, Runnable action) {
         events.add(new Event(atSeconds, nextOrder++, action));
     }
 
     /**
-     * Runs all events that are due by then, also those that they schedule.
+     * Runs all events that are due at {@code untilSeconds} or earlier, including those that are
+     * scheduled by the events that run.
      *
-     * @param onTime receives the instant of each event before it runs
+     * @param onTime receives the time of each event before the event runs
      */
     public void runUntil(double untilSeconds, DoubleConsumer onTime) {
         Event next = pollDue(untilSeconds);
@@ -31,7 +36,7 @@
         }
     }
 
-    /** Removes the earliest event that is due by then; null: there is none. */
+    /** Removes and returns the earliest event that is due at that time; null if none is. */
     private Event pollDue(double untilSeconds) {
         return !events.isEmpty() && events.peek().atSeconds() <= untilSeconds
                 ? events.poll()
