--- a/src/main/java/io/kelphoist/eventloop/EventLoop.java
+++ b/src/main/java/io/kelphoist/eventloop/EventLoop.java
@@ -3,8 +3,8 @@
 /**
  * Clock and timers of the single thread that owns the state of a controller.
  *
- * <p>Components that keep state take their time from this interface, so that tests can run them in
- * virtual time.
+ * <p>Components that keep state read the clock and set timers through this interface only, so that
+ * tests can run them in virtual time.
  */
 public interface EventLoop {
     /**
--- a/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
+++ b/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
@@ -27,7 +27,8 @@
     /** Responds to heartbeats as the leader. */
     public interface LeaderResponder {
         /**
-         * Returns the response; empty if this controller must not renew the worker's lease.
+         * Returns the response; empty if this controller must not send one, because a response
+         * renews the worker's lease.
          *
          * @param relayAddress IP address of the controller that relayed the heartbeat; empty if the
          *     worker sent it here
--- a/src/main/java/io/kelphoist/model/SchedulingPolicy.java
+++ b/src/main/java/io/kelphoist/model/SchedulingPolicy.java
@@ -51,8 +51,8 @@
     public static final double MAX_CLOCK_DRIFT_RATIO = 0.0005;
 
     /**
-     * Number of intervals after which a heartbeat counts as missed. Workers send heartbeats every
-     * {@code heartbeatIntervalSeconds} with a jitter of up to a quarter of the interval.
+     * Number of intervals after which a heartbeat is considered missed. Workers send heartbeats
+     * every {@code heartbeatIntervalSeconds} with a jitter of up to a quarter of the interval.
      */
     public static final double MISSED_HEARTBEAT_FACTOR = 1.25;
 }
--- a/src/main/java/io/kelphoist/peer/GrantRequest.java
+++ b/src/main/java/io/kelphoist/peer/GrantRequest.java
@@ -19,7 +19,7 @@
         boolean stateStoreReachable,
         LeaderState state) {
     /** Creates a request for a grant to the leader of a term. */
-    public GrantRequest(long term, String sender, boolean reachesStateStore, LeaderState state) {
-        this(term, true, sender, reachesStateStore, state);
+    public GrantRequest(long term, String sender, boolean stateStoreReachable, LeaderState state) {
+        this(term, true, sender, stateStoreReachable, state);
     }
 }
--- a/src/main/java/io/kelphoist/replication/MachineStatePublisher.java
+++ b/src/main/java/io/kelphoist/replication/MachineStatePublisher.java
@@ -82,7 +82,10 @@
         }
     }
 
-    /** What one follower has acknowledged, and which shards it is to be sent next. */
+    /**
+     * What one follower has acknowledged, which of its shards are to be repaired, and which digests
+     * it is sent next.
+     */
     private static final class FollowerProgress {
         private long appliedSequence;
         private final TreeSet<Integer> divergedShards = new TreeSet<>();
--- a/src/main/java/io/kelphoist/replication/MachineStateReplica.java
+++ b/src/main/java/io/kelphoist/replication/MachineStateReplica.java
@@ -85,7 +85,7 @@
             applyChanges(update);
             transitionTo(complete ? State.IN_SYNC : stateAfterPartialUpdate());
         } else {
-            // The acknowledgement tells the leader where to continue.
+            // The leader continues after the sequence number in the acknowledgement.
             complete = false;
             transitionTo(state == State.SYNCING ? State.SYNCING : State.LAGGING);
         }
--- a/src/main/java/io/kelphoist/sockets/SocketBudget.java
+++ b/src/main/java/io/kelphoist/sockets/SocketBudget.java
@@ -62,7 +62,8 @@
     }
 
     /**
-     * Returns whether so many incoming connections are open that no worker connection is kept open.
+     * Returns whether the number of incoming connections is so close to its maximum that worker
+     * connections are not kept open.
      */
     public boolean isNearIncomingLimit(long incomingConnections) {
         return incomingConnections > NEAR_INCOMING_LIMIT_SHARE * maxIncomingConnections();
--- a/src/test/java/io/kelphoist/heartbeat/HeartbeatRouterTest.java
+++ b/src/test/java/io/kelphoist/heartbeat/HeartbeatRouterTest.java
@@ -36,10 +36,10 @@
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 106.5));
         router.onRelayEnded("vm-1", true, 106.5);
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 108));
-        assertEquals(REDIRECT, router.route("vm-1", LEADER, true, onRelaySucceededLater()));
+        assertEquals(REDIRECT, router.route("vm-1", LEADER, true, secondsAfterSuccessfulRelay()));
     }
 
-    private double onRelaySucceededLater() {
+    private double secondsAfterSuccessfulRelay() {
         router.onRelayEnded("vm-1", true, 139);
         return 140;
     }
