--- a/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
@@ -83,7 +83,9 @@
         }
         acknowledge(progress, statement, sentAtSeconds);
         double coveredSinceSeconds =
-                nowSeconds - statement.coveredSeconds() * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT);
+                nowSeconds
+                        - statement.coveredSeconds()
+                                * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO);
         if (statement.complete() && coveredSinceSeconds <= progress.completeUntilSeconds) {
             progress.completeUntilSeconds = Math.max(progress.completeUntilSeconds, sentAtSeconds);
         }
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -184,7 +184,7 @@
     /** Returns when the delegation that the peer holds expires at the latest. */
     private double expiresAtSeconds() {
         return latestStartAtSeconds
-                + timing.delegationSeconds() * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT);
+                + timing.delegationSeconds() * (1 + 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO);
     }
 
     /** Whether an offer may be sent: no start of an older delegation is stored. */
@@ -286,7 +286,8 @@
                         : lastRenewalAtSeconds;
         double mayRenewAfterSeconds =
                 lastRespondedRequestSentAtSeconds
-                        + timing.leaderSilenceSeconds() * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT);
+                        + timing.leaderSilenceSeconds()
+                                * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO);
         if (nowSeconds < mayRenewAfterSeconds || excludedMachines.contains(machineName)) {
             return renewalBeforeResponseAtSeconds;
         }
--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -319,7 +319,7 @@
     /** Returns the expiry of a lease requested at this time, at the maximum clock drift. */
     private double leaseExpiryAfter(double sentAtSeconds) {
         return sentAtSeconds
-                + leaseSeconds * (1 - 2 * SchedulingPolicy.CLOCK_DRIFT)
+                + leaseSeconds * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO)
                 - SAFETY_MARGIN_SECONDS;
     }
 
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -316,7 +316,7 @@
         if (response.granted()) {
             election.onGrantReceived(peer, term, sentAtSeconds);
         }
-        recordStateStoreReachability(response.reachesStateStore());
+        recordStateStoreReachability(response.stateStoreReachable());
         if (election.state() == Election.State.LEADER && election.term() == term) {
             grantMessages.onGrantResponse(peer, response, sentAtSeconds);
         }
@@ -341,7 +341,7 @@
 
     /** A leader requested a grant. Called before the election decides whether to give it. */
     void onGrantRequest(GrantRequest request) {
-        recordStateStoreReachability(request.reachesStateStore());
+        recordStateStoreReachability(request.stateStoreReachable());
         peerConnectivity.onGrantRequest(request.sender());
     }
 
--- a/src/main/java/io/kelphoist/peer/PeerPaths.java
+++ b/src/main/java/io/kelphoist/peer/PeerPaths.java
@@ -5,8 +5,8 @@
     /** A leader requests a grant. */
     public static final String GRANT = "/peer/grant";
 
-    /** A leader hands over: its term has ended. */
-    public static final String TERM_ENDED = "/peer/over";
+    /** A leader hands over leadership: its term has ended. */
+    public static final String HANDOVER = "/peer/over";
 
     /** A follower requests the leader's task events. */
     public static final String EVENTS = "/peer/events";
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -62,7 +62,7 @@
      */
     private Machine findOrAdopt(CloudInstance instance, double nowSeconds) {
         Machine existing = machines.get(instance.name());
-        MachineType type = catalog.type(instance.type());
+        MachineType type = catalog.type(instance.machineType());
         if (existing != null || type == null || machines.isTerminated(instance.name())) {
             return existing;
         }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
@@ -114,7 +114,7 @@
                 result instanceof ScaleOutResult.Granted grantedResult
                         ? grantedResult.machineNames()
                         : List.of();
-        if (grantedNames.size() < request.count()) {
+        if (grantedNames.size() < request.machineCount()) {
             onInsufficientCapacity(request, grantedNames.size(), nowSeconds);
         }
         grantedNames.forEach(name -> addMachine(name, request, nowSeconds));
@@ -127,10 +127,10 @@
                 "scale-out not fully granted: request={} granted={} requested={}",
                 request.name(),
                 grantedCount,
-                request.count());
+                request.machineCount());
         int zone = catalog.zones().getOrAssign(request.zone());
         backoffUntilSecondsByPool.put(
-                new MachinePool(request.type(), zone, request.spot()),
+                new MachinePool(request.machineType(), zone, request.spot()),
                 nowSeconds + INSUFFICIENT_CAPACITY_BACKOFF_SECONDS);
     }
 
@@ -141,7 +141,7 @@
                     new Machine(
                             new MachineIdentity(
                                     name,
-                                    catalog.type(request.type()),
+                                    catalog.type(request.machineType()),
                                     catalog.zones().getOrAssign(request.zone()),
                                     request.spot()),
                             null,
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -104,7 +104,7 @@
             return false;
         }
         double leaseSeconds =
-                policy.leaseSeconds() * (1 + 2 * SchedulingPolicy.CLOCK_DRIFT)
+                policy.leaseSeconds() * (1 + 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO)
                         + TIMER_MARGIN_SECONDS;
         double lastRenewedAtSeconds =
                 Math.max(
@@ -143,7 +143,7 @@
             Job job = hold.job();
             if (job.isActive() && job.tasks().hasPending()) {
                 job.capacityAcquisition()
-                        .postponeMachineHold(nowSeconds + policy.offerFilterSeconds());
+                        .postponeMachineHold(nowSeconds + policy.holdRetryDelaySeconds());
             }
             hold.end();
         }
--- a/src/test/java/io/kelphoist/failover/SimulatedFleet.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedFleet.java
@@ -116,7 +116,8 @@
      * repeated request gets the same response.
      */
     List<String> scaleOut(ScaleOutRequest request) {
-        return machinesByRequest.computeIfAbsent(request.name(), name -> launch(request.count()));
+        return machinesByRequest.computeIfAbsent(
+                request.name(), name -> launch(request.machineCount()));
     }
 
     private List<String> launch(int count) {
--- a/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
@@ -90,7 +90,7 @@
     }
 
     private static ObjectNode request(
-            long term, Optional<CancellationCodec.Acknowledged> acknowledged) {
+            long term, Optional<CancellationCodec.Acknowledgement> acknowledged) {
         LeaderState state =
                 new LeaderState(Optional.empty(), Optional.empty(), acknowledged, Optional.empty());
         return GrantCodec.encodeRequest(new GrantRequest(term, "l", true, state));
@@ -185,8 +185,8 @@
     void noStatementWithoutRequestOrForOlderTerm() {
         firstPeer.beforeStatusReported(job("job-1", JobStatus.CANCELLED));
         assertFalse(response(firstPeer, request(3, Optional.empty())).has("told"));
-        Optional<CancellationCodec.Acknowledged> noneAcknowledged =
-                Optional.of(new CancellationCodec.Acknowledged(0, 0));
+        Optional<CancellationCodec.Acknowledgement> noneAcknowledged =
+                Optional.of(new CancellationCodec.Acknowledgement(0, 0));
         ObjectNode response = response(firstPeer, request(3, noneAcknowledged));
         assertEquals("job-1", response.path("told").path("jobs").path(0).asText());
         assertFalse(response(firstPeer, request(2, noneAcknowledged)).has("told"));
