--- a/src/main/java/io/kelphoist/admission/AdmissionResult.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionResult.java
@@ -25,7 +25,7 @@
      * @param owner null if the record does not have it, see {@link io.kelphoist.model.JobRecord}
      * @param doneTasks tasks that are done, as far as this controller knows
      * @param runningTasks tasks that run, as far as this controller knows
-     * @param atMillis the record's timestamp in ms since the epoch, see {@link
+     * @param timestampMillis the record's timestamp in ms since the epoch, see {@link
      *     io.kelphoist.model.JobRecord}
      * @param revision the state store's revision of the record's last change
      */
@@ -35,7 +35,7 @@
             Phase phase,
             int doneTasks,
             int runningTasks,
-            long atMillis,
+            long timestampMillis,
             long revision) {}
 
     /** The job was stored by this request. */
--- a/src/main/java/io/kelphoist/admission/JobRecordCache.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordCache.java
@@ -198,7 +198,7 @@
 
     private RoundResult applyResponse(
             StateStoreResult<StoredChanges> response, double sentAtSeconds) {
-        if (!response.isAnswered()) {
+        if (!response.isProcessed()) {
             return RoundResult.UNAVAILABLE;
         }
         if (response instanceof StateStoreResult.Success<StoredChanges> success
--- a/src/main/java/io/kelphoist/admission/JobRecordWriter.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordWriter.java
@@ -73,7 +73,7 @@
                         encoded.sizeBytes + GroupCommitter.KEY_OVERHEAD_BYTES,
                         loop.nowSeconds() + WRITE_TIMEOUT_SECONDS,
                         GroupCommitter.Urgency.URGENT,
-                        GroupCommitter.WhenUnavailable.GIVE_UP,
+                        GroupCommitter.WhenUnavailable.FAIL,
                         listener));
     }
 }
--- a/src/main/java/io/kelphoist/admission/UnansweredJobs.java
+++ b/src/main/java/io/kelphoist/admission/UnansweredJobs.java
@@ -83,7 +83,7 @@
     /**
      * Returns for how long the first of these jobs has been deferred, in seconds; 0 without any.
      */
-    public synchronized double longestWaitSeconds(double nowSeconds) {
+    public synchronized double longestDeferralSeconds(double nowSeconds) {
         return jobs.values().stream()
                 .mapToDouble(job -> nowSeconds - job.firstAskedAtSeconds)
                 .max()
--- a/src/main/java/io/kelphoist/controller/ControllerMetrics.java
+++ b/src/main/java/io/kelphoist/controller/ControllerMetrics.java
@@ -116,7 +116,7 @@
         registerGauge(
                 "kelphoist.jobs.unanswered.seconds",
                 "How long the first of them waits",
-                c -> c.admission().unansweredJobs().longestWaitSeconds(nowSeconds()));
+                c -> c.admission().unansweredJobs().longestDeferralSeconds(nowSeconds()));
     }
 
     private void registerEventMetrics() {
--- a/src/main/java/io/kelphoist/controller/JobEventFeed.java
+++ b/src/main/java/io/kelphoist/controller/JobEventFeed.java
@@ -97,7 +97,7 @@
 
     /** Starts to follow the state store and the leader. */
     void start() {
-        recordWatcher.follow(0);
+        recordWatcher.watch(0);
         leaderEvents.poll();
     }
 
--- a/src/main/java/io/kelphoist/grpc/NamedJobsReader.java
+++ b/src/main/java/io/kelphoist/grpc/NamedJobsReader.java
@@ -69,6 +69,7 @@
                     case CANCELLED -> JobStatus.CANCELLED;
                     case QUEUED, RUNNING -> JobStatus.ACTIVE;
                 };
-        return new JobRecord(job.id(), null, status, job.atMillis(), job.revision(), job.owner());
+        return new JobRecord(
+                job.id(), null, status, job.timestampMillis(), job.revision(), job.owner());
     }
 }
--- a/src/main/java/io/kelphoist/leadership/RecordReplication.java
+++ b/src/main/java/io/kelphoist/leadership/RecordReplication.java
@@ -107,7 +107,7 @@
 
     /** Begins to follow all records. Called once. */
     public void start() {
-        watchers.values().forEach(watcher -> watcher.follow(FOLLOWER_PAUSE_SECONDS));
+        watchers.values().forEach(watcher -> watcher.watch(FOLLOWER_PAUSE_SECONDS));
     }
 
     private void onRevisionKnown(
@@ -193,7 +193,7 @@
     /** This controller leads with a verified replica: job records now go to its store, too. */
     void startLeading(TermRecordStore store) {
         leaderStore = Optional.of(store);
-        watchers.get(RecordKind.JOBS).follow(NO_PAUSE_SECONDS);
+        watchers.get(RecordKind.JOBS).watch(NO_PAUSE_SECONDS);
     }
 
     /**
@@ -207,7 +207,7 @@
                     if (kind != RecordKind.JOBS) {
                         watcher.reset();
                     }
-                    watcher.follow(FOLLOWER_PAUSE_SECONDS);
+                    watcher.watch(FOLLOWER_PAUSE_SECONDS);
                 });
     }
 
--- a/src/main/java/io/kelphoist/leadership/StartPages.java
+++ b/src/main/java/io/kelphoist/leadership/StartPages.java
@@ -30,6 +30,6 @@
                     attempt.job().spec().id(),
                     attempt.taskIndex());
         }
-        return encoder.toPut();
+        return encoder.toMutation();
     }
 }
--- a/src/main/java/io/kelphoist/leadership/TermRecordStore.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordStore.java
@@ -165,7 +165,7 @@
                 result -> {
                     if (!writer.isClosed()
                             && !applyStoredJob(jobId, result)
-                            && result.isAnswered()) {
+                            && result.isProcessed()) {
                         schedulerState.onJobNotFound(jobId, eventLoop.nowSeconds());
                     }
                     writer.notifyChanged();
--- a/src/main/java/io/kelphoist/statestore/GroupCommitter.java
+++ b/src/main/java/io/kelphoist/statestore/GroupCommitter.java
@@ -55,7 +55,7 @@
         /** It is sent again until it expires. */
         RETRY,
         /** It ends as not executed at once. */
-        GIVE_UP
+        FAIL
     }
 
     /**
@@ -66,7 +66,7 @@
      */
     public record Write(
             List<VersionCondition> conditions,
-            List<RecordMutation> changes,
+            List<RecordMutation> mutations,
             int sizeBytes,
             double expiresAtSeconds,
             Urgency urgency,
@@ -207,12 +207,12 @@
     private List<Write> withinWriteLimit(List<Write> batch, double nowSeconds) {
         int changeCount = 0;
         for (Write write : batch) {
-            changeCount += write.changes().size();
+            changeCount += write.mutations().size();
         }
         if (writeLimiter.tryAcquire(changeCount, nowSeconds)) {
             return batch;
         }
-        int firstChangeCount = batch.get(0).changes().size();
+        int firstChangeCount = batch.get(0).mutations().size();
         if (batch.size() > 1 && writeLimiter.tryAcquire(firstChangeCount, nowSeconds)) {
             return List.of(batch.get(0));
         }
@@ -300,7 +300,7 @@
         Write write = batch.get(0);
         LOG.error(
                 "write refused by the state store: keys={} bytes={} error={}",
-                write.changes().stream().map(RecordMutation::key).toList(),
+                write.mutations().stream().map(RecordMutation::key).toList(),
                 write.sizeBytes(),
                 reason);
         write.listener().onOutcome(Outcome.TOO_LARGE, 0);
--- a/src/main/java/io/kelphoist/statestore/RecordWatcher.java
+++ b/src/main/java/io/kelphoist/statestore/RecordWatcher.java
@@ -97,13 +97,13 @@
      *
      * @param pauseSeconds pause between two requests; what changes meanwhile comes with one answer
      */
-    public void follow(double pauseSeconds) {
+    public void watch(double pauseSeconds) {
         pollIntervalSeconds = pauseSeconds;
         following = true;
         requestNext(++generation);
     }
 
-    /** Stops following. The known revision is kept for {@link #follow} and {@link #catchUp}. */
+    /** Stops following. The known revision is kept for {@link #watch} and {@link #catchUp}. */
     public void stop() {
         following = false;
         generation++;
--- a/src/main/java/io/kelphoist/statestore/WriteBatch.java
+++ b/src/main/java/io/kelphoist/statestore/WriteBatch.java
@@ -43,12 +43,12 @@
 
     /** Adds a write; false if the batch is complete without it. No more may be added then. */
     boolean tryAdd(GroupCommitter.Write write) {
-        changeCount += write.changes().size();
+        changeCount += write.mutations().size();
         totalBytes += write.sizeBytes();
         if (!writes.isEmpty() && (exceedsLimits() || conflictsWith(write))) {
             return false;
         }
-        write.changes().forEach(change -> changedKeys.add(change.key()));
+        write.mutations().forEach(change -> changedKeys.add(change.key()));
         write.conditions()
                 .forEach(condition -> expectedVersions.put(condition.key(), condition.version()));
         if (!writes.isEmpty() && expectedVersions.size() > maxChanges * CONDITIONS_PER_CHANGE) {
@@ -75,7 +75,7 @@
     static List<RecordMutation> changesOf(List<GroupCommitter.Write> writes) {
         List<RecordMutation> changes = new ArrayList<>();
         for (GroupCommitter.Write write : writes) {
-            changes.addAll(write.changes());
+            changes.addAll(write.mutations());
         }
         return changes;
     }
@@ -85,7 +85,7 @@
     }
 
     private boolean conflictsWith(GroupCommitter.Write write) {
-        for (RecordMutation change : write.changes()) {
+        for (RecordMutation change : write.mutations()) {
             if (changedKeys.contains(change.key())) {
                 return true;
             }
--- a/src/main/java/io/kelphoist/statestore/protocol/StartPageEncoder.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StartPageEncoder.java
@@ -35,7 +35,7 @@
     }
 
     /** Returns the change that stores the page. */
-    public RecordMutation toPut() {
+    public RecordMutation toMutation() {
         return new RecordMutation(
                 StateStoreKeys.pageKey(StateStoreKeys.STARTS_PREFIX, pageNumber), page);
     }
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreResult.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreResult.java
@@ -60,7 +60,7 @@
     }
 
     /** Returns whether the store answered the request, with a success or a rejection. */
-    default boolean isAnswered() {
+    default boolean isProcessed() {
         return this instanceof Success<T> || this instanceof Rejected<T>;
     }
 }
--- a/src/main/java/io/kelphoist/wire/HttpHostClient.java
+++ b/src/main/java/io/kelphoist/wire/HttpHostClient.java
@@ -111,7 +111,7 @@
     }
 
     /** Returns whether no call is in flight or queued. */
-    public boolean isUnused() {
+    public boolean isIdle() {
         return activeCalls == 0 && queuedCalls.isEmpty();
     }
 
--- a/src/main/java/io/kelphoist/worker/WorkerClient.java
+++ b/src/main/java/io/kelphoist/worker/WorkerClient.java
@@ -157,7 +157,7 @@
     }
 
     private static boolean closeIfUnused(Connection connection, Iterator<Connection> iterator) {
-        if (!connection.httpClient.isUnused()) {
+        if (!connection.httpClient.isIdle()) {
             return false;
         }
         connection.httpClient.close();
--- a/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
@@ -58,7 +58,7 @@
         final Map<String, AdmissionResult.Phase> reportedPhases = new HashMap<>();
 
         boolean refused;
-        final StateStoreSimulation.View view = store.seenBy(() -> refused);
+        final StateStoreSimulation.View view = store.viewFor(() -> refused);
         final Admission admission =
                 Admission.create(
                         new Admission.StoreAccess(
@@ -268,13 +268,13 @@
             case 12 -> store.faults().setLostResponsesPerTen(argument % 4);
             case 9 -> {
                 if (argument % 3 == 0) {
-                    store.setOldestRevision(store.revision());
+                    store.setCompactedRevision(store.revision());
                 }
             }
-            case 10 -> store.pass(2.0 * argument);
+            case 10 -> store.advance(2.0 * argument);
             default -> controller.admission.query("job-" + number, checkOf(number, controller));
         }
-        store.pass(argument / 4.0);
+        store.advance(argument / 4.0);
     }
 
     /** Stores the end of a job as the leader does: only an active job becomes done. */
@@ -299,7 +299,7 @@
         store.faults().setLateWritesPerTen(0);
         store.faults().setLostResponsesPerTen(0);
         controllers.forEach(controller -> controller.refused = false);
-        store.pass(40);
+        store.advance(40);
         for (int number = 0; number < JOBS; number++) {
             for (Controller controller : controllers) {
                 AdmissionResult[] last = new AdmissionResult[1];
@@ -311,7 +311,7 @@
                                 last[0] = answer;
                                 check.accept(answer);
                             });
-                    store.pass(10);
+                    store.advance(10);
                 }
                 assertTrue(
                         last[0] != null && !(last[0] instanceof AdmissionResult.RetryLater),
@@ -351,16 +351,16 @@
         begin(1);
         Controller first = controllers.get(0);
         first.admission.submit(spec(0), checkOf(0, first));
-        store.pass(5);
+        store.advance(5);
         first.admission.cancel("job-0", checkOf(0, first));
-        store.pass(5);
+        store.advance(5);
         assertEquals(Set.of("job-0"), first.recordedCancellations);
         for (Controller other : controllers.subList(1, 3)) {
             assertEquals(Set.of(), other.recordedCancellations);
         }
         controllers.get(1).admission.submit(spec(0), checkOf(0, controllers.get(1)));
         controllers.get(2).admission.submit(spec(1), checkOf(1, controllers.get(2)));
-        store.pass(5);
+        store.advance(5);
         assertEquals(Set.of("job-0"), controllers.get(1).recordedCancellations);
         // Accepted as cancelled, as its dependency is.
         assertEquals(Set.of("job-1"), controllers.get(2).recordedCancellations);
--- a/src/test/java/io/kelphoist/admission/FreshReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/FreshReadsTest.java
@@ -63,7 +63,7 @@
             case 4 -> endJob(id, step % 2 == 0);
             case 5 -> {
                 if (step % 3 == 0) {
-                    store.setOldestRevision(store.revision());
+                    store.setCompactedRevision(store.revision());
                 }
             }
             case 6 -> {
@@ -72,7 +72,7 @@
             }
             default -> readAndCheck(id);
         }
-        store.pass(step % 23 / 200.0);
+        store.advance(step % 23 / 200.0);
     }
 
     /** The response to the transaction may arrive after many other events. */
@@ -135,7 +135,7 @@
             @ForAll @IntRange(min = 0, max = 996) int salt) {
         begin(salt);
         steps.forEach(this::step);
-        store.pass(30);
+        store.advance(30);
     }
 
     private String readStatus(int number) {
@@ -147,7 +147,7 @@
                                 found instanceof JobReadResult.Present present
                                         ? present.record().status().toString()
                                         : found.toString());
-        store.pass(5);
+        store.advance(5);
         return status[0];
     }
 
@@ -186,19 +186,19 @@
                 }
                 readAndExpect("job-" + i, JobStatus.ACTIVE);
             }
-            store.pass(5);
+            store.advance(5);
         }
         // when
         for (int i = 0; i < jobs; i += 7) {
             storedJobs.putDone("job-" + i);
         }
         // The state service compacts its history as well: a watch has to start again.
-        store.setOldestRevision(store.revision());
+        store.setCompactedRevision(store.revision());
         // then
         for (int i = 0; i < jobs; i++) {
             readAndExpect("job-" + i, i % 7 == 0 ? JobStatus.DONE : JobStatus.ACTIVE);
         }
-        store.pass(10);
+        store.advance(10);
     }
 
     private void readAndExpect(String id, JobStatus status) {
@@ -219,13 +219,13 @@
         for (int round = 0; round < 3; round++) {
             // The first reads find the revision and the record.
             lookup.read("job-1", found -> answers++);
-            store.pass(1);
+            store.advance(1);
         }
         int before = store.requests().size();
         for (int i = 0; i < 100; i++) {
             lookup.read("job-1", found -> answers++);
         }
-        store.pass(1);
+        store.advance(1);
         assertEquals(103, answers);
         assertTrue(store.requests().size() - before <= 2, () -> store.requests().toString());
     }
--- a/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
+++ b/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
@@ -114,7 +114,7 @@
             }
             admission.rejectMalformed(id, e.getMessage(), answer -> result[0] = answer);
         }
-        store.pass(10);
+        store.advance(10);
         // then
         assertEquals(expected, outcomeName(result[0]));
         assertEquals(expected.equals("accepted"), store.get(StateStoreKeys.jobKey(id)) != null);
--- a/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
+++ b/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
@@ -17,11 +17,11 @@
         assertTrue(unanswered.onUnanswered("job-1", 110));
         assertFalse(unanswered.onUnanswered("job-1", 115));
         assertTrue(unanswered.onUnanswered("job-1", 120));
-        assertEquals(20, unanswered.longestWaitSeconds(120), 1e-9);
+        assertEquals(20, unanswered.longestDeferralSeconds(120), 1e-9);
         unanswered.onAnswered("job-1");
         assertEquals(0, unanswered.size());
         assertFalse(unanswered.onUnanswered("job-1", 121));
-        assertEquals(1, unanswered.longestWaitSeconds(122), 1e-9);
+        assertEquals(1, unanswered.longestDeferralSeconds(122), 1e-9);
     }
 
     /**
@@ -36,6 +36,6 @@
         assertEquals(1000, unanswered.size());
         assertFalse(unanswered.onUnanswered("job-9999", 300));
         assertEquals(1, unanswered.size());
-        assertEquals(0, unanswered.longestWaitSeconds(300), 1e-9);
+        assertEquals(0, unanswered.longestDeferralSeconds(300), 1e-9);
     }
 }
--- a/src/test/java/io/kelphoist/failover/FailoverSimulation.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulation.java
@@ -56,7 +56,7 @@
         store = new StateStoreSimulation(context.random().nextInt(), context.nowSeconds());
         SimulatedStateStore stateStore = new SimulatedStateStore(context, jobs, checker, store);
         store.setChangeListener(stateStore::onStored);
-        store.limit(size.writesPerSecond());
+        store.limitWriteRate(size.writesPerSecond());
         fleet = new SimulatedFleet(context, tasks, checker, queueWaits, store);
         network = new SimulatedNetwork(context, checker);
         SimulatedLeader.Dependencies dependencies =
@@ -115,7 +115,7 @@
         leadership.advance(SimulationContext.STEP_SECONDS);
         fleet.advance();
         network.deliver(lateOfTen);
-        store.pass(context.nowSeconds() - store.nowSeconds());
+        store.advance(context.nowSeconds() - store.nowSeconds());
         network.reportOutcomes();
         heartbeats.deliverCopies();
         heartbeats.sendDueHeartbeats();
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -109,7 +109,7 @@
 
     private TermRecordStore createRecordStore() {
         SimulatedStateStore stateStore = dependencies.stateStore();
-        StateStoreSimulation.View view = stateStore.store().seenBy(this::isRefused);
+        StateStoreSimulation.View view = stateStore.store().viewFor(this::isRefused);
         return new TermRecordStore(
                 view,
                 new TermRecordWriter(
--- a/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
@@ -75,16 +75,17 @@
     /** All records, as a leader loads them at the start of its term. */
     RecordReplica loadRecords() {
         RecordReplica records = new RecordReplica();
-        store.below(StateStoreKeys.JOBS_PREFIX)
+        store.withPrefix(StateStoreKeys.JOBS_PREFIX)
                 .forEach(item -> records.applyJob(decodeJob(item), context.nowSeconds()));
         try {
-            for (StateStoreSimulation.Item item : store.below(StateStoreKeys.PROGRESS_PREFIX)) {
+            for (StateStoreSimulation.Item item :
+                    store.withPrefix(StateStoreKeys.PROGRESS_PREFIX)) {
                 records.applyProgressPage(
                         StateStoreKeys.pageNumber(StateStoreKeys.PROGRESS_PREFIX, item.key()),
                         RecordCodec.decodeProgress(new StoredRecord("", item.value(), 0)),
                         item.revision());
             }
-            for (StateStoreSimulation.Item item : store.below(StateStoreKeys.STARTS_PREFIX)) {
+            for (StateStoreSimulation.Item item : store.withPrefix(StateStoreKeys.STARTS_PREFIX)) {
                 records.applyStartPage(
                         StateStoreKeys.pageNumber(StateStoreKeys.STARTS_PREFIX, item.key()),
                         RecordCodec.decodeStarts(new StoredRecord("", item.value(), 0)),
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -58,7 +58,7 @@
         for (int i = 0; i < FRONT_ENDS; i++) {
             int number = i;
             StateStoreSimulation.View view =
-                    timer.seenBy(() -> leadership.isFrontEndRefused(number));
+                    timer.viewFor(() -> leadership.isFrontEndRefused(number));
             frontEnds.add(createFrontEnd(dependencies, view));
         }
     }
@@ -192,7 +192,7 @@
                                     });
                 }
             }
-            timer.pass(5);
+            timer.advance(5);
         }
         checker.checkFinalResponses(responses, jobs.size() * FRONT_ENDS);
     }
--- a/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
@@ -41,7 +41,7 @@
         refused = false;
         changedAt = new HashMap<>();
         versions = new HashMap<>();
-        replication = new RecordReplication(store.seenBy(() -> refused), store);
+        replication = new RecordReplication(store.viewFor(() -> refused), store);
         replication.start();
     }
 
@@ -80,7 +80,7 @@
             case 0, 1, 2, 3 -> change("job-" + argument % JOBS, false);
             case 4, 5 -> change("job-" + argument % JOBS, true);
             case 6 -> {
-                store.setOldestRevision(store.revision() + argument % 2);
+                store.setCompactedRevision(store.revision() + argument % 2);
                 compactions++;
             }
             case 7 -> store.faults().setDown(argument % 2 == 0);
@@ -101,7 +101,7 @@
             default -> {}
         }
         for (int i = 0; i <= argument % 12; i++) {
-            store.pass(0.2);
+            store.advance(0.2);
             check();
         }
     }
@@ -114,9 +114,9 @@
         steps.forEach(this::step);
         store.faults().setDown(false);
         refused = false;
-        store.setOldestRevision(Math.min(store.oldestRevision(), store.revision()));
+        store.setCompactedRevision(Math.min(store.compactedRevision(), store.revision()));
         replication.startFollowing();
-        store.pass(20);
+        store.advance(20);
         assertTrue(
                 replication.jobsKnownUntilSeconds() > store.nowSeconds() - 6,
                 "changes are known again after all faults");
@@ -135,14 +135,14 @@
     void compactedChangesAreReadAgain() {
         begin(3);
         change("job-1", false);
-        store.pass(6);
+        store.advance(6);
         refused = true;
         change("job-1", true);
         change("job-2", false);
-        store.pass(20);
-        store.setOldestRevision(store.revision());
+        store.advance(20);
+        store.setCompactedRevision(store.revision());
         refused = false;
-        store.pass(8);
+        store.advance(8);
         assertTrue(replication.replica().isCancelled("job-1"), "job-1 is cancelled");
         assertEquals(1, replication.replica().unfinishedJobCount());
         assertTrue(
--- a/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
+++ b/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
@@ -109,7 +109,7 @@
         state.faults().setLateWritesPerTen(10);
         store.storeProgress(0, done(tasks));
         state.faults().setLateWritesPerTen(0);
-        state.pass(1.6);
+        state.advance(1.6);
     }
 
     @ParameterizedTest
@@ -118,11 +118,11 @@
         begin(salt);
         storeWithLateWrite(1);
         // A page has at most one write in flight.
-        state.pass(1);
+        state.advance(1);
         store.storeProgress(0, done(5));
-        state.pass(1.5);
+        state.advance(1.5);
         store.storeProgress(0, done(7));
-        state.pass(20);
+        state.advance(20);
         assertEquals(7, storedTaskCount());
     }
 
@@ -132,7 +132,7 @@
         begin(salt);
         storeWithLateWrite(3);
         electLeader(2);
-        state.pass(20);
+        state.advance(20);
         assertNull(state.get(StateStoreKeys.pageKey(StateStoreKeys.PROGRESS_PREFIX, 0)));
         assertEquals(0, state.lateWrites());
     }
@@ -144,10 +144,10 @@
         state.faults().setLostResponsesPerTen(10);
         store.storeProgress(0, done(2));
         state.faults().setLostResponsesPerTen(0);
-        state.pass(5);
+        state.advance(5);
         assertEquals(2, storedTaskCount());
         store.storeProgress(0, done(4));
-        state.pass(5);
+        state.advance(5);
         assertEquals(4, storedTaskCount());
     }
 }
--- a/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
+++ b/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
@@ -37,7 +37,7 @@
                         10,
                         100,
                         GroupCommitter.Urgency.URGENT,
-                        GroupCommitter.WhenUnavailable.GIVE_UP,
+                        GroupCommitter.WhenUnavailable.FAIL,
                         (outcome, revision) -> outcomes.add(key + " " + outcome)));
     }
 
@@ -56,7 +56,7 @@
         write("b");
         write("c");
         assertEquals(1, sent.size());
-        loop.pass(0.05);
+        loop.advance(0.05);
         answer(0, stored(5));
         assertEquals(2, sent.size());
         assertEquals(2, sent.get(1).size());
@@ -72,9 +72,9 @@
     void unansweredTransactionDoesNotBlockOthers() {
         write("a");
         write("b");
-        loop.pass(0.2);
+        loop.advance(0.2);
         assertEquals(1, sent.size());
-        loop.pass(0.1);
+        loop.advance(0.1);
         assertEquals(2, sent.size());
         answer(1, stored(5));
         assertEquals(List.of("b STORED"), outcomes);
@@ -82,10 +82,10 @@
         write("c");
         write("d");
         assertEquals(3, sent.size());
-        loop.pass(0.3);
+        loop.advance(0.3);
         assertEquals(4, sent.size());
         write("e");
-        loop.pass(2);
+        loop.advance(2);
         assertEquals(4, sent.size());
         answer(0, new StateStoreResult.OutcomeUnknown<>());
         assertEquals(5, sent.size());
@@ -115,13 +115,13 @@
     @Test
     void pausesAfterARefusedTransaction() {
         write("a");
-        loop.pass(0.3);
+        loop.advance(0.3);
         write("b");
         assertEquals(2, sent.size());
         answer(1, new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED));
         write("c");
         assertEquals(2, sent.size());
-        loop.pass(0.2);
+        loop.advance(0.2);
         assertEquals(3, sent.size());
         assertTrue(
                 sent.get(2).size() == 2, "the refused write is sent with the one that came since");
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -50,7 +50,7 @@
     private TokenBucket writeRateLimit = new TokenBucket(1e9, 1);
 
     private int rateLimitedWrites;
-    private long oldestRevision;
+    private long compactedRevision;
 
     private double now;
     private long revision = 10;
@@ -91,12 +91,12 @@
     }
 
     /** Changes up to this revision are compacted. */
-    public long oldestRevision() {
-        return oldestRevision;
+    public long compactedRevision() {
+        return compactedRevision;
     }
 
-    public void setOldestRevision(long oldest) {
-        oldestRevision = oldest;
+    public void setCompactedRevision(long oldest) {
+        compactedRevision = oldest;
     }
 
     @Override
@@ -109,7 +109,7 @@
         events.add(now + seconds, task);
     }
 
-    public void pass(double seconds) {
+    public void advance(double seconds) {
         double until = now + seconds;
         events.runUntil(until, atSeconds -> now = Math.max(now, atSeconds));
         now = until;
@@ -119,7 +119,7 @@
         return revision;
     }
 
-    public void limit(double writeRps) {
+    public void limitWriteRate(double writeRps) {
         writeRateLimit = new TokenBucket(writeRps, 1);
     }
 
@@ -128,7 +128,7 @@
         return stored.get(key);
     }
 
-    public List<Item> below(String prefix) {
+    public List<Item> withPrefix(String prefix) {
         return stored.tailMap(prefix).values().stream()
                 .takeWhile(item -> item.key().startsWith(prefix))
                 .toList();
@@ -167,18 +167,18 @@
 
     @Override
     public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
-        seenBy(() -> false).get(key, handler);
+        viewFor(() -> false).get(key, handler);
     }
 
     @Override
     public void readAll(String prefix, Consumer<Optional<StateSnapshot>> handler) {
-        seenBy(() -> false).readAll(prefix, handler);
+        viewFor(() -> false).readAll(prefix, handler);
     }
 
     @Override
     public void changesSince(
             String prefix, long after, Consumer<StateStoreResult<StoredChanges>> handler) {
-        seenBy(() -> false).changesSince(prefix, after, handler);
+        viewFor(() -> false).changesSince(prefix, after, handler);
     }
 
     @Override
@@ -186,7 +186,7 @@
             List<VersionCondition> conditions,
             List<RecordMutation> puts,
             Consumer<StateStoreResult<Long>> handler) {
-        seenBy(() -> false).commit(conditions, puts, handler);
+        viewFor(() -> false).commit(conditions, puts, handler);
     }
 
     @Override
@@ -195,11 +195,11 @@
             long after,
             int holdMillis,
             Consumer<StateStoreResult<StoredChanges>> handler) {
-        seenBy(() -> false).awaitChanges(prefix, after, holdMillis, handler);
+        viewFor(() -> false).awaitChanges(prefix, after, holdMillis, handler);
     }
 
     /** The view of a controller that may be refused alone. */
-    public View seenBy(BooleanSupplier refused) {
+    public View viewFor(BooleanSupplier refused) {
         return new View(refused);
     }
 
@@ -258,7 +258,7 @@
             handle(
                     () -> {
                         List<StoredRecord> records = new ArrayList<>();
-                        below(prefix).forEach(item -> records.add(record(item)));
+                        withPrefix(prefix).forEach(item -> records.add(record(item)));
                         answer(handler, Optional.of(new StateSnapshot(records, revision)));
                     },
                     () -> answer(handler, Optional.empty()));
@@ -272,7 +272,7 @@
         }
 
         private StateStoreResult<StoredChanges> changesAfter(String prefix, long after) {
-            if (after < oldestRevision) {
+            if (after < compactedRevision) {
                 return rejected(StateStoreResult.Reason.COMPACTED);
             }
             List<RecordChange> found = new ArrayList<>();
@@ -305,7 +305,7 @@
                 handler.accept(new StateStoreResult.OutcomeUnknown<>());
             } else if (!isUnavailable
                     && (now >= until
-                            || after < oldestRevision
+                            || after < compactedRevision
                             || !StateStoreSimulation.this.changes(prefix, after).isEmpty())) {
                 answer(handler, changesAfter(prefix, after));
             } else {
