--- a/src/main/java/io/kelphoist/admission/Admission.java
+++ b/src/main/java/io/kelphoist/admission/Admission.java
@@ -26,7 +26,7 @@
      * A dependency's record may be this old when a job's state is reported, as a share of the time
      * within which cancellations must show.
      */
-    private static final double RECENT_READ_SHARE = 0.25;
+    private static final double MAX_RECENT_AGE_RATIO = 0.25;
 
     /** What this controller knows of the cluster besides the state store's records. */
     public interface ClusterView {
@@ -94,7 +94,7 @@
             ClusterView clusterView,
             AdmissionSettings settings,
             Consumer<JobRecord> beforeResponse) {
-        double maxRecentAgeSeconds = RECENT_READ_SHARE * settings.cancellationTimeoutSeconds();
+        double maxRecentAgeSeconds = MAX_RECENT_AGE_RATIO * settings.cancellationTimeoutSeconds();
         JobLookup lookup = new JobLookup(store.reader(), loop, maxRecentAgeSeconds);
         JobRecordWriter writer =
                 new JobRecordWriter(store.writer(), loop, settings.maxValueKilobytes());
--- a/src/main/java/io/kelphoist/admission/CancellationHandler.java
+++ b/src/main/java/io/kelphoist/admission/CancellationHandler.java
@@ -10,7 +10,7 @@
  * report an older state afterwards.
  */
 final class CancellationHandler {
-    private static final int MAX_ATTEMPTS = 3;
+    private static final int MAX_WRITE_ATTEMPTS = 3;
 
     private final JobLookup lookup;
     private final JobRecordWriter writer;
@@ -24,12 +24,12 @@
 
     /** Cancels a job; a finished one stays as it is. Responds with its state, or with NotFound. */
     void cancel(String jobId, Consumer<AdmissionResult> callback) {
-        readAndCancel(jobId, MAX_ATTEMPTS, callback);
+        readAndCancel(jobId, MAX_WRITE_ATTEMPTS, callback);
     }
 
     /** The same for a job whose record was just read. */
     void cancel(JobRecord job, Consumer<AdmissionResult> callback) {
-        cancel(job, MAX_ATTEMPTS, callback);
+        cancel(job, MAX_WRITE_ATTEMPTS, callback);
     }
 
     private void readAndCancel(String jobId, int attemptsLeft, Consumer<AdmissionResult> callback) {
@@ -45,7 +45,7 @@
             responder.respondWithState(job, callback);
             return;
         }
-        JobRecord cancelled = cancelledAt(job, job.version());
+        JobRecord cancelled = cancelledRecord(job, job.version());
         writer.write(
                 writer.encode(cancelled),
                 (outcome, revision) ->
@@ -60,7 +60,7 @@
             Consumer<AdmissionResult> callback) {
         switch (outcome) {
             case STORED -> {
-                JobRecord stored = cancelledAt(cancelled, revision);
+                JobRecord stored = cancelledRecord(cancelled, revision);
                 lookup.onWritten(stored);
                 responder.respondWithState(stored, callback);
             }
@@ -75,7 +75,7 @@
         }
     }
 
-    private static JobRecord cancelledAt(JobRecord job, long revision) {
+    private static JobRecord cancelledRecord(JobRecord job, long revision) {
         return new JobRecord(
                 job.id(), job.spec(), JobStatus.CANCELLED, job.timestampMillis(), revision);
     }
--- a/src/main/java/io/kelphoist/admission/DependencyWalk.java
+++ b/src/main/java/io/kelphoist/admission/DependencyWalk.java
@@ -44,7 +44,7 @@
 
     private void visitNext() {
         if (unvisited.isEmpty()) {
-            callback.accept(DependencyStatus.INTACT);
+            callback.accept(DependencyStatus.NONE_CANCELLED);
             return;
         }
         lookup.readRecent(unvisited.poll(), this::onRead);
--- a/src/main/java/io/kelphoist/admission/JobLookup.java
+++ b/src/main/java/io/kelphoist/admission/JobLookup.java
@@ -173,21 +173,21 @@
         } else if (unfinishedRecords.getIfPresent(jobId) == null) {
             readFromStore(jobId, callback);
         } else {
-            unfinishedRecords.joinNextRound(result -> onRoundCompleted(jobId, result, callback));
+            unfinishedRecords.awaitRevalidation(result -> onRevalidated(jobId, result, callback));
         }
     }
 
-    private void onRoundCompleted(
+    private void onRevalidated(
             String jobId,
-            JobRecordCache.RoundResult roundResult,
+            JobRecordCache.RevalidationResult roundResult,
             Consumer<JobReadResult> callback) {
         JobRecord finalRecord = finalRecords.getIfPresent(jobId);
         JobRecord unfinished = unfinishedRecords.getIfPresent(jobId);
         if (finalRecord != null) {
             callback.accept(new JobReadResult.Present(finalRecord));
-        } else if (roundResult == JobRecordCache.RoundResult.UNAVAILABLE) {
+        } else if (roundResult == JobRecordCache.RevalidationResult.UNAVAILABLE) {
             callback.accept(new JobReadResult.Unavailable());
-        } else if (roundResult == JobRecordCache.RoundResult.CURRENT && unfinished != null) {
+        } else if (roundResult == JobRecordCache.RevalidationResult.CURRENT && unfinished != null) {
             callback.accept(new JobReadResult.Present(unfinished));
         } else {
             readFromStore(jobId, callback);
--- a/src/main/java/io/kelphoist/admission/JobRecordCache.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordCache.java
@@ -33,7 +33,7 @@
  */
 final class JobRecordCache {
     /** How a round ended. */
-    enum RoundResult {
+    enum RevalidationResult {
         /** The cached records are as of a moment after the readers joined. */
         CURRENT,
         /** Changes may have been missed; all cached records were dropped. */
@@ -50,13 +50,13 @@
     private static final int MAX_TRACKED_REVISIONS = 20_000;
 
     /** The least time between the starts of two rounds. */
-    private static final double ROUND_INTERVAL_SECONDS = 0.02;
+    private static final double REVALIDATION_INTERVAL_SECONDS = 0.02;
 
     /** Without a round for longer than this, reading all changes since costs more than a reset. */
     private static final double MAX_AGE_SECONDS = 5;
 
-    /** The value of {@link #position} while it is not known. */
-    private static final long NO_POSITION = -1;
+    /** The value of {@link #appliedRevision} while it is not known. */
+    private static final long NO_REVISION = -1;
 
     private final StateStoreReader store;
     private final EventLoop loop;
@@ -71,21 +71,21 @@
                     .concurrencyLevel(1)
                     .build();
 
-    private List<Consumer<RoundResult>> nextRoundWaiters = new ArrayList<>();
-    private boolean roundScheduled;
-    private boolean readingPosition;
+    private List<Consumer<RevalidationResult>> revalidationWaiters = new ArrayList<>();
+    private boolean revalidationScheduled;
+    private boolean readingInitialRevision;
 
     /**
-     * The revision up to which all changes were seen. While it is {@link #NO_POSITION}, nothing is
+     * The revision up to which all changes were seen. While it is {@link #NO_REVISION}, nothing is
      * cached.
      */
-    private long position = NO_POSITION;
+    private long appliedRevision = NO_REVISION;
 
     /** The first position of this epoch. */
-    private long firstPosition;
+    private long firstRevision;
 
     /** The time as of which the cached records are known to be current. */
-    private double currentAtSeconds = Double.NEGATIVE_INFINITY;
+    private double currentAsOfSeconds = Double.NEGATIVE_INFINITY;
 
     /** Counts resets; a response to a request that was sent in an earlier epoch is not cached. */
     private long epoch;
@@ -105,41 +105,41 @@
      * started.
      */
     long epoch() {
-        if (!hasPosition() && !readingPosition) {
-            readInitialPosition();
+        if (!hasRevision() && !readingInitialRevision) {
+            readInitialRevision();
         }
-        return hasPosition() ? epoch : NO_POSITION;
+        return hasRevision() ? epoch : NO_REVISION;
     }
 
-    private boolean hasPosition() {
-        return position >= 0;
+    private boolean hasRevision() {
+        return appliedRevision >= 0;
     }
 
     /** Reads the current revision: only changes after a known position can be asked for. */
-    private void readInitialPosition() {
-        readingPosition = true;
+    private void readInitialRevision() {
+        readingInitialRevision = true;
         store.readAll(
                 StateStoreKeys.LEADERSHIP_PREFIX,
                 snapshot -> {
-                    readingPosition = false;
-                    if (snapshot.isPresent() && !hasPosition()) {
-                        position = snapshot.get().revision();
-                        firstPosition = position;
-                        currentAtSeconds = loop.nowSeconds();
+                    readingInitialRevision = false;
+                    if (snapshot.isPresent() && !hasRevision()) {
+                        appliedRevision = snapshot.get().revision();
+                        firstRevision = appliedRevision;
+                        currentAsOfSeconds = loop.nowSeconds();
                     }
                 });
     }
 
     /** Caches an unfinished job's record from the response to a request of the given epoch. */
     void onRead(JobRecord record, long requestEpoch) {
-        if (requestEpoch == epoch && hasPosition()) {
+        if (requestEpoch == epoch && hasRevision()) {
             putIfNewest(record);
         }
     }
 
     /** Caches an unfinished job's record that this controller has just stored. */
     void onWritten(JobRecord record) {
-        if (hasPosition() && record.version() > firstPosition) {
+        if (hasRevision() && record.version() > firstRevision) {
             putIfNewest(record);
         }
     }
@@ -160,7 +160,7 @@
 
     /**
      * Returns a job's cached record, null if there is none. It is as old as {@link #ageSeconds}
-     * says; within a callback of {@link #joinNextRound} it is as current as the round.
+     * says; within a callback of {@link #awaitRevalidation} it is as current as the round.
      */
     JobRecord getIfPresent(String jobId) {
         return records.getIfPresent(jobId);
@@ -168,53 +168,54 @@
 
     /** Returns how old the cached records may be, in seconds. */
     double ageSeconds() {
-        return loop.nowSeconds() - currentAtSeconds;
+        return loop.nowSeconds() - currentAsOfSeconds;
     }
 
     /** Calls back when the next round has ended. */
-    void joinNextRound(Consumer<RoundResult> waiter) {
-        nextRoundWaiters.add(waiter);
-        if (!roundScheduled) {
-            roundScheduled = true;
-            double nextRoundAtSeconds = currentAtSeconds + ROUND_INTERVAL_SECONDS;
-            loop.schedule(Math.max(0, nextRoundAtSeconds - loop.nowSeconds()), this::runRound);
+    void awaitRevalidation(Consumer<RevalidationResult> waiter) {
+        revalidationWaiters.add(waiter);
+        if (!revalidationScheduled) {
+            revalidationScheduled = true;
+            double nextRoundAtSeconds = currentAsOfSeconds + REVALIDATION_INTERVAL_SECONDS;
+            loop.schedule(Math.max(0, nextRoundAtSeconds - loop.nowSeconds()), this::revalidate);
         }
     }
 
-    private void runRound() {
-        List<Consumer<RoundResult>> waiters = nextRoundWaiters;
-        nextRoundWaiters = new ArrayList<>();
-        if (!hasPosition() || ageSeconds() > MAX_AGE_SECONDS) {
+    private void revalidate() {
+        List<Consumer<RevalidationResult>> waiters = revalidationWaiters;
+        revalidationWaiters = new ArrayList<>();
+        if (!hasRevision() || ageSeconds() > MAX_AGE_SECONDS) {
             reset();
-            completeRound(waiters, RoundResult.RESET);
+            completeRevalidation(waiters, RevalidationResult.RESET);
             return;
         }
         double sentAtSeconds = loop.nowSeconds();
         store.changesSince(
                 StateStoreKeys.JOBS_PREFIX,
-                position,
-                response -> completeRound(waiters, applyResponse(response, sentAtSeconds)));
+                appliedRevision,
+                response -> completeRevalidation(waiters, applyResponse(response, sentAtSeconds)));
     }
 
-    private RoundResult applyResponse(
+    private RevalidationResult applyResponse(
             StateStoreResult<StoredChanges> response, double sentAtSeconds) {
         if (!response.isProcessed()) {
-            return RoundResult.UNAVAILABLE;
+            return RevalidationResult.UNAVAILABLE;
         }
         if (response instanceof StateStoreResult.Success<StoredChanges> success
                 && tryApplyChanges(success.value())) {
-            currentAtSeconds = sentAtSeconds;
-            return RoundResult.CURRENT;
+            currentAsOfSeconds = sentAtSeconds;
+            return RevalidationResult.CURRENT;
         }
         reset();
-        return RoundResult.RESET;
+        return RevalidationResult.RESET;
     }
 
-    private void completeRound(List<Consumer<RoundResult>> waiters, RoundResult result) {
+    private void completeRevalidation(
+            List<Consumer<RevalidationResult>> waiters, RevalidationResult result) {
         waiters.forEach(waiter -> waiter.accept(result));
-        roundScheduled = !nextRoundWaiters.isEmpty();
-        if (roundScheduled) {
-            loop.schedule(ROUND_INTERVAL_SECONDS, this::runRound);
+        revalidationScheduled = !revalidationWaiters.isEmpty();
+        if (revalidationScheduled) {
+            loop.schedule(REVALIDATION_INTERVAL_SECONDS, this::revalidate);
         }
     }
 
@@ -227,10 +228,13 @@
             for (RecordChange change : changes.changes()) {
                 applyChange(change);
             }
-            position = Math.max(position, changes.revision());
+            appliedRevision = Math.max(appliedRevision, changes.revision());
             return true;
         } catch (RuntimeException e) {
-            LOG.error("malformed changes of jobs: position={} error={}", position, e.toString());
+            LOG.error(
+                    "malformed changes of jobs: position={} error={}",
+                    appliedRevision,
+                    e.toString());
             return false;
         }
     }
@@ -261,7 +265,7 @@
     private void reset() {
         records.invalidateAll();
         latestRevisions.invalidateAll();
-        position = NO_POSITION;
+        appliedRevision = NO_REVISION;
         epoch++;
     }
 }
--- a/src/main/java/io/kelphoist/admission/MonotonicReads.java
+++ b/src/main/java/io/kelphoist/admission/MonotonicReads.java
@@ -20,12 +20,12 @@
     /** Longer than any read is under way. */
     static final double RETENTION_SECONDS = 20;
 
-    private record Response(JobRecord record, double atSeconds) {}
+    private record Response(JobRecord record, double reportedAtSeconds) {}
 
     /** By job, oldest first. */
     private final Map<String, Response> responses = new LinkedHashMap<>();
 
-    private double newestEvictedAtSeconds = Double.NEGATIVE_INFINITY;
+    private double newestEvictedReportedAtSeconds = Double.NEGATIVE_INFINITY;
 
     /** Remembers that this record is about to be reported to a user. */
     void recordResponse(JobRecord record, double nowSeconds) {
@@ -41,10 +41,11 @@
         for (Iterator<Response> iterator = responses.values().iterator(); iterator.hasNext(); ) {
             Response oldest = iterator.next();
             if (responses.size() <= MAX_ENTRIES
-                    && oldest.atSeconds >= nowSeconds - RETENTION_SECONDS) {
+                    && oldest.reportedAtSeconds >= nowSeconds - RETENTION_SECONDS) {
                 break;
             }
-            newestEvictedAtSeconds = Math.max(newestEvictedAtSeconds, oldest.atSeconds);
+            newestEvictedReportedAtSeconds =
+                    Math.max(newestEvictedReportedAtSeconds, oldest.reportedAtSeconds);
             iterator.remove();
         }
     }
@@ -68,6 +69,8 @@
                     ? result
                     : new JobReadResult.Present(previous.record);
         }
-        return askedAtSeconds <= newestEvictedAtSeconds ? new JobReadResult.Unavailable() : result;
+        return askedAtSeconds <= newestEvictedReportedAtSeconds
+                ? new JobReadResult.Unavailable()
+                : result;
     }
 }
--- a/src/main/java/io/kelphoist/admission/QueryHandler.java
+++ b/src/main/java/io/kelphoist/admission/QueryHandler.java
@@ -47,14 +47,14 @@
     private void trackAndRespond(
             String jobId, AdmissionResult result, Consumer<AdmissionResult> callback) {
         if (!(result instanceof AdmissionResult.RetryLater)) {
-            unansweredJobs.onAnswered(jobId);
-        } else if (unansweredJobs.onUnanswered(jobId, loop.nowSeconds())) {
+            unansweredJobs.onQueryAnswered(jobId);
+        } else if (unansweredJobs.onQueryDeferred(jobId, loop.nowSeconds())) {
             // Queries for other jobs are answered, so the cached record of this one may be at
             // fault.
             LOG.warn(
                     "queries not answered, cached record dropped: job={} waitSeconds={}",
                     jobId,
-                    Math.round(unansweredJobs.waitingSeconds(jobId, loop.nowSeconds())));
+                    Math.round(unansweredJobs.deferredForSeconds(jobId, loop.nowSeconds())));
             lookup.invalidate(jobId);
         }
         callback.accept(result);
@@ -77,7 +77,7 @@
         }
         DependencyCheck check = new DependencyCheck(record, callback);
         DependencyWalk.start(lookup, record.spec().dependencies(), check::onCompleted);
-        check.completedAtOnce = false;
+        check.completedSynchronously = false;
     }
 
     private boolean waitsForDependencies(JobRecord record) {
@@ -92,7 +92,7 @@
         private final Consumer<AdmissionResult> callback;
 
         /** Whether the check is completed within the call that started it. */
-        private boolean completedAtOnce = true;
+        private boolean completedSynchronously = true;
 
         DependencyCheck(JobRecord record, Consumer<AdmissionResult> callback) {
             this.record = record;
@@ -101,26 +101,26 @@
 
         void onCompleted(DependencyStatus status) {
             switch (status) {
-                case INTACT -> respondWithCurrentState();
+                case NONE_CANCELLED -> respondWithCurrentState();
                 case CANCELLED -> cancellations.cancel(record, callback);
-                case UNAVAILABLE -> deferUnsure();
+                case UNAVAILABLE -> deferStateUnknown();
             }
         }
 
         /** The record is read again if the check took a while, since it may be outdated by now. */
         private void respondWithCurrentState() {
-            if (completedAtOnce) {
+            if (completedSynchronously) {
                 responder.respondWithState(record, callback);
                 return;
             }
             responder.withRecord(
                     record.id(),
                     current -> responder.respondWithState(current, callback),
-                    this::deferUnsure,
+                    this::deferStateUnknown,
                     callback);
         }
 
-        private void deferUnsure() {
+        private void deferStateUnknown() {
             responder.defer(record.id(), AdmissionResult.DeferralReason.UNSURE, callback);
         }
     }
--- a/src/main/java/io/kelphoist/admission/SubmissionHandler.java
+++ b/src/main/java/io/kelphoist/admission/SubmissionHandler.java
@@ -24,7 +24,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
 
     /** The version of a record that does not exist yet. */
-    private static final long NOT_STORED = 0;
+    private static final long ABSENT_VERSION = 0;
 
     private final AdmissionRules rules;
     private final JobLookup lookup;
@@ -136,7 +136,11 @@
     private void accept(JobSpec job, JobStatus status, Consumer<AdmissionResult> callback) {
         JobRecord accepted =
                 new JobRecord(
-                        job.id(), job, status, clocks.wallClockMillis().getAsLong(), NOT_STORED);
+                        job.id(),
+                        job,
+                        status,
+                        clocks.wallClockMillis().getAsLong(),
+                        ABSENT_VERSION);
         JobRecordWriter.EncodedRecord encoded = writer.encode(accepted);
         if (!writer.fits(encoded)) {
             rejectTooLarge(job, callback);
--- a/src/main/java/io/kelphoist/admission/UnansweredJobs.java
+++ b/src/main/java/io/kelphoist/admission/UnansweredJobs.java
@@ -14,20 +14,20 @@
     private static final int MAX_JOBS = 1000;
 
     /** A job deferred for this long is due for a recheck, and again after as long. */
-    private static final double RECHECK_INTERVAL_SECONDS = 10;
+    private static final double INVALIDATION_INTERVAL_SECONDS = 10;
 
     /** A job that was not asked about for this long is dropped. */
     private static final double RETENTION_SECONDS = 120;
 
     private static final class UnansweredJob {
-        final double firstAskedAtSeconds;
-        double lastAskedAtSeconds;
-        double recheckedAtSeconds;
+        final double firstDeferredAtSeconds;
+        double lastDeferredAtSeconds;
+        double invalidatedAtSeconds;
 
         UnansweredJob(double nowSeconds) {
-            firstAskedAtSeconds = nowSeconds;
-            lastAskedAtSeconds = nowSeconds;
-            recheckedAtSeconds = nowSeconds;
+            firstDeferredAtSeconds = nowSeconds;
+            lastDeferredAtSeconds = nowSeconds;
+            invalidatedAtSeconds = nowSeconds;
         }
     }
 
@@ -35,7 +35,7 @@
     private final Map<String, UnansweredJob> jobs = new LinkedHashMap<>();
 
     /** Drops a job, as a query for it was answered. */
-    synchronized void onAnswered(String jobId) {
+    synchronized void onQueryAnswered(String jobId) {
         jobs.remove(jobId);
     }
 
@@ -44,35 +44,36 @@
      *
      * @return whether the job is due for a recheck of what is cached of it
      */
-    synchronized boolean onUnanswered(String jobId, double nowSeconds) {
+    synchronized boolean onQueryDeferred(String jobId, double nowSeconds) {
         UnansweredJob job = jobs.get(jobId);
         if (job == null) {
-            dropAbandoned(nowSeconds);
+            evictInactive(nowSeconds);
             if (jobs.size() < MAX_JOBS) {
                 jobs.put(jobId, new UnansweredJob(nowSeconds));
             }
             return false;
         }
-        job.lastAskedAtSeconds = nowSeconds;
-        if (nowSeconds - job.recheckedAtSeconds < RECHECK_INTERVAL_SECONDS) {
+        job.lastDeferredAtSeconds = nowSeconds;
+        if (nowSeconds - job.invalidatedAtSeconds < INVALIDATION_INTERVAL_SECONDS) {
             return false;
         }
-        job.recheckedAtSeconds = nowSeconds;
+        job.invalidatedAtSeconds = nowSeconds;
         return true;
     }
 
-    private void dropAbandoned(double nowSeconds) {
+    private void evictInactive(double nowSeconds) {
         for (Iterator<UnansweredJob> iterator = jobs.values().iterator();
                 iterator.hasNext()
-                        && nowSeconds - iterator.next().lastAskedAtSeconds > RETENTION_SECONDS; ) {
+                        && nowSeconds - iterator.next().lastDeferredAtSeconds
+                                > RETENTION_SECONDS; ) {
             iterator.remove();
         }
     }
 
     /** Returns for how long queries for a job have been deferred, 0 if they are answered. */
-    synchronized double waitingSeconds(String jobId, double nowSeconds) {
+    synchronized double deferredForSeconds(String jobId, double nowSeconds) {
         UnansweredJob job = jobs.get(jobId);
-        return job == null ? 0 : nowSeconds - job.firstAskedAtSeconds;
+        return job == null ? 0 : nowSeconds - job.firstDeferredAtSeconds;
     }
 
     /** Returns the number of jobs whose queries are being deferred. */
@@ -85,7 +86,7 @@
      */
     public synchronized double longestDeferralSeconds(double nowSeconds) {
         return jobs.values().stream()
-                .mapToDouble(job -> nowSeconds - job.firstAskedAtSeconds)
+                .mapToDouble(job -> nowSeconds - job.firstDeferredAtSeconds)
                 .max()
                 .orElse(0);
     }
--- a/src/main/java/io/kelphoist/statestore/GroupCommitter.java
+++ b/src/main/java/io/kelphoist/statestore/GroupCommitter.java
@@ -97,9 +97,9 @@
      * A transaction usually takes some 10 ms; the next one no longer waits for one that takes
      * longer than this.
      */
-    private static final double USUAL_LATENCY_SECONDS = 0.25;
+    private static final double SLOW_TRANSACTION_SECONDS = 0.25;
 
-    private static final double LATENCY_CHECK_MARGIN_SECONDS = 0.001;
+    private static final double SLOW_CHECK_MARGIN_SECONDS = 0.001;
     private static final double WRITE_BURST_SECONDS = 0.9;
     private static final double MIN_PAUSE_SECONDS = 0.01;
 
@@ -109,7 +109,7 @@
     private final StateStoreWriter stateWriter;
     private final EventLoop loop;
     private final TokenBucket writeLimiter;
-    private final int maxChanges;
+    private final int maxMutations;
     private final Deque<Write> urgentQueue = new ArrayDeque<>();
     private final Deque<Write> normalQueue = new ArrayDeque<>();
 
@@ -120,10 +120,10 @@
     private int inFlight;
 
     /** Number of the transaction that was sent last. */
-    private long newestTransaction;
+    private long newestTransactionNumber;
 
     private double newestSentAtSeconds;
-    private boolean newestAnswered = true;
+    private boolean newestHasResponse = true;
 
     /**
      * Creates a committer.
@@ -136,7 +136,7 @@
         this.stateWriter = stateWriter;
         this.loop = loop;
         this.writeLimiter = new TokenBucket(writesPerSecond, WRITE_BURST_SECONDS);
-        this.maxChanges = maxChanges;
+        this.maxMutations = maxChanges;
     }
 
     /** Returns the number of writes that have not been sent. */
@@ -186,12 +186,12 @@
     private boolean mustWait() {
         return paused
                 || inFlight >= MAX_IN_FLIGHT
-                || (!newestAnswered
-                        && loop.nowSeconds() < newestSentAtSeconds + USUAL_LATENCY_SECONDS);
+                || (!newestHasResponse
+                        && loop.nowSeconds() < newestSentAtSeconds + SLOW_TRANSACTION_SECONDS);
     }
 
     private List<Write> nextBatch() {
-        WriteBatch batch = new WriteBatch(maxBatchSize, maxChanges);
+        WriteBatch batch = new WriteBatch(maxBatchSize, maxMutations);
         for (Write write : Iterables.concat(urgentQueue, normalQueue)) {
             if (!batch.tryAdd(write)) {
                 break;
@@ -232,16 +232,16 @@
 
     private void send(List<Write> batch) {
         inFlight++;
-        long transaction = ++newestTransaction;
+        long transaction = ++newestTransactionNumber;
         newestSentAtSeconds = loop.nowSeconds();
-        newestAnswered = false;
-        loop.schedule(USUAL_LATENCY_SECONDS + LATENCY_CHECK_MARGIN_SECONDS, this::sendNext);
+        newestHasResponse = false;
+        loop.schedule(SLOW_TRANSACTION_SECONDS + SLOW_CHECK_MARGIN_SECONDS, this::sendNext);
         stateWriter.commit(
                 WriteBatch.conditionsOf(batch),
-                WriteBatch.changesOf(batch),
+                WriteBatch.mutationsOf(batch),
                 result -> {
                     inFlight--;
-                    newestAnswered |= transaction == newestTransaction;
+                    newestHasResponse |= transaction == newestTransactionNumber;
                     complete(batch, result);
                     sendNext();
                 });
--- a/src/main/java/io/kelphoist/statestore/RecordWatcher.java
+++ b/src/main/java/io/kelphoist/statestore/RecordWatcher.java
@@ -45,20 +45,20 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(RecordWatcher.class);
     private static final double RETRY_DELAY_SECONDS = 0.25;
-    private static final long UNKNOWN_REVISION = -1;
+    private static final long NO_REVISION = -1;
 
     private final StateStoreWatcher watcher;
     private final EventLoop loop;
     private final String prefix;
     private final int holdMillis;
     private final Listener listener;
-    private double pollIntervalSeconds;
+    private double requestPauseSeconds;
 
     /** Incremented to abandon whatever is in flight. */
     private long generation;
 
     /** Revision up to which the records are known. */
-    private long knownRevision = UNKNOWN_REVISION;
+    private long deliveredRevision = NO_REVISION;
 
     /**
      * Incremented whenever the revision is forgotten: changes that were requested before do not
@@ -66,7 +66,7 @@
      */
     private long revisionEpoch;
 
-    private boolean following;
+    private boolean watching;
 
     /**
      * Whether the store holds a request for changes. There is never a second one, as each takes a
@@ -98,21 +98,21 @@
      * @param pauseSeconds pause between two requests; what changes meanwhile comes with one answer
      */
     public void watch(double pauseSeconds) {
-        pollIntervalSeconds = pauseSeconds;
-        following = true;
+        requestPauseSeconds = pauseSeconds;
+        watching = true;
         requestNext(++generation);
     }
 
     /** Stops following. The known revision is kept for {@link #watch} and {@link #catchUp}. */
     public void stop() {
-        following = false;
+        watching = false;
         generation++;
     }
 
     /** Stops following and forgets the known revision: the next request reads a snapshot. */
     public void reset() {
         stop();
-        forgetRevision();
+        discardRevision();
     }
 
     /**
@@ -120,12 +120,12 @@
      * call.
      */
     public void catchUp(Runnable onCaughtUp) {
-        following = false;
+        watching = false;
         catchUp(++generation, onCaughtUp);
     }
 
     private void catchUp(long expectedGeneration, Runnable onCaughtUp) {
-        if (knownRevision < 0) {
+        if (deliveredRevision < 0) {
             readSnapshot(
                     expectedGeneration,
                     onCaughtUp,
@@ -135,7 +135,7 @@
         double requestedAtSeconds = loop.nowSeconds();
         watcher.changesSince(
                 prefix,
-                knownRevision,
+                deliveredRevision,
                 result -> {
                     if (expectedGeneration != generation) {
                         return;
@@ -156,7 +156,7 @@
     }
 
     private void requestNext(long expectedGeneration) {
-        if (knownRevision < 0) {
+        if (deliveredRevision < 0) {
             readSnapshot(
                     expectedGeneration,
                     () -> requestNext(expectedGeneration),
@@ -172,20 +172,20 @@
         long requestEpoch = revisionEpoch;
         watcher.awaitChanges(
                 prefix,
-                knownRevision,
+                deliveredRevision,
                 holdMillis,
-                result -> onWatchAnswered(result, requestEpoch, requestedAtSeconds));
+                result -> onWatchResponse(result, requestEpoch, requestedAtSeconds));
     }
 
-    private void onWatchAnswered(
+    private void onWatchResponse(
             StateStoreResult<StoredChanges> result, long requestEpoch, double requestedAtSeconds) {
         watchInFlight = false;
-        if (!following) {
+        if (!watching) {
             return;
         }
         boolean applied = requestEpoch == revisionEpoch && applyChanges(result, requestedAtSeconds);
         boolean failed = !applied && requestEpoch == revisionEpoch;
-        scheduleNext(generation, failed ? RETRY_DELAY_SECONDS : pollIntervalSeconds);
+        scheduleNext(generation, failed ? RETRY_DELAY_SECONDS : requestPauseSeconds);
     }
 
     private void scheduleNext(long expectedGeneration, double delaySeconds) {
@@ -228,7 +228,7 @@
             listener.onStale();
             return false;
         }
-        knownRevision = snapshot.get().revision();
+        deliveredRevision = snapshot.get().revision();
         listener.onSnapshot(snapshot.get(), requestedAtSeconds);
         return true;
     }
@@ -237,23 +237,23 @@
     private boolean applyChanges(
             StateStoreResult<StoredChanges> result, double requestedAtSeconds) {
         if (result instanceof StateStoreResult.Success<StoredChanges> success) {
-            knownRevision = Math.max(knownRevision, success.value().revision());
-            listener.onChanges(success.value().changes(), knownRevision, requestedAtSeconds);
+            deliveredRevision = Math.max(deliveredRevision, success.value().revision());
+            listener.onChanges(success.value().changes(), deliveredRevision, requestedAtSeconds);
             return true;
         }
         if (result.isRejectedFor(Reason.COMPACTED)) {
             LOG.info(
                     "changes compacted by the state store, reading a snapshot: prefix={} revision={}",
                     prefix,
-                    knownRevision);
-            forgetRevision();
+                    deliveredRevision);
+            discardRevision();
         }
         listener.onStale();
         return false;
     }
 
-    private void forgetRevision() {
-        knownRevision = UNKNOWN_REVISION;
+    private void discardRevision() {
+        deliveredRevision = NO_REVISION;
         revisionEpoch++;
     }
 }
--- a/src/main/java/io/kelphoist/statestore/StateStoreClient.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreClient.java
@@ -132,7 +132,7 @@
         send(
                 StateStoreRequests.renewLease(leaseId),
                 true,
-                StateStoreResponses.knownLeaseId(leaseId),
+                StateStoreResponses.requestedLeaseId(leaseId),
                 callback);
     }
 
@@ -146,7 +146,7 @@
         send(
                 StateStoreRequests.revokeLease(leaseId),
                 true,
-                StateStoreResponses.knownLeaseId(leaseId),
+                StateStoreResponses.requestedLeaseId(leaseId),
                 result -> onCompleted.run());
     }
 
@@ -227,7 +227,7 @@
                     StateStoreResponses.NOT_FOUND,
                     StateStoreResponses.CONFLICT,
                     StateStoreResponses.GONE ->
-                    decodeAnswer(response, decoder);
+                    decodeResponse(response, decoder);
             case StateStoreResponses.TOO_MANY_REQUESTS -> {
                 requestLimiter.blockFor(RATE_LIMITED_PAUSE_SECONDS, loop.nowSeconds());
                 yield new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED);
@@ -243,11 +243,11 @@
         };
     }
 
-    private <T> StateStoreResult<T> decodeAnswer(
+    private <T> StateStoreResult<T> decodeResponse(
             HttpHostClient.Response response, StateStoreResponses.Decoder<T> decoder) {
         try {
             StateStoreResult<T> result =
-                    StateStoreResponses.decodeAnswer(response.status(), response.body(), decoder);
+                    StateStoreResponses.decodeResponse(response.status(), response.body(), decoder);
             lastSuccessAtSeconds = loop.nowSeconds();
             failingSinceSeconds = Double.NaN;
             return result;
--- a/src/main/java/io/kelphoist/statestore/TokenBucket.java
+++ b/src/main/java/io/kelphoist/statestore/TokenBucket.java
@@ -6,11 +6,11 @@
  * <p>Owns its tokens. Not thread safe.
  */
 public final class TokenBucket {
-    private final double permitsPerSecond;
+    private final double tokensPerSecond;
     private final double capacity;
 
     /** Negative after permits were taken unconditionally. */
-    private double tokens;
+    private double availableTokens;
 
     private double refilledAtSeconds;
     private double blockedUntilSeconds;
@@ -21,9 +21,9 @@
      * @param burstSeconds the bucket holds the permits of this many seconds, at least one
      */
     public TokenBucket(double permitsPerSecond, double burstSeconds) {
-        this.permitsPerSecond = permitsPerSecond;
+        this.tokensPerSecond = permitsPerSecond;
         this.capacity = Math.max(1, permitsPerSecond * burstSeconds);
-        this.tokens = capacity;
+        this.availableTokens = capacity;
     }
 
     /**
@@ -32,10 +32,10 @@
      */
     public boolean tryAcquire(double permits, double nowSeconds) {
         refill(nowSeconds);
-        if (nowSeconds < blockedUntilSeconds || tokens < Math.min(permits, capacity)) {
+        if (nowSeconds < blockedUntilSeconds || availableTokens < Math.min(permits, capacity)) {
             return false;
         }
-        tokens -= permits;
+        availableTokens -= permits;
         return true;
     }
 
@@ -43,14 +43,14 @@
     public double secondsUntilAvailable(double permits, double nowSeconds) {
         refill(nowSeconds);
         double secondsBlocked = Math.max(0, blockedUntilSeconds - nowSeconds);
-        double secondsToRefill = (Math.min(permits, capacity) - tokens) / permitsPerSecond;
+        double secondsToRefill = (Math.min(permits, capacity) - availableTokens) / tokensPerSecond;
         return Math.max(secondsBlocked, secondsToRefill);
     }
 
     /** Takes permits whether they are available or not, for work that must not wait. */
     public void acquireUnconditionally(double permits, double nowSeconds) {
         refill(nowSeconds);
-        tokens -= permits;
+        availableTokens -= permits;
     }
 
     /** Grants no permits for a while, after the other side refused a request. */
@@ -60,7 +60,7 @@
 
     private void refill(double nowSeconds) {
         double elapsedSeconds = Math.max(0, nowSeconds - refilledAtSeconds);
-        tokens = Math.min(capacity, tokens + elapsedSeconds * permitsPerSecond);
+        availableTokens = Math.min(capacity, availableTokens + elapsedSeconds * tokensPerSecond);
         refilledAtSeconds = nowSeconds;
     }
 }
--- a/src/main/java/io/kelphoist/statestore/WriteBatch.java
+++ b/src/main/java/io/kelphoist/statestore/WriteBatch.java
@@ -20,14 +20,14 @@
     private static final int MAX_BYTES = 48 * 1024;
 
     /** Conditions that a transaction may have for each change that it may have. */
-    private static final int CONDITIONS_PER_CHANGE = 4;
+    private static final int MAX_CONDITIONS_PER_MUTATION = 4;
 
     private final int maxWrites;
-    private final int maxChanges;
+    private final int maxMutations;
     private final List<GroupCommitter.Write> writes = new ArrayList<>();
-    private final Set<String> changedKeys = new HashSet<>();
+    private final Set<String> mutatedKeys = new HashSet<>();
     private final Map<String, Long> expectedVersions = new HashMap<>();
-    private int changeCount;
+    private int mutationCount;
     private int totalBytes;
 
     /**
@@ -38,20 +38,21 @@
      */
     WriteBatch(int maxWrites, int maxChanges) {
         this.maxWrites = maxWrites;
-        this.maxChanges = maxChanges;
+        this.maxMutations = maxChanges;
     }
 
     /** Adds a write; false if the batch is complete without it. No more may be added then. */
     boolean tryAdd(GroupCommitter.Write write) {
-        changeCount += write.mutations().size();
+        mutationCount += write.mutations().size();
         totalBytes += write.sizeBytes();
         if (!writes.isEmpty() && (exceedsLimits() || conflictsWith(write))) {
             return false;
         }
-        write.mutations().forEach(change -> changedKeys.add(change.key()));
+        write.mutations().forEach(change -> mutatedKeys.add(change.key()));
         write.conditions()
                 .forEach(condition -> expectedVersions.put(condition.key(), condition.version()));
-        if (!writes.isEmpty() && expectedVersions.size() > maxChanges * CONDITIONS_PER_CHANGE) {
+        if (!writes.isEmpty()
+                && expectedVersions.size() > maxMutations * MAX_CONDITIONS_PER_MUTATION) {
             return false;
         }
         writes.add(write);
@@ -72,7 +73,7 @@
     }
 
     /** Changes of all writes. */
-    static List<RecordMutation> changesOf(List<GroupCommitter.Write> writes) {
+    static List<RecordMutation> mutationsOf(List<GroupCommitter.Write> writes) {
         List<RecordMutation> changes = new ArrayList<>();
         for (GroupCommitter.Write write : writes) {
             changes.addAll(write.mutations());
@@ -81,12 +82,12 @@
     }
 
     private boolean exceedsLimits() {
-        return writes.size() >= maxWrites || changeCount > maxChanges || totalBytes > MAX_BYTES;
+        return writes.size() >= maxWrites || mutationCount > maxMutations || totalBytes > MAX_BYTES;
     }
 
     private boolean conflictsWith(GroupCommitter.Write write) {
         for (RecordMutation change : write.mutations()) {
-            if (changedKeys.contains(change.key())) {
+            if (mutatedKeys.contains(change.key())) {
                 return true;
             }
         }
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreResponses.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreResponses.java
@@ -81,7 +81,7 @@
     }
 
     /** Returns the id of a lease that the request named, whatever the body says. */
-    public static Decoder<Long> knownLeaseId(long leaseId) {
+    public static Decoder<Long> requestedLeaseId(long leaseId) {
         return body -> leaseId;
     }
 
@@ -91,8 +91,8 @@
      *
      * @throws MalformedMessageException if the body is not a message
      */
-    public static <T> StateStoreResult<T> decodeAnswer(int status, byte[] bytes, Decoder<T> decoder)
-            throws MalformedMessageException {
+    public static <T> StateStoreResult<T> decodeResponse(
+            int status, byte[] bytes, Decoder<T> decoder) throws MalformedMessageException {
         ObjectNode body =
                 bytes.length == 0 ? MessageEncoding.newObject() : MessageEncoding.decodeCbor(bytes);
         return switch (status) {
--- a/src/main/java/io/kelphoist/wire/JobStateMessage.java
+++ b/src/main/java/io/kelphoist/wire/JobStateMessage.java
@@ -18,21 +18,21 @@
         /** The job was cancelled. */
         CANCELLED("aborted");
 
-        private final String word;
+        private final String encodedName;
 
         State(String word) {
-            this.word = word;
+            this.encodedName = word;
         }
     }
 
     /** Encodes the response to a submission by which the job was stored, in CBOR. */
     public byte[] encodeAccepted() {
-        return MessageEncoding.encodeCbor(JobCodec.encodeAccepted(jobId, state.word));
+        return MessageEncoding.encodeCbor(JobCodec.encodeAccepted(jobId, state.encodedName));
     }
 
     /** Encodes the response to other requests, in CBOR. */
     public byte[] encode() {
         return MessageEncoding.encodeCbor(
-                JobCodec.encodeJobState(jobId, state.word, doneTasks, runningTasks));
+                JobCodec.encodeJobState(jobId, state.encodedName, doneTasks, runningTasks));
     }
 }
--- a/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
@@ -44,12 +44,12 @@
             new Team("t", new Resources(1e6, 4, 1e6), new Resources(1e6, 8, 1e6));
     private static final MachineType TYPE =
             new MachineType("m", new Resources(8, 2, 64), 50, 1, 8, 3, 25, List.of("a"));
-    private static int finalAnswers;
-    private static int retryLaterAnswers;
+    private static int finalResponses;
+    private static int deferredResponses;
     private static int lateWrites;
     private static int cancelledDependents;
     private static int lostResponses;
-    private static int overtakenAnswers;
+    private static int overtakenResponses;
 
     private final class Controller {
         final Set<String> recordedCancellations = new HashSet<>();
@@ -57,8 +57,8 @@
         /** The last phase that this controller reported of each job. */
         final Map<String, AdmissionResult.Phase> reportedPhases = new HashMap<>();
 
-        boolean refused;
-        final StateStoreSimulation.View view = store.viewFor(() -> refused);
+        boolean storeUnreachable;
+        final StateStoreSimulation.View view = store.viewFor(() -> storeUnreachable);
         final Admission admission =
                 Admission.create(
                         new Admission.StoreAccess(
@@ -88,7 +88,7 @@
     /** Jobs whose users query all controllers whenever an answer has a new phase. */
     private Set<String> watchedJobs;
 
-    private void begin(int seed) {
+    private void reset(int seed) {
         store = new StateStoreSimulation(seed, 0);
         storedJobs = new StoredJobs(store);
         controllers = new ArrayList<>();
@@ -109,12 +109,12 @@
         return new JobSpecBuilder("job-" + number).dependencies(dependencies).build();
     }
 
-    private AnswerCheck checkOf(int number, Controller controller) {
-        return new AnswerCheck(number, controller);
+    private ResponseCheck newCheck(int number, Controller controller) {
+        return new ResponseCheck(number, controller);
     }
 
     /** Compares an answer with all answers that were given before the request was sent. */
-    private final class AnswerCheck implements Consumer<AdmissionResult> {
+    private final class ResponseCheck implements Consumer<AdmissionResult> {
         private final int number;
         private final String id;
         private final Controller controller;
@@ -126,9 +126,9 @@
         /** The time in which the cancellation of a dependency has to reach this job is over. */
         private final boolean cancellationDue;
 
-        private boolean answered;
+        private boolean hasResponse;
 
-        AnswerCheck(int number, Controller controller) {
+        ResponseCheck(int number, Controller controller) {
             this.number = number;
             this.controller = controller;
             id = "job-" + number;
@@ -152,10 +152,10 @@
 
         @Override
         public void accept(AdmissionResult answer) {
-            assertTrue(!answered, id + " is answered twice");
-            answered = true;
+            assertTrue(!hasResponse, id + " is answered twice");
+            hasResponse = true;
             if (answer instanceof AdmissionResult.RetryLater) {
-                retryLaterAnswers++;
+                deferredResponses++;
                 return;
             }
             AdmissionResult.JobStateView job = jobOf(answer);
@@ -167,7 +167,7 @@
             assertAgreesWithController(answer, now);
             boolean news =
                     reported.get(id) == null || (now.isFinal() && !reported.get(id).isFinal());
-            assertAgreesWithAllAnswers(now);
+            assertAgreesWithAllResponses(now);
             recordPhase(now);
             if (news && watchedJobs.contains(id)) {
                 queryEverywhere(number);
@@ -199,11 +199,11 @@
                             || now == AdmissionResult.Phase.CANCELLED
                             || answer instanceof AdmissionResult.Found,
                     id + " is accepted as " + now + ", and a dependency was called cancelled");
-            overtakenAnswers += here != null && here.isFinal() && before != here ? 1 : 0;
+            overtakenResponses += here != null && here.isFinal() && before != here ? 1 : 0;
             controller.reportedPhases.put(id, now);
         }
 
-        private void assertAgreesWithAllAnswers(AdmissionResult.Phase now) {
+        private void assertAgreesWithAllResponses(AdmissionResult.Phase now) {
             assertTrue(
                     before == null || !before.isFinal() || before == now,
                     id + " was called " + before + " and is called " + now);
@@ -222,7 +222,7 @@
                     && cancelledAt.putIfAbsent(id, store.nowSeconds()) == null) {
                 cancelledDependents += spec(number).dependencies().isEmpty() ? 0 : 1;
             }
-            finalAnswers += now.isFinal() ? 1 : 0;
+            finalResponses += now.isFinal() ? 1 : 0;
         }
     }
 
@@ -232,18 +232,20 @@
             Controller controller = controllers.get(i % CONTROLLERS);
             store.schedule(
                     0.001 * i,
-                    () -> controller.admission.query("job-" + number, checkOf(number, controller)));
+                    () ->
+                            controller.admission.query(
+                                    "job-" + number, newCheck(number, controller)));
         }
         Controller again = controllers.get(number % CONTROLLERS);
-        store.schedule(0.002, () -> again.admission.submit(spec(number), checkOf(number, again)));
+        store.schedule(0.002, () -> again.admission.submit(spec(number), newCheck(number, again)));
         if (number % 4 == 0) {
             Controller other = controllers.get((number + 1) % CONTROLLERS);
             store.schedule(
-                    0.003, () -> other.admission.cancel("job-" + number, checkOf(number, other)));
+                    0.003, () -> other.admission.cancel("job-" + number, newCheck(number, other)));
         }
     }
 
-    private void step(int step) {
+    private void runStep(int step) {
         int number = step % JOBS;
         Controller controller = controllers.get(step / JOBS % CONTROLLERS);
         int action = step / JOBS / CONTROLLERS;
@@ -252,16 +254,16 @@
             case 0, 1, 2 -> {
                 // Users name only accepted jobs as dependencies.
                 if (spec(number).dependencies().stream().allMatch(reported::containsKey)) {
-                    controller.admission.submit(spec(number), checkOf(number, controller));
+                    controller.admission.submit(spec(number), newCheck(number, controller));
                 }
             }
             case 3, 4 -> {
                 if (reported.containsKey("job-" + number)) {
-                    controller.admission.cancel("job-" + number, checkOf(number, controller));
+                    controller.admission.cancel("job-" + number, newCheck(number, controller));
                 }
             }
             case 5 -> storeDone(number);
-            case 6 -> controller.refused = argument % 2 == 0;
+            case 6 -> controller.storeUnreachable = argument % 2 == 0;
             case 7 -> store.faults().setDown(argument % 2 == 0);
             case 8 -> store.faults().setLateWritesPerTen(argument % 6);
             case 11 -> watchedJobs.add("job-" + number);
@@ -272,7 +274,7 @@
                 }
             }
             case 10 -> store.advance(2.0 * argument);
-            default -> controller.admission.query("job-" + number, checkOf(number, controller));
+            default -> controller.admission.query("job-" + number, newCheck(number, controller));
         }
         store.advance(argument / 4.0);
     }
@@ -287,24 +289,24 @@
     }
 
     @Property(tries = 3000, seed = "20261205")
-    void answersAreNeverOlderThanEarlierAnswers(
+    void responsesAreNeverOlderThanEarlierResponses(
             @ForAll @Size(min = 20, max = 120) List<@IntRange(min = 0, max = 3071) Integer> steps,
             @ForAll @IntRange(min = 0, max = 996) int seed) {
-        begin(seed);
-        steps.forEach(this::step);
+        reset(seed);
+        steps.forEach(this::runStep);
         lateWrites += store.lateWrites();
         lostResponses += store.lostResponses();
         // After all faults have ended, the second query of each job is answered.
         store.faults().setDown(false);
         store.faults().setLateWritesPerTen(0);
         store.faults().setLostResponsesPerTen(0);
-        controllers.forEach(controller -> controller.refused = false);
+        controllers.forEach(controller -> controller.storeUnreachable = false);
         store.advance(40);
         for (int number = 0; number < JOBS; number++) {
             for (Controller controller : controllers) {
                 AdmissionResult[] last = new AdmissionResult[1];
                 for (int i = 0; i < 2; i++) {
-                    AnswerCheck check = checkOf(number, controller);
+                    ResponseCheck check = newCheck(number, controller);
                     controller.admission.query(
                             "job-" + number,
                             answer -> {
@@ -323,23 +325,23 @@
     @AfterContainer
     static void faultsHappenedOftenEnough() {
         assertTrue(
-                finalAnswers > 10_000
-                        && retryLaterAnswers > 5_000
+                finalResponses > 10_000
+                        && deferredResponses > 5_000
                         && lateWrites > 150
                         && cancelledDependents > 500,
-                finalAnswers
+                finalResponses
                         + " final answers, "
-                        + retryLaterAnswers
+                        + deferredResponses
                         + " deferred, "
                         + lateWrites
                         + " late writes, "
                         + cancelledDependents
                         + " dependents cancelled");
         assertTrue(
-                lostResponses > 300 && overtakenAnswers > 100,
+                lostResponses > 300 && overtakenResponses > 100,
                 lostResponses
                         + " responses lost, "
-                        + overtakenAnswers
+                        + overtakenResponses
                         + " requests overtaken by a final answer");
     }
 
@@ -348,18 +350,18 @@
      */
     @Test
     void cancellationIsRecordedBeforeItIsReported() {
-        begin(1);
+        reset(1);
         Controller first = controllers.get(0);
-        first.admission.submit(spec(0), checkOf(0, first));
+        first.admission.submit(spec(0), newCheck(0, first));
         store.advance(5);
-        first.admission.cancel("job-0", checkOf(0, first));
+        first.admission.cancel("job-0", newCheck(0, first));
         store.advance(5);
         assertEquals(Set.of("job-0"), first.recordedCancellations);
         for (Controller other : controllers.subList(1, 3)) {
             assertEquals(Set.of(), other.recordedCancellations);
         }
-        controllers.get(1).admission.submit(spec(0), checkOf(0, controllers.get(1)));
-        controllers.get(2).admission.submit(spec(1), checkOf(1, controllers.get(2)));
+        controllers.get(1).admission.submit(spec(0), newCheck(0, controllers.get(1)));
+        controllers.get(2).admission.submit(spec(1), newCheck(1, controllers.get(2)));
         store.advance(5);
         assertEquals(Set.of("job-0"), controllers.get(1).recordedCancellations);
         // Accepted as cancelled, as its dependency is.
--- a/src/test/java/io/kelphoist/admission/FreshReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/FreshReadsTest.java
@@ -31,14 +31,14 @@
     private StateStoreSimulation store;
     private StoredJobs storedJobs;
     private JobLookup lookup;
-    private int answers;
+    private int resultCount;
 
     /** jqwik runs all tries on one instance. */
-    private void begin(int salt) {
+    private void reset(int salt) {
         store = new StateStoreSimulation(salt, 0);
         storedJobs = new StoredJobs(store);
         lookup = new JobLookup(store, store, 1);
-        answers = 0;
+        resultCount = 0;
     }
 
     private static int rank(JobReadResult found) {
@@ -55,7 +55,7 @@
                 .orElse(RANK_ABSENT);
     }
 
-    private void step(int step) {
+    private void runStep(int step) {
         String id = "job-" + step % JOBS;
         switch (step / JOBS % 16) {
             case 0, 1, 2 -> acceptHere(id, step);
@@ -119,7 +119,7 @@
         lookup.read(
                 id,
                 found -> {
-                    answers++;
+                    resultCount++;
                     assertTrue(
                             rank(found) >= leastRank,
                             () -> id + " was read as " + found + " after rank " + leastRank);
@@ -133,8 +133,8 @@
     void resultIsNeverOlderThanTheRequest(
             @ForAll @Size(min = 20, max = 200) List<@IntRange(min = 0, max = 9599) Integer> steps,
             @ForAll @IntRange(min = 0, max = 996) int salt) {
-        begin(salt);
-        steps.forEach(this::step);
+        reset(salt);
+        steps.forEach(this::runStep);
         store.advance(30);
     }
 
@@ -157,7 +157,7 @@
      */
     @Test
     void evictedFinalJobIsReadAgain() {
-        begin(0);
+        reset(0);
         for (int i = 0; i <= JobLookup.MAX_CACHED_JOBS; i++) {
             storeFinal("job-" + i, i % 2 == 0);
             assertEquals(i % 2 == 0 ? "DONE" : "CANCELLED", readStatus(i));
@@ -176,7 +176,7 @@
      */
     @Test
     void evictedUnfinishedJobsAreReadAsStored() {
-        begin(0);
+        reset(0);
         int jobs = JobRecordCache.MAX_CACHED_JOBS + 50;
         // given
         for (int round = 0; round < 2; round++) {
@@ -214,19 +214,19 @@
     /** A hundred concurrent reads cost a few requests, not a hundred. */
     @Test
     void concurrentReadsShareRequests() {
-        begin(0);
+        reset(0);
         storedJobs.putActive("job-1");
         for (int round = 0; round < 3; round++) {
             // The first reads find the revision and the record.
-            lookup.read("job-1", found -> answers++);
+            lookup.read("job-1", found -> resultCount++);
             store.advance(1);
         }
         int before = store.requests().size();
         for (int i = 0; i < 100; i++) {
-            lookup.read("job-1", found -> answers++);
+            lookup.read("job-1", found -> resultCount++);
         }
         store.advance(1);
-        assertEquals(103, answers);
+        assertEquals(103, resultCount);
         assertTrue(store.requests().size() - before <= 2, () -> store.requests().toString());
     }
 }
--- a/src/test/java/io/kelphoist/admission/MonotonicReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/MonotonicReadsTest.java
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void answersAreNotOlderThanEarlierAnswers() {
+    void resultsAreNotOlderThanEarlierResponses() {
         assertEquals(active(1, 5), ensureMonotonic(active(1, 5), 0));
         assertEquals(new JobReadResult.Absent(), ensureMonotonic(new JobReadResult.Absent(), 0));
         reads.recordResponse(jobRecord(1, JobStatus.ACTIVE, 5), 1);
--- a/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
+++ b/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
@@ -30,12 +30,12 @@
             {"name_id":"job-77","catch":"c","crew":"t","rig":"batch","tide":"normal","fronds":2,"cpus":1.0,"accelerators":1.0,"ram_gb":1.0,
              "spore":"i","image_gb":1.0,"hulls":null,"bed":null,"same_place":false,"scatter":false,"driftwood":false,"haul_s":60.0,
              "mooring_s":0.0,"stow_s":0.0,"landfall_s":null}""";
-    private static final Resources ROOM = new Resources(8, 2, 64);
+    private static final Resources CAPACITY = new Resources(8, 2, 64);
     private static final FixedMachineTypes TYPES =
             new FixedMachineTypes(
                     List.of(
-                            new MachineType("m", ROOM, 50, 1, 8, 3, 25, List.of("a", "b")),
-                            new MachineType("one-zone", ROOM, 50, 1, 8, 3, 25, List.of("a"))));
+                            new MachineType("m", CAPACITY, 50, 1, 8, 3, 25, List.of("a", "b")),
+                            new MachineType("one-zone", CAPACITY, 50, 1, 8, 3, 25, List.of("a"))));
 
     private static void setField(ObjectNode message, String field, String value)
             throws MalformedMessageException {
--- a/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
+++ b/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
@@ -12,15 +12,15 @@
 
     @Test
     void deferredJobIsDueForARecheckEveryTenSeconds() {
-        assertFalse(unanswered.onUnanswered("job-1", 100));
-        assertFalse(unanswered.onUnanswered("job-1", 105));
-        assertTrue(unanswered.onUnanswered("job-1", 110));
-        assertFalse(unanswered.onUnanswered("job-1", 115));
-        assertTrue(unanswered.onUnanswered("job-1", 120));
+        assertFalse(unanswered.onQueryDeferred("job-1", 100));
+        assertFalse(unanswered.onQueryDeferred("job-1", 105));
+        assertTrue(unanswered.onQueryDeferred("job-1", 110));
+        assertFalse(unanswered.onQueryDeferred("job-1", 115));
+        assertTrue(unanswered.onQueryDeferred("job-1", 120));
         assertEquals(20, unanswered.longestDeferralSeconds(120), 1e-9);
-        unanswered.onAnswered("job-1");
+        unanswered.onQueryAnswered("job-1");
         assertEquals(0, unanswered.size());
-        assertFalse(unanswered.onUnanswered("job-1", 121));
+        assertFalse(unanswered.onQueryDeferred("job-1", 121));
         assertEquals(1, unanswered.longestDeferralSeconds(122), 1e-9);
     }
 
@@ -31,10 +31,10 @@
     @Test
     void jobsWithoutQueriesAreForgotten() {
         for (int i = 0; i < 3000; i++) {
-            unanswered.onUnanswered("job-" + i, 100);
+            unanswered.onQueryDeferred("job-" + i, 100);
         }
         assertEquals(1000, unanswered.size());
-        assertFalse(unanswered.onUnanswered("job-9999", 300));
+        assertFalse(unanswered.onQueryDeferred("job-9999", 300));
         assertEquals(1, unanswered.size());
         assertEquals(0, unanswered.longestDeferralSeconds(300), 1e-9);
     }
--- a/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
+++ b/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
@@ -17,13 +17,13 @@
 class GroupCommitterTest {
     private final StateStoreSimulation loop = new StateStoreSimulation(1, 0);
     private final List<List<RecordMutation>> sent = new ArrayList<>();
-    private final List<Consumer<StateStoreResult<Long>>> open = new ArrayList<>();
+    private final List<Consumer<StateStoreResult<Long>>> inFlight = new ArrayList<>();
     private final List<String> outcomes = new ArrayList<>();
     private final GroupCommitter committer =
             new GroupCommitter(
                     (conditions, changes, handler) -> {
                         sent.add(changes);
-                        open.add(handler);
+                        inFlight.add(handler);
                     },
                     loop,
                     100,
@@ -41,8 +41,8 @@
                         (outcome, revision) -> outcomes.add(key + " " + outcome)));
     }
 
-    private void answer(int number, StateStoreResult<Long> result) {
-        open.get(number).accept(result);
+    private void respond(int number, StateStoreResult<Long> result) {
+        inFlight.get(number).accept(result);
     }
 
     private static StateStoreResult<Long> stored(long revision) {
@@ -57,10 +57,10 @@
         write("c");
         assertEquals(1, sent.size());
         loop.advance(0.05);
-        answer(0, stored(5));
+        respond(0, stored(5));
         assertEquals(2, sent.size());
         assertEquals(2, sent.get(1).size());
-        answer(1, stored(6));
+        respond(1, stored(6));
         assertEquals(List.of("a STORED", "b STORED", "c STORED"), outcomes);
     }
 
@@ -69,14 +69,14 @@
      * may be open at a time.
      */
     @Test
-    void unansweredTransactionDoesNotBlockOthers() {
+    void transactionWithoutResponseDoesNotBlockOthers() {
         write("a");
         write("b");
         loop.advance(0.2);
         assertEquals(1, sent.size());
         loop.advance(0.1);
         assertEquals(2, sent.size());
-        answer(1, stored(5));
+        respond(1, stored(5));
         assertEquals(List.of("b STORED"), outcomes);
         // The first is still open: the next ones are sent at once.
         write("c");
@@ -87,7 +87,7 @@
         write("e");
         loop.advance(2);
         assertEquals(4, sent.size());
-        answer(0, new StateStoreResult.OutcomeUnknown<>());
+        respond(0, new StateStoreResult.OutcomeUnknown<>());
         assertEquals(5, sent.size());
         assertEquals(List.of("b STORED", "a UNKNOWN"), outcomes);
     }
@@ -97,7 +97,7 @@
      * on.
      */
     @Test
-    void writeBeyondTheBoundIsRefusedAtOnce() {
+    void writeToAFullQueueEndsAtOnceAsNotExecuted() {
         write("first");
         for (int i = 0; i < GroupCommitter.MAX_QUEUED_WRITES; i++) {
             write("k" + i);
@@ -105,7 +105,7 @@
         assertEquals(List.of(), outcomes);
         write("one too many");
         assertEquals(List.of("one too many NOT_EXECUTED"), outcomes);
-        answer(0, stored(5));
+        respond(0, stored(5));
         assertEquals(List.of("one too many NOT_EXECUTED", "first STORED"), outcomes);
         write("again");
         assertEquals(2, outcomes.size());
@@ -113,12 +113,12 @@
 
     /** After a refusal nothing is sent for a moment, whatever else is open. */
     @Test
-    void pausesAfterARefusedTransaction() {
+    void pausesAfterARateLimitedTransaction() {
         write("a");
         loop.advance(0.3);
         write("b");
         assertEquals(2, sent.size());
-        answer(1, new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED));
+        respond(1, new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED));
         write("c");
         assertEquals(2, sent.size());
         loop.advance(0.2);
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -29,12 +29,12 @@
     /** A key's value and the revision of its last change. */
     public record Item(String key, ObjectNode value, long revision) {}
 
-    private static final double TIMEOUT_SECONDS = 1.5;
-    private static final double CLIENT_TIMEOUT_SECONDS = 3;
+    private static final double REQUEST_TIMEOUT_SECONDS = 1.5;
+    private static final double WATCH_TIMEOUT_MARGIN_SECONDS = 3;
     private static final double WATCH_POLL_SECONDS = 0.05;
 
     /** Longest time of a request on its way, and of its response. */
-    private static final double SLOWEST_SECONDS = 29 / 60.0;
+    private static final double MAX_DELAY_SECONDS = 29 / 60.0;
 
     private final ScheduledEvents events = new ScheduledEvents();
     private final TreeMap<String, Item> stored = new TreeMap<>();
@@ -52,13 +52,13 @@
     private int rateLimitedWrites;
     private long compactedRevision;
 
-    private double now;
+    private double nowSeconds;
     private long revision = 10;
-    private int salt;
+    private int randomState;
 
     public StateStoreSimulation(int salt, double startsAt) {
-        this.salt = salt;
-        this.now = startsAt;
+        this.randomState = salt;
+        this.nowSeconds = startsAt;
     }
 
     /** The kinds of all requests that were sent, oldest first. */
@@ -101,18 +101,18 @@
 
     @Override
     public double nowSeconds() {
-        return now;
+        return nowSeconds;
     }
 
     @Override
     public void schedule(double seconds, Runnable task) {
-        events.add(now + seconds, task);
+        events.add(nowSeconds + seconds, task);
     }
 
     public void advance(double seconds) {
-        double until = now + seconds;
-        events.runUntil(until, atSeconds -> now = Math.max(now, atSeconds));
-        now = until;
+        double until = nowSeconds + seconds;
+        events.runUntil(until, atSeconds -> nowSeconds = Math.max(nowSeconds, atSeconds));
+        nowSeconds = until;
     }
 
     public long revision() {
@@ -150,16 +150,16 @@
         return revision;
     }
 
-    private int draw(int bound) {
-        salt = (int) ((salt * 48271L + 11) % 2147483647L);
-        return Math.floorMod(salt, bound);
+    private int nextRandom(int bound) {
+        randomState = (int) ((randomState * 48271L + 11) % 2147483647L);
+        return Math.floorMod(randomState, bound);
     }
 
     private double delay() {
-        return draw(1000) / 1000.0 * SLOWEST_SECONDS;
+        return nextRandom(1000) / 1000.0 * MAX_DELAY_SECONDS;
     }
 
-    private <T> void answer(Consumer<T> handler, T result) {
+    private <T> void respond(Consumer<T> handler, T result) {
         schedule(delay(), () -> handler.accept(result));
     }
 
@@ -205,21 +205,21 @@
 
     /** The state service as one controller sees it. */
     public final class View implements StateStoreWatcher, StateStoreWriter {
-        private final BooleanSupplier refused;
+        private final BooleanSupplier unreachable;
 
         private View(BooleanSupplier refused) {
-            this.refused = refused;
+            this.unreachable = refused;
         }
 
-        private boolean isRefusing() {
-            return faults.isDown() || refused.getAsBoolean();
+        private boolean isUnreachable() {
+            return faults.isDown() || unreachable.getAsBoolean();
         }
 
-        private void handle(Runnable request, Runnable onRefused) {
+        private void process(Runnable request, Runnable onRefused) {
             schedule(
                     delay(),
                     () -> {
-                        if (isRefusing()) {
+                        if (isUnreachable()) {
                             onRefused.run();
                         } else {
                             request.run();
@@ -227,11 +227,11 @@
                     });
         }
 
-        private <T> void handle(Consumer<StateStoreResult<T>> handler, Runnable request) {
-            handle(
+        private <T> void process(Consumer<StateStoreResult<T>> handler, Runnable request) {
+            process(
                     request,
                     () ->
-                            answer(
+                            respond(
                                     handler,
                                     new StateStoreResult.NotExecuted<>(
                                             NotExecutedCause.STORE_UNAVAILABLE)));
@@ -240,14 +240,14 @@
         @Override
         public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
             requests.add("get");
-            handle(
+            process(
                     handler,
                     () -> {
                         Item item = stored.get(key);
                         if (item == null) {
-                            answer(handler, rejected(StateStoreResult.Reason.NOT_FOUND));
+                            respond(handler, rejected(StateStoreResult.Reason.NOT_FOUND));
                         } else {
-                            answer(handler, new StateStoreResult.Success<>(record(item)));
+                            respond(handler, new StateStoreResult.Success<>(record(item)));
                         }
                     });
         }
@@ -255,20 +255,20 @@
         @Override
         public void readAll(String prefix, Consumer<Optional<StateSnapshot>> handler) {
             requests.add("range");
-            handle(
+            process(
                     () -> {
                         List<StoredRecord> records = new ArrayList<>();
                         withPrefix(prefix).forEach(item -> records.add(record(item)));
-                        answer(handler, Optional.of(new StateSnapshot(records, revision)));
+                        respond(handler, Optional.of(new StateSnapshot(records, revision)));
                     },
-                    () -> answer(handler, Optional.empty()));
+                    () -> respond(handler, Optional.empty()));
         }
 
         @Override
         public void changesSince(
                 String prefix, long after, Consumer<StateStoreResult<StoredChanges>> handler) {
             requests.add("changes");
-            handle(handler, () -> answer(handler, changesAfter(prefix, after)));
+            process(handler, () -> respond(handler, changesAfter(prefix, after)));
         }
 
         private StateStoreResult<StoredChanges> changesAfter(String prefix, long after) {
@@ -289,7 +289,7 @@
                 int holdMillis,
                 Consumer<StateStoreResult<StoredChanges>> handler) {
             requests.add("watch");
-            handle(handler, () -> hold(prefix, after, now + holdMillis / 1000.0, handler));
+            process(handler, () -> hold(prefix, after, nowSeconds + holdMillis / 1000.0, handler));
         }
 
         /**
@@ -300,14 +300,14 @@
                 long after,
                 double until,
                 Consumer<StateStoreResult<StoredChanges>> handler) {
-            boolean isUnavailable = isRefusing();
-            if (isUnavailable && now > until + CLIENT_TIMEOUT_SECONDS) {
+            boolean isUnavailable = isUnreachable();
+            if (isUnavailable && nowSeconds > until + WATCH_TIMEOUT_MARGIN_SECONDS) {
                 handler.accept(new StateStoreResult.OutcomeUnknown<>());
             } else if (!isUnavailable
-                    && (now >= until
+                    && (nowSeconds >= until
                             || after < compactedRevision
                             || !StateStoreSimulation.this.changes(prefix, after).isEmpty())) {
-                answer(handler, changesAfter(prefix, after));
+                respond(handler, changesAfter(prefix, after));
             } else {
                 StateStoreSimulation.this.schedule(
                         WATCH_POLL_SECONDS, () -> hold(prefix, after, until, handler));
@@ -319,27 +319,28 @@
                 List<VersionCondition> conditions,
                 List<RecordMutation> puts,
                 Consumer<StateStoreResult<Long>> handler) {
-            if (!isRefusing() && draw(10) < faults.lateWritesPerTen()) {
+            if (!isUnreachable() && nextRandom(10) < faults.lateWritesPerTen()) {
                 schedule(
-                        2 + draw(100) / 10.0,
+                        2 + nextRandom(100) / 10.0,
                         () -> lateWrites += apply(conditions, puts) > 0 ? 1 : 0);
                 timeOut(handler);
-            } else if (!isRefusing() && draw(10) < faults.lostResponsesPerTen()) {
+            } else if (!isUnreachable() && nextRandom(10) < faults.lostResponsesPerTen()) {
                 schedule(delay(), () -> lostResponses += apply(conditions, puts) > 0 ? 1 : 0);
                 timeOut(handler);
             } else {
-                handle(handler, () -> answer(handler, execute(conditions, puts)));
+                process(handler, () -> respond(handler, execute(conditions, puts)));
             }
         }
 
         private void timeOut(Consumer<StateStoreResult<Long>> handler) {
             schedule(
-                    TIMEOUT_SECONDS, () -> handler.accept(new StateStoreResult.OutcomeUnknown<>()));
+                    REQUEST_TIMEOUT_SECONDS,
+                    () -> handler.accept(new StateStoreResult.OutcomeUnknown<>()));
         }
 
         private StateStoreResult<Long> execute(
                 List<VersionCondition> conditions, List<RecordMutation> puts) {
-            if (!writeRateLimit.tryAcquire(puts.size(), now)) {
+            if (!writeRateLimit.tryAcquire(puts.size(), nowSeconds)) {
                 rateLimitedWrites++;
                 return new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED);
             }
--- a/src/test/java/io/kelphoist/statestore/protocol/RecordCodecTest.java
+++ b/src/test/java/io/kelphoist/statestore/protocol/RecordCodecTest.java
@@ -131,7 +131,7 @@
 
     /** No version writes this record: the job exists, and its dependency can't. */
     @Test
-    void unreadableDependenciesNeverLookLikeNone() throws MalformedMessageException {
+    void undecodableDependenciesAreNotReadAsNone() throws MalformedMessageException {
         ObjectNode stored =
                 RecordCodec.encodeActiveJob(JobCodec.decodeJob(cbor(GANG_JOB)), 5).value();
         ((ObjectNode) stored.get("spec")).put("holdfast", "job-1");
@@ -141,7 +141,7 @@
     }
 
     @Test
-    void decodesWhatItEncoded() throws MalformedMessageException {
+    void decodedRecordsEqualEncodedOnes() throws MalformedMessageException {
         JobSpec spec = JobCodec.decodeJob(cbor(GANG_JOB));
         JobRecord active =
                 RecordCodec.decodeJob(
--- a/src/test/java/io/kelphoist/wire/MessageCodecTest.java
+++ b/src/test/java/io/kelphoist/wire/MessageCodecTest.java
@@ -33,7 +33,7 @@
                        {"frond":"job-000398/0","cast":1,"sway":"exited","wreck":"stopped","stored":true}]}""";
 
     @Test
-    void readsJob() throws MalformedMessageException {
+    void decodesJob() throws MalformedMessageException {
         JobSpec job = JobCodec.decodeJob(cbor(GANG_JOB));
         assertEquals(JobKind.GANG, job.kind());
         assertEquals(16, job.tasks());
@@ -86,7 +86,7 @@
                 "\"landfall_s\":-5",
                 "\"landfall_s\":\"soon\""
             })
-    void refusesInvalidFields(String field) throws MalformedMessageException {
+    void rejectsInvalidFields(String field) throws MalformedMessageException {
         ObjectNode message = cbor(GANG_JOB);
         ObjectNode invalid = cbor("{" + field + "}");
         message.setAll(invalid);
@@ -95,7 +95,7 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {Double.NaN, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, -1})
-    void refusesInvalidAmounts(double amount) throws MalformedMessageException {
+    void rejectsInvalidAmounts(double amount) throws MalformedMessageException {
         ObjectNode message = cbor(GANG_JOB);
         message.put("accelerators", amount);
         byte[] sent = MessageEncoding.encodeCbor(message);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void refusesBodiesThatAreNotMaps() {
+    void rejectsBodiesThatAreNotMaps() {
         for (byte[] body :
                 new byte[][] {
                     {},
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void refusesDeepNesting() {
+    void rejectsDeepNesting() {
         byte[] nested = new byte[50_000];
         java.util.Arrays.fill(nested, (byte) 0x81);
         assertThrows(MalformedMessageException.class, () -> MessageEncoding.decodeCbor(nested));
@@ -128,7 +128,7 @@
 
     /** Altered bytes end in MalformedMessageException or in a message, never in anything else. */
     @Test
-    void refusesOrDecodesAlteredBytes() throws MalformedMessageException {
+    void rejectsOrDecodesAlteredBytes() throws MalformedMessageException {
         byte[] valid = MessageEncoding.encodeCbor(cbor(HEARTBEAT));
         Random random = new Random(7);
         int refused = 0;
@@ -147,7 +147,7 @@
     }
 
     @Test
-    void readsHeartbeat() throws MalformedMessageException {
+    void decodesHeartbeat() throws MalformedMessageException {
         Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(cbor(HEARTBEAT));
         assertEquals(88, heartbeat.sequenceNumber());
         assertNull(heartbeat.terminationNoticeSeconds());
@@ -159,7 +159,7 @@
     }
 
     @Test
-    void writesCommands() throws MalformedMessageException {
+    void encodesCommands() throws MalformedMessageException {
         ObjectNode answer =
                 WorkerCodec.encodeHeartbeatResponse(
                         41,
