--- a/src/main/java/io/kelphoist/admission/Admission.java
+++ b/src/main/java/io/kelphoist/admission/Admission.java
@@ -14,35 +14,45 @@
 import java.util.function.LongSupplier;
 
 /**
- * Submission, query and cancellation of jobs: the one entry point for the HTTP and the gRPC front
- * ends. Any controller serves them, leader or not. What a controller is not certain of it does not
- * report; it asks the user to retry instead.
+ * Submission, query and cancellation of jobs: the only entry point for the HTTP and the gRPC front
+ * ends. Every controller serves these requests, whether it is the leader or a follower. A
+ * controller that can't determine a job's current state does not report an assumed one; it defers
+ * the request, so that the user retries.
  *
- * <p>All methods but {@link #deferralCount} and {@link #unansweredJobs} are for the event loop
- * alone. Each callback is called exactly once, on the event loop, possibly before the call returns.
+ * <p>All methods except {@link #deferralCount} and {@link #unansweredJobs} must be called on the
+ * event loop. Each callback is called exactly once, on the event loop, possibly before the call
+ * returns.
  */
 public final class Admission {
     /**
-     * A dependency's record may be this old when a job's state is reported, as a share of the time
-     * within which cancellations must show.
+     * Maximum age of a dependency's record when a job's state is reported, as a fraction of the
+     * time within which dependent jobs must be reported as cancelled.
      */
     private static final double MAX_RECENT_AGE_RATIO = 0.25;
 
-    /** What this controller knows of the cluster besides the state store's records. */
+    /**
+     * State of the cluster on this controller that is not read from the state store by admission.
+     */
     public interface ClusterView {
-        /** Returns all machine types, or nothing while they are not known. */
+        /** Returns all machine types; empty until they are loaded. */
         Collection<MachineType> machineTypes();
 
-        /** Returns the counts of a job's tasks, or empty if none have begun as far as is known. */
+        /**
+         * Returns the latest task counts of a job, or empty if this controller has none: no task
+         * has started as far as it was informed.
+         */
         Optional<TaskCounts> taskCounts(String jobId);
 
-        /** Whether the controller is so far behind with its work that queries must wait. */
+        /**
+         * Returns whether the controller's event loop is overloaded, so that queries must be
+         * deferred.
+         */
         default boolean isOverloaded() {
             return false;
         }
     }
 
-    /** Takes writes for the state store; {@link GroupCommitter#submit} outside of tests. */
+    /** Accepts writes to the state store; {@link GroupCommitter#submit} except in tests. */
     public interface RecordWriter {
         /** Queues a write; its listener receives the outcome on the event loop. */
         void submit(GroupCommitter.Write write);
@@ -51,9 +61,9 @@
     /** Access to the state store for users' requests. */
     public record StoreAccess(StateStoreReader reader, RecordWriter writer) {}
 
-    /** Receives each submission. */
+    /** Receives each submission before it is handled. */
     public interface SubmissionListener {
-        /** Returns the callback to be called in place of the given one; it must pass results on. */
+        /** Returns the callback that replaces the given one and must pass the result on to it. */
         Consumer<AdmissionResult> onSubmission(JobSpec job, Consumer<AdmissionResult> callback);
     }
 
@@ -84,8 +94,8 @@
      * Creates the admission of one controller.
      *
      * @param wallClockMillis time of day in ms since the epoch
-     * @param beforeResponse receives each record before its state is reported to a user, see {@link
-     *     io.kelphoist.cancellation.ConfirmedCancellations}
+     * @param beforeResponse receives each job record before its state is reported to a user, see
+     *     {@link io.kelphoist.cancellation.ConfirmedCancellations}
      */
     public static Admission create(
             StoreAccess store,
@@ -114,14 +124,14 @@
                 submissions, queries, cancellations, responder, clusterView, beforeResponse);
     }
 
-    /** Sets who receives submissions; by default nobody does. */
+    /** Sets the listener for submissions. There is none by default. */
     public void setSubmissionListener(SubmissionListener listener) {
         submissionListener = listener;
     }
 
     /**
-     * Accepts a job, or rejects it if it could never run. Idempotent: the repeated submission of a
-     * stored job responds with its state.
+     * Accepts a job, or rejects it if it could never run. Idempotent: the response to a repeated
+     * submission of a stored job is the job's state.
      */
     public void submit(JobSpec job, Consumer<AdmissionResult> callback) {
         Consumer<AdmissionResult> observed = submissionListener.onSubmission(job, callback);
@@ -129,10 +139,10 @@
     }
 
     /**
-     * Rejects a submission of which only the job's id could be decoded, unless that job is stored:
-     * then its state is the response.
+     * Rejects a submission of which only the job id could be decoded. If a job with this id is
+     * stored, the response is its state instead.
      *
-     * @param reason what is wrong with the submission, in words for its user
+     * @param reason description of the error for the user
      */
     public void rejectMalformed(String jobId, String reason, Consumer<AdmissionResult> callback) {
         submissions.rejectMalformed(jobId, reason, callback);
@@ -148,8 +158,9 @@
     }
 
     /**
-     * Cancels a job and responds with its state, which is final: a job that has ended before stays
-     * as it is. If there is no such job, responds with {@link AdmissionResult.NotFound}.
+     * Cancels a job and responds with its state, which is final: a job that has already ended is
+     * not changed. If no job with this id is stored, responds with {@link
+     * AdmissionResult.NotFound}.
      */
     public void cancel(String jobId, Consumer<AdmissionResult> callback) {
         if (JobCodec.isJobId(jobId)) {
@@ -159,17 +170,23 @@
         }
     }
 
-    /** To be called before a job's record is reported to a user by other means than a response. */
+    /**
+     * Must be called before a job's record is reported to a user other than in a response of this
+     * class.
+     */
     public void beforeResponse(JobRecord record) {
         beforeResponse.accept(record);
     }
 
-    /** Returns how many requests were deferred for this reason since the start; for any thread. */
+    /**
+     * Returns how many requests were deferred for this reason since the process started. May be
+     * called on any thread.
+     */
     public long deferralCount(AdmissionResult.DeferralReason reason) {
         return responder.deferralCount(reason);
     }
 
-    /** Returns the jobs whose queries keep being deferred; for any thread. */
+    /** Returns the jobs whose queries are deferred repeatedly. May be called on any thread. */
     public UnansweredJobs unansweredJobs() {
         return queries.unansweredJobs();
     }
--- a/src/main/java/io/kelphoist/admission/AdmissionResult.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionResult.java
@@ -2,18 +2,20 @@
 
 import io.kelphoist.model.JobOwner;
 
-/** The result of a user's request; front ends translate it into their response. */
+/** The result of a user's request, which the HTTP and gRPC front ends translate into a response. */
 public sealed interface AdmissionResult {
-    /** A job's phase as users see it. */
+    /** A job's phase in responses to users. */
     enum Phase {
-        /** Accepted, and no task is known to run. */
+        /** Accepted; no task runs according to this controller's task counts. */
         QUEUED,
-        /** At least one task runs. */
+        /** At least one task runs according to this controller's task counts. */
         RUNNING,
+        /** All tasks have completed. */
         DONE,
+        /** The job was cancelled, by a user or with a job that it depends on. */
         CANCELLED;
 
-        /** Whether a job in this phase never changes again. */
+        /** Returns whether a job stays in this phase for good. */
         public boolean isFinal() {
             return this == DONE || this == CANCELLED;
         }
@@ -22,9 +24,9 @@
     /**
      * A job's state.
      *
-     * @param owner null if the record does not have it, see {@link io.kelphoist.model.JobRecord}
-     * @param doneTasks tasks that are done, as far as this controller knows
-     * @param runningTasks tasks that run, as far as this controller knows
+     * @param owner null if the record does not name one, see {@link io.kelphoist.model.JobRecord}
+     * @param doneTasks number of completed tasks in this controller's task counts
+     * @param runningTasks number of running tasks in this controller's task counts
      * @param timestampMillis the record's timestamp in ms since the epoch, see {@link
      *     io.kelphoist.model.JobRecord}
      * @param revision the state store's revision of the record's last change
@@ -38,18 +40,21 @@
             long timestampMillis,
             long revision) {}
 
-    /** The job was stored by this request. */
+    /** This request stored the job. */
     record Accepted(JobStateView job) implements AdmissionResult {}
 
-    /** The job was stored already, or the request was not a submission. */
+    /**
+     * The job exists: it was stored before this submission, or the request is a query or a
+     * cancellation.
+     */
     record Found(JobStateView job) implements AdmissionResult {}
 
-    /** There is no such job. */
+    /** No job with the requested id is stored. */
     record NotFound() implements AdmissionResult {}
 
-    /** The submission will never be accepted as it is. */
+    /** The submission is invalid: it would be rejected again if it were repeated unchanged. */
     record Rejected(Reason reason, String message) implements AdmissionResult {
-        /** The kind of fault. */
+        /** Why a submission was rejected. */
         public enum Reason {
             /** The submission can't be decoded, or is too large to be stored. */
             MALFORMED,
@@ -58,19 +63,22 @@
         }
     }
 
-    /** The request was deferred: the same request may be made again after a delay. */
+    /** The request was deferred: the user should repeat it after a delay. */
     record RetryLater(DeferralReason reason, int retryAfterSeconds) implements AdmissionResult {}
 
     /**
-     * Why a request was deferred. The constants' names are values of the tag {@code cause} of the
-     * metric {@code kelphoist.requests.put.off}, in lower case.
+     * Why a request was deferred. The names of the constants, in lower case, are values of the tag
+     * {@code cause} of the metric {@code kelphoist.requests.put.off}.
      */
     enum DeferralReason {
-        /** The machine types have not been read yet. */
+        /** This controller has not loaded the machine types yet. */
         TYPES_UNKNOWN,
-        /** The state store is unavailable, or this version can't decode the record. */
+        /**
+         * The job's state is unknown: its record can't be read from the state store, or this
+         * version can't decode it.
+         */
         UNSURE,
-        /** The state store did not execute the write, or its outcome is unknown. */
+        /** The write was not executed by the state store, or its outcome is unknown. */
         NOT_STORED,
         /** The controller is overloaded. */
         BUSY
--- a/src/main/java/io/kelphoist/admission/AdmissionRules.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionRules.java
@@ -14,8 +14,8 @@
 import java.util.Set;
 
 /**
- * Decides whether a job could ever run here: by its team's limit, its zones and the machine types.
- * Stateless apart from the configured teams and zones.
+ * Decides whether a job could ever run in this cluster, by its team's limit, its zones and the
+ * machine types. Has no state besides the configured teams and zones.
  */
 final class AdmissionRules {
     private static final int MIN_ZONES_FOR_SPREAD = 2;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Returns why the job can never run, in words for its user, or empty if it can.
+     * Returns why the job can never run, as a message for the user, or empty if it can run.
      *
-     * @param machineTypes all machine types that there are; must not be empty
+     * @param machineTypes all machine types that the cloud offers; must not be empty
      */
     Optional<String> findRejectionReason(JobSpec job, Collection<MachineType> machineTypes) {
         Team team = teams.get(job.team());
@@ -59,7 +59,10 @@
         return Optional.empty();
     }
 
-    /** An array's tasks may run one after the other; a gang and a service run all or none. */
+    /**
+     * Tasks of an array may run one after the other; those of a gang or a service run all together
+     * or not at all.
+     */
     private static boolean mustRunAllTasksAtOnce(JobSpec job) {
         return job.kind() != JobKind.ARRAY;
     }
--- a/src/main/java/io/kelphoist/admission/CancellationHandler.java
+++ b/src/main/java/io/kelphoist/admission/CancellationHandler.java
@@ -6,8 +6,8 @@
 import java.util.function.Consumer;
 
 /**
- * Cancels jobs. A job is reported as cancelled only once that is stored, so that no controller can
- * report an older state afterwards.
+ * Cancels jobs. A job is reported as cancelled only after its cancellation is stored, so that no
+ * controller can report an older state afterwards.
  */
 final class CancellationHandler {
     private static final int MAX_WRITE_ATTEMPTS = 3;
@@ -22,12 +22,15 @@
         this.responder = responder;
     }
 
-    /** Cancels a job; a finished one stays as it is. Responds with its state, or with NotFound. */
+    /**
+     * Cancels a job, unless its status is final already. Responds with its state, or with {@link
+     * AdmissionResult.NotFound}.
+     */
     void cancel(String jobId, Consumer<AdmissionResult> callback) {
         readAndCancel(jobId, MAX_WRITE_ATTEMPTS, callback);
     }
 
-    /** The same for a job whose record was just read. */
+    /** Cancels a job whose record the caller has just read, unless its status is final already. */
     void cancel(JobRecord job, Consumer<AdmissionResult> callback) {
         cancel(job, MAX_WRITE_ATTEMPTS, callback);
     }
--- a/src/main/java/io/kelphoist/admission/DependencyStatus.java
+++ b/src/main/java/io/kelphoist/admission/DependencyStatus.java
@@ -1,11 +1,11 @@
 package io.kelphoist.admission;
 
-/** What is known of the jobs that a job depends on, directly or through others. */
+/** The result of checking the jobs that a job depends on, directly or through other jobs. */
 enum DependencyStatus {
-    /** None of those that were visited is cancelled. */
+    /** None of the visited dependencies is cancelled. */
     NONE_CANCELLED,
-    /** One of them is cancelled, so that the job can never run. */
+    /** A dependency is cancelled, so that the job can never run. */
     CANCELLED,
-    /** The record of one of them can't be read now. */
+    /** The record of a dependency can't be read from the state store at this time. */
     UNAVAILABLE
 }
--- a/src/main/java/io/kelphoist/admission/DependencyWalk.java
+++ b/src/main/java/io/kelphoist/admission/DependencyWalk.java
@@ -9,11 +9,11 @@
 import java.util.function.Consumer;
 
 /**
- * Visits the jobs that a job depends on, breadth first, until one is found cancelled. A walk is
- * used once; it owns the set of jobs that it has seen.
+ * Breadth-first traversal of the jobs that a job depends on, which ends at the first cancelled one.
+ * An instance is used for one traversal; it owns the set of jobs that were queued for a visit.
  */
 final class DependencyWalk {
-    /** Bounds the reads for one response; the leader follows longer chains. */
+    /** Bounds the number of reads for one response. The leader checks longer dependency chains. */
     private static final int MAX_JOBS_VISITED = 64;
 
     private final JobLookup lookup;
@@ -30,12 +30,13 @@
     }
 
     /**
-     * Checks whether a job must be cancelled because one that it depends on is. The leader cancels
-     * such jobs; this check is for times without a leader or without a connection to it, so that no
-     * job is reported as queued long after the cancellation of a dependency was reported.
+     * Checks whether a job must be cancelled because one of its dependencies is cancelled. The
+     * leader cancels such jobs. This check covers times when there is no leader or it is
+     * unreachable, so that no job is reported as queued long after the cancellation of a dependency
+     * was reported.
      *
-     * @param callback called once, with a status that may be as old as {@link JobLookup#readRecent}
-     *     permits
+     * @param callback called once; the status may be as old as the results of {@link
+     *     JobLookup#readRecent}
      */
     static void start(
             JobLookup lookup, List<String> dependencies, Consumer<DependencyStatus> callback) {
--- a/src/main/java/io/kelphoist/admission/JobLookup.java
+++ b/src/main/java/io/kelphoist/admission/JobLookup.java
@@ -19,16 +19,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads job records for responses to users, from caches where these are provably current and from
- * the state store otherwise. It owns the cache of finished jobs, the {@link JobRecordCache} of
- * unfinished ones and the list of recent responses ({@link MonotonicReads}).
+ * Reads job records for responses to users: from a cache if the cached record is guaranteed to be
+ * current, otherwise from the state store. Owns the cache of finished jobs, the {@link
+ * JobRecordCache} of unfinished jobs and the list of recent responses ({@link MonotonicReads}).
  *
  * <p>Callbacks are called on the event loop, possibly before the call returns.
  */
 final class JobLookup {
     private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
-    /** The number of finished jobs that are cached. */
+    /** Maximum number of finished jobs that are cached. */
     static final int MAX_CACHED_JOBS = 4000;
 
     private final StateStoreReader store;
@@ -36,7 +36,7 @@
     private final double maxRecentAgeSeconds;
 
     /**
-     * Records of finished jobs. They never change, so they are valid even while the state store is
+     * Records of finished jobs. They never change, so they are valid also while the state store is
      * unavailable.
      */
     private final Cache<String, JobRecord> finalRecords =
@@ -45,11 +45,11 @@
     private final JobRecordCache unfinishedRecords;
     private final MonotonicReads monotonicReads = new MonotonicReads();
 
-    /** By job: callers that wait for the result of a {@link #readRecent} under way. */
+    /** By job id: callbacks that wait for the result of a {@link #readRecent} in flight. */
     private final Map<String, List<Consumer<JobReadResult>>> recentReadWaiters = new HashMap<>();
 
     /**
-     * @param maxRecentAgeSeconds how old the results of {@link #readRecent} may be
+     * @param maxRecentAgeSeconds maximum age of the results of {@link #readRecent}
      */
     JobLookup(StateStoreReader store, EventLoop loop, double maxRecentAgeSeconds) {
         this.store = store;
@@ -59,16 +59,20 @@
     }
 
     /**
-     * Reads a job's record as it is stored now, or as it was last reported to a user if that was
-     * newer.
+     * Reads a job's record as of a moment after this call. If this controller has reported a newer
+     * record to a user by the time of the result, the result is that record.
      */
     void read(String jobId, Consumer<JobReadResult> callback) {
-        double askedAtSeconds = loop.nowSeconds();
+        double requestedAtSeconds = loop.nowSeconds();
         readCurrent(
-                jobId, result -> callback.accept(ensureMonotonic(jobId, result, askedAtSeconds)));
+                jobId,
+                result -> callback.accept(ensureMonotonic(jobId, result, requestedAtSeconds)));
     }
 
-    /** Reads the records of several jobs like {@link #read}; results are in the jobs' order. */
+    /**
+     * Reads the records of several jobs like {@link #read}; the results have the order of the job
+     * ids.
+     */
     void readAll(List<String> jobIds, Consumer<List<JobReadResult>> callback) {
         ResultCollector results = new ResultCollector(jobIds.size(), callback);
         for (int i = 0; i < jobIds.size(); i++) {
@@ -77,7 +81,7 @@
         }
     }
 
-    /** Calls back once it has a result for each job. */
+    /** Collects the results of several reads and calls back when it has all of them. */
     private static final class ResultCollector {
         private final JobReadResult[] results;
         private final Consumer<List<JobReadResult>> callback;
@@ -99,9 +103,9 @@
     }
 
     /**
-     * Reads a job's record as it was stored a short time ago, at most the age that was given to the
-     * constructor: a job read as active may have ended since. Reads of the same job that overlap
-     * are shared.
+     * Reads a job's record that is no older than the maximum age given to the constructor: a job
+     * that is read as active may have ended since. Overlapping reads of the same job share one
+     * read.
      */
     void readRecent(String jobId, Consumer<JobReadResult> callback) {
         JobRecord cached = unfinishedRecords.getIfPresent(jobId);
@@ -120,7 +124,10 @@
         read(jobId, result -> completeRecentRead(jobId, result));
     }
 
-    /** The job may have been accepted since the shared read was sent. */
+    /**
+     * Passes on the result of a shared read. If the job was absent, reads it again, since it may
+     * have been accepted after the shared read was sent.
+     */
     private void acceptOrReadIfAbsent(
             String jobId, JobReadResult result, Consumer<JobReadResult> callback) {
         if (result instanceof JobReadResult.Absent) {
@@ -135,24 +142,25 @@
     }
 
     /**
-     * Returns what may be reported to a user on the result of a read or a write: the result itself,
-     * or something newer that this controller knows by now.
+     * Returns what may be reported to a user, given the result of a read or a write: the result
+     * itself, a newer record that this controller has cached or reported since, or {@link
+     * JobReadResult.Unavailable} if the result may be outdated.
      *
-     * @param askedAtSeconds a time before the read or write was sent
+     * @param requestedAtSeconds a time before the read or write was sent
      */
-    JobReadResult ensureMonotonic(String jobId, JobReadResult result, double askedAtSeconds) {
+    JobReadResult ensureMonotonic(String jobId, JobReadResult result, double requestedAtSeconds) {
         JobRecord finalRecord = finalRecords.getIfPresent(jobId);
         return finalRecord != null
                 ? new JobReadResult.Present(finalRecord)
-                : monotonicReads.ensureMonotonic(jobId, result, askedAtSeconds);
+                : monotonicReads.ensureMonotonic(jobId, result, requestedAtSeconds);
     }
 
-    /** Remembers that this record is about to be reported to a user. */
+    /** Records that this job record is about to be reported to a user. */
     void recordResponse(JobRecord record) {
         monotonicReads.recordResponse(record, loop.nowSeconds());
     }
 
-    /** Takes over a record that this controller has just stored. */
+    /** Caches a record that this controller has just stored. */
     void onWritten(JobRecord record) {
         if (record.status().isFinal()) {
             onFinalRecord(record);
@@ -161,7 +169,9 @@
         }
     }
 
-    /** Drops what is cached of an unfinished job, so that it is read from the store next time. */
+    /**
+     * Drops the cached record of an unfinished job, so that the next read goes to the state store.
+     */
     void invalidate(String jobId) {
         unfinishedRecords.invalidate(jobId);
     }
@@ -179,15 +189,16 @@
 
     private void onRevalidated(
             String jobId,
-            JobRecordCache.RevalidationResult roundResult,
+            JobRecordCache.RevalidationResult revalidationResult,
             Consumer<JobReadResult> callback) {
         JobRecord finalRecord = finalRecords.getIfPresent(jobId);
         JobRecord unfinished = unfinishedRecords.getIfPresent(jobId);
         if (finalRecord != null) {
             callback.accept(new JobReadResult.Present(finalRecord));
-        } else if (roundResult == JobRecordCache.RevalidationResult.UNAVAILABLE) {
+        } else if (revalidationResult == JobRecordCache.RevalidationResult.UNAVAILABLE) {
             callback.accept(new JobReadResult.Unavailable());
-        } else if (roundResult == JobRecordCache.RevalidationResult.CURRENT && unfinished != null) {
+        } else if (revalidationResult == JobRecordCache.RevalidationResult.CURRENT
+                && unfinished != null) {
             callback.accept(new JobReadResult.Present(unfinished));
         } else {
             readFromStore(jobId, callback);
--- a/src/main/java/io/kelphoist/admission/JobReadResult.java
+++ b/src/main/java/io/kelphoist/admission/JobReadResult.java
@@ -4,18 +4,20 @@
 
 /** The result of reading one job's record. */
 sealed interface JobReadResult {
-    /** The record as stored. */
+    /** The job has this record. */
     record Present(JobRecord record) implements JobReadResult {}
 
-    /** There is no record: the job was never accepted. */
+    /** The job has no record: it was never accepted. */
     record Absent() implements JobReadResult {}
 
     /**
-     * There is a record that this version can't decode. Whatever the job's state is, it is not
-     * known to be cancelled.
+     * The job has a record that this version can't decode. Its state is unknown; in a check of
+     * dependencies it is treated as not cancelled.
      */
     record Unreadable() implements JobReadResult {}
 
-    /** The record can't be read now. */
+    /**
+     * The record can't be read from the state store at this time, or what was read may be outdated.
+     */
     record Unavailable() implements JobReadResult {}
 }
--- a/src/main/java/io/kelphoist/admission/JobRecordCache.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordCache.java
@@ -19,24 +19,25 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Caches the records of unfinished jobs and validates them in rounds, for many readers at once. A
- * reader joins the next round: one request to the state store for all changes of jobs since the
- * round before. Since every reader joins before the request is sent, the records are then as
- * current as if each had been read by itself; and users' polls, whose number grows with the
- * deployment, cost a bounded number of requests.
+ * Caches the records of unfinished jobs and revalidates them for many readers at once. A reader
+ * waits for the next revalidation: one request to the state store for all changes of jobs since the
+ * revalidation before. Every reader begins to wait before the request is sent, so that the records
+ * are as current as if each reader had read them separately. Users' polls, whose number grows with
+ * the size of the deployment, therefore cost a bounded number of requests.
  *
  * <p>A record is cached only if no change of it can have been missed: it was read, or written by
- * this controller, after the cache's first position, and no newer change of the same job has been
- * seen.
+ * this controller, after the first revision of the cache's epoch, and no newer change of the same
+ * job has been received.
  *
- * <p>Owns the cached records and the position in the store's changes. Runs on the event loop.
+ * <p>Owns the cached records and the revision up to which changes were applied to them. Runs on the
+ * event loop.
  */
 final class JobRecordCache {
-    /** How a round ended. */
+    /** How a revalidation ended. */
     enum RevalidationResult {
-        /** The cached records are as of a moment after the readers joined. */
+        /** The cached records are current as of a moment after the readers began to wait. */
         CURRENT,
-        /** Changes may have been missed; all cached records were dropped. */
+        /** Changes may have been missed, so all cached records were dropped. */
         RESET,
         /** The state store is unavailable. */
         UNAVAILABLE
@@ -44,18 +45,21 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(JobRecordCache.class);
 
-    /** The number of unfinished jobs that are cached. */
+    /** Maximum number of unfinished jobs that are cached. */
     static final int MAX_CACHED_JOBS = 4000;
 
     private static final int MAX_TRACKED_REVISIONS = 20_000;
 
-    /** The least time between the starts of two rounds. */
+    /** Minimum time between the starts of two revalidations. */
     private static final double REVALIDATION_INTERVAL_SECONDS = 0.02;
 
-    /** Without a round for longer than this, reading all changes since costs more than a reset. */
+    /**
+     * If the last revalidation is longer ago than this, reading all changes since costs more than a
+     * reset.
+     */
     private static final double MAX_AGE_SECONDS = 5;
 
-    /** The value of {@link #appliedRevision} while it is not known. */
+    /** The value of {@link #appliedRevision} until an initial revision is read. */
     private static final long NO_REVISION = -1;
 
     private final StateStoreReader store;
@@ -64,7 +68,7 @@
     private final Cache<String, JobRecord> records =
             CacheBuilder.newBuilder().maximumSize(MAX_CACHED_JOBS).concurrencyLevel(1).build();
 
-    /** By job: the revision of its last change seen in this epoch. */
+    /** By job id: the revision of the last change that was received in this epoch. */
     private final Cache<String, Long> latestRevisions =
             CacheBuilder.newBuilder()
                     .maximumSize(MAX_TRACKED_REVISIONS)
@@ -76,22 +80,24 @@
     private boolean readingInitialRevision;
 
     /**
-     * The revision up to which all changes were seen. While it is {@link #NO_REVISION}, nothing is
-     * cached.
+     * The revision up to which all changes were applied to the cached records. While it is {@link
+     * #NO_REVISION}, no record is cached.
      */
     private long appliedRevision = NO_REVISION;
 
-    /** The first position of this epoch. */
+    /** The revision at which this epoch began. */
     private long firstRevision;
 
-    /** The time as of which the cached records are known to be current. */
+    /** The time as of which the cached records are current. */
     private double currentAsOfSeconds = Double.NEGATIVE_INFINITY;
 
-    /** Counts resets; a response to a request that was sent in an earlier epoch is not cached. */
+    /**
+     * Number of resets. The response to a request that was sent in an earlier epoch is not cached.
+     */
     private long epoch;
 
     /**
-     * @param onFinalRecord receives the record of each cached job that has ended
+     * @param onFinalRecord receives the final record of each cached job that ends
      */
     JobRecordCache(StateStoreReader store, EventLoop loop, Consumer<JobRecord> onFinalRecord) {
         this.store = store;
@@ -100,9 +106,9 @@
     }
 
     /**
-     * Returns the number of this epoch, to be passed to {@link #onRead} with the response to a
-     * request that is sent now. Without a position it is negative, and the reading of one is
-     * started.
+     * Returns the current epoch, to be passed to {@link #onRead} with the response to a request
+     * that is sent now. Until an initial revision is read, returns a negative number, with which no
+     * response is cached, and starts to read one.
      */
     long epoch() {
         if (!hasRevision() && !readingInitialRevision) {
@@ -115,7 +121,10 @@
         return appliedRevision >= 0;
     }
 
-    /** Reads the current revision: only changes after a known position can be asked for. */
+    /**
+     * Reads the state store's current revision, which a read of any prefix returns. Changes can be
+     * requested only from a known revision on.
+     */
     private void readInitialRevision() {
         readingInitialRevision = true;
         store.readAll(
@@ -130,7 +139,9 @@
                 });
     }
 
-    /** Caches an unfinished job's record from the response to a request of the given epoch. */
+    /**
+     * Caches an unfinished job's record from the response to a request that was sent in an epoch.
+     */
     void onRead(JobRecord record, long requestEpoch) {
         if (requestEpoch == epoch && hasRevision()) {
             putIfNewest(record);
@@ -153,31 +164,33 @@
         }
     }
 
-    /** Drops a job's record. */
+    /** Drops a job's cached record. */
     void invalidate(String jobId) {
         records.invalidate(jobId);
     }
 
     /**
-     * Returns a job's cached record, null if there is none. It is as old as {@link #ageSeconds}
-     * says; within a callback of {@link #awaitRevalidation} it is as current as the round.
+     * Returns a job's cached record, or null if none is cached. Its age is at most {@link
+     * #ageSeconds}; within a callback of {@link #awaitRevalidation} it is as current as the
+     * revalidation.
      */
     JobRecord getIfPresent(String jobId) {
         return records.getIfPresent(jobId);
     }
 
-    /** Returns how old the cached records may be, in seconds. */
+    /** Returns the maximum age of the cached records in seconds. */
     double ageSeconds() {
         return loop.nowSeconds() - currentAsOfSeconds;
     }
 
-    /** Calls back when the next round has ended. */
+    /** Calls back when the next revalidation has ended. */
     void awaitRevalidation(Consumer<RevalidationResult> waiter) {
         revalidationWaiters.add(waiter);
         if (!revalidationScheduled) {
             revalidationScheduled = true;
-            double nextRoundAtSeconds = currentAsOfSeconds + REVALIDATION_INTERVAL_SECONDS;
-            loop.schedule(Math.max(0, nextRoundAtSeconds - loop.nowSeconds()), this::revalidate);
+            double nextRevalidationAtSeconds = currentAsOfSeconds + REVALIDATION_INTERVAL_SECONDS;
+            loop.schedule(
+                    Math.max(0, nextRevalidationAtSeconds - loop.nowSeconds()), this::revalidate);
         }
     }
 
@@ -221,7 +234,7 @@
 
     /**
      * Applies the changes and returns true, or returns false if that fails. An exception must not
-     * leave: none of the round's waiters would ever be called back.
+     * leave this method: otherwise none of the waiters of this revalidation would be called back.
      */
     private boolean tryApplyChanges(StoredChanges changes) {
         try {
@@ -232,7 +245,7 @@
             return true;
         } catch (RuntimeException e) {
             LOG.error(
-                    "malformed changes of jobs: position={} error={}",
+                    "job changes can't be applied, cache reset: revision={} error={}",
                     appliedRevision,
                     e.toString());
             return false;
@@ -261,7 +274,7 @@
         }
     }
 
-    /** Drops all records, since changes may have been missed. */
+    /** Drops all cached records, since changes may have been missed, and begins a new epoch. */
     private void reset() {
         records.invalidateAll();
         latestRevisions.invalidateAll();
--- a/src/main/java/io/kelphoist/admission/JobRecordWriter.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordWriter.java
@@ -14,14 +14,14 @@
     private static final double WRITE_TIMEOUT_SECONDS = 3.0;
     private static final int BYTES_PER_KILOBYTE = 1024;
 
-    /** Kept free in a value, for what later changes add to a record. */
+    /** Bytes of a value that stay unused, so that a later change can add fields to the record. */
     private static final int RESERVED_VALUE_BYTES = 256;
 
     private final Admission.RecordWriter writer;
     private final EventLoop loop;
     private final int maxValueBytes;
 
-    /** An encoded record, with the version that must be stored when it replaces that one. */
+    /** An encoded record and the version of the stored record that it replaces. */
     static final class EncodedRecord {
         private final JobRecord record;
         private final RecordMutation mutation;
@@ -41,9 +41,10 @@
     }
 
     /**
-     * Encodes an active or cancelled job's record.
+     * Encodes the record of an active or a cancelled job.
      *
-     * @param record its version is that of the record to be replaced, 0 if there must be none
+     * @param record the record to write; its version is that of the stored record to be replaced,
+     *     or 0 if no record may be stored yet
      */
     EncodedRecord encode(JobRecord record) {
         RecordMutation mutation =
@@ -53,13 +54,13 @@
         return new EncodedRecord(record, mutation);
     }
 
-    /** Whether the state store accepts a value of this size. */
+    /** Returns whether the record fits the state store's limit on the size of a value. */
     boolean fits(EncodedRecord encoded) {
         return encoded.sizeBytes <= maxValueBytes;
     }
 
     /**
-     * Writes a record if the version that it replaces is still stored.
+     * Writes a record if the stored record still has the version that it replaces.
      *
      * @param listener called once, on the event loop
      */
--- a/src/main/java/io/kelphoist/admission/JobResponder.java
+++ b/src/main/java/io/kelphoist/admission/JobResponder.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Makes the responses that tell a user a job's state, and those that defer a request. It owns the
- * counts of deferred requests; every state that is reported to a user passes through {@link
+ * Sends users the responses that report a job's state and those that defer a request. Owns the
+ * counts of deferred requests. Every job state in a response to a user is made by {@link
  * #prepareJobState}.
  */
 final class JobResponder {
@@ -21,7 +21,7 @@
     private final Admission.ClusterView clusterView;
     private final Consumer<JobRecord> beforeResponse;
 
-    /** Written on the event loop, read by the metrics' thread; guarded by itself. */
+    /** Written on the event loop, read by the metrics thread; guarded by itself. */
     private final EnumMap<AdmissionResult.DeferralReason, Long> deferralCounts =
             new EnumMap<>(AdmissionResult.DeferralReason.class);
 
@@ -34,12 +34,15 @@
         this.beforeResponse = beforeResponse;
     }
 
-    /** Responds with a job's state as the record has it. */
+    /** Responds with the job's state according to its record. */
     void respondWithState(JobRecord record, Consumer<AdmissionResult> callback) {
         callback.accept(new AdmissionResult.Found(prepareJobState(record)));
     }
 
-    /** Returns a job's state for a user, after having noted that it is about to be reported. */
+    /**
+     * Returns a job's state for a response to a user. Before that, records it as reported and calls
+     * the {@code beforeResponse} listener.
+     */
     AdmissionResult.JobStateView prepareJobState(JobRecord record) {
         lookup.recordResponse(record);
         TaskCounts counts =
@@ -69,8 +72,8 @@
     }
 
     /**
-     * Reads a job's record and continues with it, or without one if there certainly is none. If
-     * neither is certain, the request is deferred.
+     * Reads a job's record. Passes it to {@code ifPresent}, or runs {@code ifAbsent} if the job has
+     * no record. If the record can't be read or decoded, the request is deferred.
      */
     void withRecord(
             String jobId,
@@ -90,7 +93,7 @@
                 });
     }
 
-    /** Responds that the same request may be made again after a while. */
+    /** Responds that the user should repeat the request after {@link #RETRY_AFTER_SECONDS}. */
     void defer(
             String jobId,
             AdmissionResult.DeferralReason reason,
@@ -102,7 +105,10 @@
         callback.accept(new AdmissionResult.RetryLater(reason, RETRY_AFTER_SECONDS));
     }
 
-    /** How many requests were deferred for this reason since the start; for any thread. */
+    /**
+     * Returns how many requests were deferred for this reason since the process started. May be
+     * called on any thread.
+     */
     long deferralCount(AdmissionResult.DeferralReason reason) {
         synchronized (deferralCounts) {
             return deferralCounts.getOrDefault(reason, 0L);
--- a/src/main/java/io/kelphoist/admission/MonotonicReads.java
+++ b/src/main/java/io/kelphoist/admission/MonotonicReads.java
@@ -6,28 +6,32 @@
 import java.util.Map;
 
 /**
- * Remembers the job states that this controller has recently reported, so that none older is
- * reported afterwards (monotonic reads). A read may take seconds, while a read that was sent later
- * is answered and reported within milliseconds; the result of the first is then outdated.
+ * Keeps the job states that this controller has recently reported, so that no older state is
+ * reported afterwards (monotonic reads). A read may take seconds, while the result of a read that
+ * was sent later arrives and is reported within milliseconds; the result of the first read is then
+ * outdated.
  *
- * <p>The list is bounded: a read that was sent before the newest dropped entry can't be judged and
- * is discarded. No I/O; all times are seconds of the event loop's monotonic clock.
+ * <p>The list is bounded. If a read was sent before the newest evicted entry was reported, its
+ * result may be older than an evicted entry, so it is replaced by {@link
+ * JobReadResult.Unavailable}. Performs no I/O; all times are seconds of the event loop's monotonic
+ * clock.
  */
 final class MonotonicReads {
-    /** The number of jobs that are remembered. */
+    /** Maximum number of jobs whose last reported state is kept. */
     static final int MAX_ENTRIES = 4000;
 
-    /** Longer than any read is under way. */
+    /** Longer than any read takes. */
     static final double RETENTION_SECONDS = 20;
 
     private record Response(JobRecord record, double reportedAtSeconds) {}
 
-    /** By job, oldest first. */
+    /** By job id, the oldest response first. */
     private final Map<String, Response> responses = new LinkedHashMap<>();
 
+    /** When the newest of the evicted entries was reported. */
     private double newestEvictedReportedAtSeconds = Double.NEGATIVE_INFINITY;
 
-    /** Remembers that this record is about to be reported to a user. */
+    /** Records that this job record is about to be reported to a user. */
     void recordResponse(JobRecord record, double nowSeconds) {
         Response previous = responses.get(record.id());
         if (previous == null || previous.record.version() < record.version()) {
@@ -51,12 +55,13 @@
     }
 
     /**
-     * Returns what may be reported on the result of a read: the result, what was reported before if
-     * that is newer, or {@link JobReadResult.Unavailable} if neither is certain.
+     * Returns what may be reported, given the result of a read: the result, the last reported
+     * record if that is newer, or {@link JobReadResult.Unavailable} if the result may be older than
+     * an evicted entry.
      *
-     * @param askedAtSeconds a time before the read was sent
+     * @param requestedAtSeconds a time before the read was sent
      */
-    JobReadResult ensureMonotonic(String jobId, JobReadResult result, double askedAtSeconds) {
+    JobReadResult ensureMonotonic(String jobId, JobReadResult result, double requestedAtSeconds) {
         JobRecord record =
                 result instanceof JobReadResult.Present present ? present.record() : null;
         boolean isFinal = record != null && record.status().isFinal();
@@ -69,7 +74,7 @@
                     ? result
                     : new JobReadResult.Present(previous.record);
         }
-        return askedAtSeconds <= newestEvictedReportedAtSeconds
+        return requestedAtSeconds <= newestEvictedReportedAtSeconds
                 ? new JobReadResult.Unavailable()
                 : result;
     }
--- a/src/main/java/io/kelphoist/admission/QueryHandler.java
+++ b/src/main/java/io/kelphoist/admission/QueryHandler.java
@@ -8,8 +8,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Answers queries for a job's state. A job that waits for a cancelled dependency is cancelled on
- * the way, so that it is not reported as queued.
+ * Handles queries for a job's state. If the job depends on a cancelled job and no task of it has
+ * started, the query cancels the job first, so that it is not reported as queued.
  */
 final class QueryHandler {
     private static final Logger LOG = LoggerFactory.getLogger(QueryHandler.class);
@@ -34,7 +34,7 @@
         this.loop = loop;
     }
 
-    /** Responds with a job's state, or with NotFound. */
+    /** Responds with a job's state, or with {@link AdmissionResult.NotFound}. */
     void query(String jobId, Consumer<AdmissionResult> callback) {
         Consumer<AdmissionResult> tracked = result -> trackAndRespond(jobId, result, callback);
         if (clusterView.isOverloaded()) {
@@ -49,10 +49,10 @@
         if (!(result instanceof AdmissionResult.RetryLater)) {
             unansweredJobs.onQueryAnswered(jobId);
         } else if (unansweredJobs.onQueryDeferred(jobId, loop.nowSeconds())) {
-            // Queries for other jobs are answered, so the cached record of this one may be at
-            // fault.
+            // Queries for other jobs may succeed, so the cached record of this job may be the
+            // cause.
             LOG.warn(
-                    "queries not answered, cached record dropped: job={} waitSeconds={}",
+                    "queries deferred repeatedly, cached job record invalidated: job={} deferredSeconds={}",
                     jobId,
                     Math.round(unansweredJobs.deferredForSeconds(jobId, loop.nowSeconds())));
             lookup.invalidate(jobId);
@@ -60,7 +60,7 @@
         callback.accept(result);
     }
 
-    /** Responds with the state of a job that is stored, and runs {@code ifAbsent} otherwise. */
+    /** Responds with a job's state if the job is stored, and runs {@code ifAbsent} if it is not. */
     void respondIfStored(String jobId, Runnable ifAbsent, Consumer<AdmissionResult> callback) {
         responder.withRecord(
                 jobId, record -> respondAfterDependencyCheck(record, callback), ifAbsent, callback);
@@ -86,12 +86,12 @@
                 && clusterView.taskCounts(record.id()).isEmpty();
     }
 
-    /** The response to a query that waits for the check of the job's dependencies. */
+    /** A query that waits for the check of the job's dependencies. */
     private final class DependencyCheck {
         private final JobRecord record;
         private final Consumer<AdmissionResult> callback;
 
-        /** Whether the check is completed within the call that started it. */
+        /** Whether the check is completed within the call that starts it. */
         private boolean completedSynchronously = true;
 
         DependencyCheck(JobRecord record, Consumer<AdmissionResult> callback) {
@@ -107,7 +107,10 @@
             }
         }
 
-        /** The record is read again if the check took a while, since it may be outdated by now. */
+        /**
+         * Responds with the job's state. The record is read again if the check was not completed
+         * synchronously, since it may be outdated by then.
+         */
         private void respondWithCurrentState() {
             if (completedSynchronously) {
                 responder.respondWithState(record, callback);
--- a/src/main/java/io/kelphoist/admission/SubmissionHandler.java
+++ b/src/main/java/io/kelphoist/admission/SubmissionHandler.java
@@ -17,13 +17,13 @@
 
 /**
  * Accepts and rejects submissions. Submissions are idempotent: a job that is stored already keeps
- * its state and is reported as found, whatever the repeated submission looks like. A rejection
- * would make its user believe that it does not exist.
+ * its state and is reported as found, even if the repeated submission is invalid. After a rejection
+ * the user would assume that the job does not exist.
  */
 final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
 
-    /** The version of a record that does not exist yet. */
+    /** The version in a write that requires that the record does not exist. */
     private static final long ABSENT_VERSION = 0;
 
     private final AdmissionRules rules;
@@ -34,10 +34,11 @@
     private final Clocks clocks;
 
     /**
-     * Time for submissions.
+     * Time sources for submissions.
      *
-     * @param loop monotonic time, for the order of reads and responses
-     * @param wallClockMillis time of day in ms since the epoch, for the record of the acceptance
+     * @param loop provides the monotonic time, which orders reads and responses
+     * @param wallClockMillis time of day in ms since the epoch, which is stored as the time of
+     *     acceptance
      */
     record Clocks(EventLoop loop, LongSupplier wallClockMillis) {}
 
@@ -59,8 +60,8 @@
     /**
      * Accepts a job, or rejects it if it could never run.
      *
-     * @param machineTypes all machine types that there are; empty while they are not known, which
-     *     defers the submission
+     * @param machineTypes all machine types that the cloud offers; empty until they are loaded, in
+     *     which case the submission is deferred
      */
     void submit(
             JobSpec job, Collection<MachineType> machineTypes, Consumer<AdmissionResult> callback) {
@@ -74,15 +75,17 @@
         } else if (job.dependencies().isEmpty()) {
             accept(job, JobStatus.ACTIVE, callback);
         } else {
-            // Read as of now: the user who names a dependency may have just seen that it is
-            // cancelled.
+            // Reads the current records, not recent ones: the user may have just received the
+            // response that a dependency is cancelled.
             lookup.readAll(
                     job.dependencies(),
                     dependencies -> acceptWithDependencies(job, dependencies, callback));
         }
     }
 
-    /** Rejects a submission of which only the job's id could be decoded. */
+    /**
+     * Rejects a submission of which only the job id could be decoded, unless that job is stored.
+     */
     void rejectMalformed(String jobId, String reason, Consumer<AdmissionResult> callback) {
         queries.respondIfStored(
                 jobId,
@@ -96,7 +99,7 @@
     private void acceptWithDependencies(
             JobSpec job, List<JobReadResult> dependencies, Consumer<AdmissionResult> callback) {
         boolean anyCancelled = false;
-        boolean anyUnknown = false;
+        boolean anyStateUnknown = false;
         for (int i = 0; i < dependencies.size(); i++) {
             JobReadResult dependency = dependencies.get(i);
             Optional<String> rejection = findRejectionReason(job.dependencies().get(i), dependency);
@@ -107,13 +110,13 @@
             if (dependency instanceof JobReadResult.Present present) {
                 anyCancelled |= present.record().status() == JobStatus.CANCELLED;
             } else {
-                anyUnknown = true;
+                anyStateUnknown = true;
             }
         }
-        if (anyUnknown) {
+        if (anyStateUnknown) {
             respondIfStoredElseDefer(job, AdmissionResult.DeferralReason.UNSURE, callback);
         } else {
-            // With a cancelled dependency it can never run; it is accepted as cancelled.
+            // A job with a cancelled dependency can never run; it is stored as cancelled.
             accept(job, anyCancelled ? JobStatus.CANCELLED : JobStatus.ACTIVE, callback);
         }
     }
@@ -170,7 +173,7 @@
                 "job accepted: job={} elapsedMillis={}",
                 stored.id(),
                 clocks.wallClockMillis().getAsLong() - stored.timestampMillis());
-        // The outcome may have arrived late, after another controller cancelled the job.
+        // Another controller may have cancelled the job before this outcome arrived.
         JobReadResult current =
                 lookup.ensureMonotonic(
                         stored.id(), new JobReadResult.Present(stored), sentAtSeconds);
@@ -185,7 +188,7 @@
     private void onNotStored(
             JobSpec job, GroupCommitter.Outcome outcome, Consumer<AdmissionResult> callback) {
         switch (outcome) {
-            // The job exists already, or it may: what is stored decides.
+            // The job exists or may exist: the stored record determines the response.
             case CONFLICT, UNKNOWN ->
                     respondIfStoredElseDefer(
                             job, AdmissionResult.DeferralReason.NOT_STORED, callback);
--- a/src/main/java/io/kelphoist/admission/UnansweredJobs.java
+++ b/src/main/java/io/kelphoist/admission/UnansweredJobs.java
@@ -5,18 +5,22 @@
 import java.util.Map;
 
 /**
- * Tracks jobs whose queries keep being deferred although those for other jobs are answered, as
- * happens if a cached record is at fault. The counts of deferred requests don't show such jobs.
+ * Tracks jobs whose queries are deferred repeatedly while queries for other jobs succeed, for
+ * example because the job's cached record is wrong. The counts of deferred requests don't name the
+ * jobs and so don't show this.
  *
- * <p>Changed on the event loop only; read by the metrics' thread too, hence synchronized.
+ * <p>Modified on the event loop only; also read by the metrics thread, hence synchronized.
  */
 public final class UnansweredJobs {
     private static final int MAX_JOBS = 1000;
 
-    /** A job deferred for this long is due for a recheck, and again after as long. */
+    /**
+     * Queries for a job are deferred for this long before its cached record is invalidated, and for
+     * this long again before the next invalidation.
+     */
     private static final double INVALIDATION_INTERVAL_SECONDS = 10;
 
-    /** A job that was not asked about for this long is dropped. */
+    /** A job without a query for this long may be evicted when another job is added. */
     private static final double RETENTION_SECONDS = 120;
 
     private static final class UnansweredJob {
@@ -31,18 +35,18 @@
         }
     }
 
-    /** By job, the one that was deferred first, first. */
+    /** By job id, in the order of the first deferral. */
     private final Map<String, UnansweredJob> jobs = new LinkedHashMap<>();
 
-    /** Drops a job, as a query for it was answered. */
+    /** Stops tracking a job after a query for it was not deferred. */
     synchronized void onQueryAnswered(String jobId) {
         jobs.remove(jobId);
     }
 
     /**
-     * Notes that a query for a job was deferred.
+     * Records that a query for a job was deferred.
      *
-     * @return whether the job is due for a recheck of what is cached of it
+     * @return whether the caller must invalidate the job's cached record now
      */
     synchronized boolean onQueryDeferred(String jobId, double nowSeconds) {
         UnansweredJob job = jobs.get(jobId);
@@ -70,19 +74,20 @@
         }
     }
 
-    /** Returns for how long queries for a job have been deferred, 0 if they are answered. */
+    /** Returns for how long queries for a job have been deferred; 0 if the job is not tracked. */
     synchronized double deferredForSeconds(String jobId, double nowSeconds) {
         UnansweredJob job = jobs.get(jobId);
         return job == null ? 0 : nowSeconds - job.firstDeferredAtSeconds;
     }
 
-    /** Returns the number of jobs whose queries are being deferred. */
+    /** Returns the number of tracked jobs: those whose last query was deferred. */
     public synchronized int size() {
         return jobs.size();
     }
 
     /**
-     * Returns for how long the first of these jobs has been deferred, in seconds; 0 without any.
+     * Returns for how many seconds queries have been deferred for the job that was deferred first;
+     * 0 if no job is tracked.
      */
     public synchronized double longestDeferralSeconds(double nowSeconds) {
         return jobs.values().stream()
