--- a/src/main/java/io/kelphoist/statestore/GroupCommitter.java
+++ b/src/main/java/io/kelphoist/statestore/GroupCommitter.java
@@ -17,52 +17,60 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Group commit: writes that wait at the same time share transactions, within the limits of the
- * state store.
+ * Group commit: writes that are queued at the same time share transactions, within the limits of
+ * the state store.
  *
- * <p>Normally one transaction is in flight at a time; further ones are sent while it has had no
- * answer for longer than usual. Transactions may be executed in any order, also seconds later,
- * since each is conditional on the versions of the keys that it changes. Urgent writes, which users
- * wait for, go before the others.
+ * <p>Normally one transaction is in flight at a time. Further ones are sent while the newest one
+ * has had no response for longer than {@link #SLOW_TRANSACTION_SECONDS}. Transactions may be
+ * executed in any order, also seconds later, since each is conditional on the versions of the keys
+ * that it changes. Urgent writes, for whose outcome users wait, are sent before the others.
  *
- * <p>Owns the queues of writes and the write budget. Methods and callbacks run on the event loop.
+ * <p>Owns the queues of writes and the limit on their rate. Methods and callbacks run on the event
+ * loop.
  */
 public final class GroupCommitter {
     /** How a write ended. */
     public enum Outcome {
         /** The write is stored. */
         STORED,
-        /** One of the write's own conditions does not hold. */
+        /** One of the write's conditions does not hold. */
         CONFLICT,
-        /** The write was certainly not executed and never will be. */
+        /** The write was not executed and will not be executed later. */
         NOT_EXECUTED,
-        /** The store refuses the write; it can never succeed unchanged. */
+        /**
+         * The store rejected the write, usually since it exceeds a size limit; repeating it
+         * unchanged would fail again.
+         */
         TOO_LARGE,
-        /** The write may or may not be executed, now or later; the caller has to read it back. */
+        /**
+         * The write may or may not be executed, now or later; the caller must read the record to
+         * find out.
+         */
         UNKNOWN
     }
 
-    /** Which writes go first. */
+    /** The order in which queued writes are sent. */
     public enum Urgency {
-        /** Somebody waits for the outcome: goes before writes that are not urgent. */
+        /** A user or another operation waits for the outcome: sent before normal writes. */
         URGENT,
-        /** Goes after urgent writes. */
+        /** Sent after urgent writes. */
         NORMAL
     }
 
-    /** What happens to a write while the store is unavailable. */
+    /** What happens to a write that was not executed because the store is unavailable. */
     public enum WhenUnavailable {
-        /** It is sent again until it expires. */
+        /** The write is sent again until it expires. */
         RETRY,
-        /** It ends as not executed at once. */
+        /** The write ends at once with {@link Outcome#NOT_EXECUTED}. */
         FAIL
     }
 
     /**
-     * A group of changes that are made together.
+     * Mutations that are applied together if all conditions hold.
      *
-     * @param sizeBytes estimated size in a transaction
-     * @param expiresAtSeconds the write is given up if it has not been sent by then
+     * @param sizeBytes estimated size of the write in a transaction
+     * @param expiresAtSeconds time after which the write is no longer sent and ends with {@link
+     *     Outcome#NOT_EXECUTED}
      */
     public record Write(
             List<VersionCondition> conditions,
@@ -76,17 +84,20 @@
     /** Receives the outcome of a write. */
     public interface OutcomeListener {
         /**
-         * Runs once for each write.
+         * Called once for each write.
          *
          * @param revision revision of the transaction if the write is stored, otherwise 0
          */
         void onOutcome(Outcome outcome, long revision);
     }
 
-    /** Upper bound of what a key and its conditions take in a transaction. */
+    /** Upper bound of the size of a key and its conditions in a transaction. */
     public static final int KEY_OVERHEAD_BYTES = 200;
 
-    /** Each transaction in flight takes a connection, which leases and leader keys need as well. */
+    /**
+     * Maximum number of transactions in flight. Each occupies a connection, and requests for leases
+     * and leader keys need connections too.
+     */
     public static final int MAX_IN_FLIGHT = 3;
 
     static final int MAX_QUEUED_WRITES = 2000;
@@ -94,8 +105,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(GroupCommitter.class);
 
     /**
-     * A transaction usually takes some 10 ms; the next one no longer waits for one that takes
-     * longer than this.
+     * A transaction that has had no response for longer than this does not delay the next one. The
+     * usual latency is about 10 ms.
      */
     private static final double SLOW_TRANSACTION_SECONDS = 0.25;
 
@@ -103,7 +114,7 @@
     private static final double WRITE_BURST_SECONDS = 0.9;
     private static final double MIN_PAUSE_SECONDS = 0.01;
 
-    /** Nothing is sent for this long after the store did not execute a transaction. */
+    /** No transaction is sent for this long after the store did not execute one. */
     private static final double NOT_EXECUTED_PAUSE_SECONDS = 0.15;
 
     private final StateStoreWriter stateWriter;
@@ -113,7 +124,10 @@
     private final Deque<Write> urgentQueue = new ArrayDeque<>();
     private final Deque<Write> normalQueue = new ArrayDeque<>();
 
-    /** Writes per transaction; fewer after the store refused a transaction as too large. */
+    /**
+     * Maximum number of writes per transaction; lowered after the store rejected a transaction of
+     * several writes.
+     */
     private int maxBatchSize = Integer.MAX_VALUE;
 
     private boolean paused;
@@ -128,23 +142,28 @@
     /**
      * Creates a committer.
      *
-     * @param writesPerSecond changes per second that the store allows
-     * @param maxChanges changes per transaction that the store allows
+     * @param mutationsPerSecond mutations per second that the store allows
+     * @param maxMutations mutations per transaction that the store allows
      */
     public GroupCommitter(
-            StateStoreWriter stateWriter, EventLoop loop, double writesPerSecond, int maxChanges) {
+            StateStoreWriter stateWriter,
+            EventLoop loop,
+            double mutationsPerSecond,
+            int maxMutations) {
         this.stateWriter = stateWriter;
         this.loop = loop;
-        this.writeLimiter = new TokenBucket(writesPerSecond, WRITE_BURST_SECONDS);
-        this.maxMutations = maxChanges;
+        this.writeLimiter = new TokenBucket(mutationsPerSecond, WRITE_BURST_SECONDS);
+        this.maxMutations = maxMutations;
     }
 
-    /** Returns the number of writes that have not been sent. */
+    /** Returns the number of writes that wait to be sent. */
     public int queuedWrites() {
         return urgentQueue.size() + normalQueue.size();
     }
 
-    /** Queues a write. It ends as not executed at once if too many are queued. */
+    /**
+     * Queues a write. If the queues are full, it ends at once with {@link Outcome#NOT_EXECUTED}.
+     */
     public void submit(Write write) {
         if (queuedWrites() >= MAX_QUEUED_WRITES) {
             write.listener().onOutcome(Outcome.NOT_EXECUTED, 0);
@@ -165,7 +184,7 @@
         double nowSeconds = loop.nowSeconds();
         rejectExpired(urgentQueue, nowSeconds);
         rejectExpired(normalQueue, nowSeconds);
-        // The listeners of expired writes may have submitted others.
+        // The listeners of expired writes may have submitted and sent others.
         if (mustWait() || queuedWrites() == 0) {
             return;
         }
@@ -182,7 +201,10 @@
         }
     }
 
-    /** Whether nothing may be sent now; a timer or an answer triggers the next attempt. */
+    /**
+     * Returns whether no transaction may be sent now. A timer or a response triggers the next
+     * attempt.
+     */
     private boolean mustWait() {
         return paused
                 || inFlight >= MAX_IN_FLIGHT
@@ -201,22 +223,23 @@
     }
 
     /**
-     * Takes the writes from the write budget: all of them, or the first one alone rather than all
-     * of them later. Pauses and returns none if the budget does not allow even that.
+     * Charges the writes of a batch to the write rate limit and returns those that may be sent now:
+     * all of them; otherwise the first one alone, instead of all of them later; if the limit does
+     * not allow even that, none, after which sending pauses until it does.
      */
     private List<Write> withinWriteLimit(List<Write> batch, double nowSeconds) {
-        int changeCount = 0;
+        int mutationCount = 0;
         for (Write write : batch) {
-            changeCount += write.mutations().size();
+            mutationCount += write.mutations().size();
         }
-        if (writeLimiter.tryAcquire(changeCount, nowSeconds)) {
+        if (writeLimiter.tryAcquire(mutationCount, nowSeconds)) {
             return batch;
         }
-        int firstChangeCount = batch.get(0).mutations().size();
-        if (batch.size() > 1 && writeLimiter.tryAcquire(firstChangeCount, nowSeconds)) {
+        int firstMutationCount = batch.get(0).mutations().size();
+        if (batch.size() > 1 && writeLimiter.tryAcquire(firstMutationCount, nowSeconds)) {
             return List.of(batch.get(0));
         }
-        pauseFor(writeLimiter.secondsUntilAvailable(firstChangeCount, nowSeconds));
+        pauseFor(writeLimiter.secondsUntilAvailable(firstMutationCount, nowSeconds));
         return List.of();
     }
 
@@ -232,7 +255,7 @@
 
     private void send(List<Write> batch) {
         inFlight++;
-        long transaction = ++newestTransactionNumber;
+        long transactionNumber = ++newestTransactionNumber;
         newestSentAtSeconds = loop.nowSeconds();
         newestHasResponse = false;
         loop.schedule(SLOW_TRANSACTION_SECONDS + SLOW_CHECK_MARGIN_SECONDS, this::sendNext);
@@ -241,7 +264,7 @@
                 WriteBatch.mutationsOf(batch),
                 result -> {
                     inFlight--;
-                    newestHasResponse |= transaction == newestTransactionNumber;
+                    newestHasResponse |= transactionNumber == newestTransactionNumber;
                     complete(batch, result);
                     sendNext();
                 });
@@ -282,14 +305,15 @@
     }
 
     /**
-     * Nothing was executed. Writes that were refused together are sent again in smaller batches; a
-     * write that was refused alone is too large by itself, so that batches need not be smaller.
+     * Handles a transaction that the store rejected as invalid, of which no write was executed.
+     * Several writes are sent again in smaller batches. A write that was rejected alone is itself
+     * too large, so the limit on the batch size is lifted.
      */
     private void onTooLarge(List<Write> batch, String reason) {
         if (batch.size() > 1) {
             maxBatchSize = batch.size() / 2;
             LOG.warn(
-                    "transaction refused by the state store: writes={} error={} newMaxWrites={}",
+                    "transaction rejected by the state store: writes={} error={} newMaxWrites={}",
                     batch.size(),
                     reason,
                     maxBatchSize);
@@ -299,14 +323,14 @@
         maxBatchSize = Integer.MAX_VALUE;
         Write write = batch.get(0);
         LOG.error(
-                "write refused by the state store: keys={} bytes={} error={}",
+                "write rejected by the state store: keys={} sizeBytes={} error={}",
                 write.mutations().stream().map(RecordMutation::key).toList(),
                 write.sizeBytes(),
                 reason);
         write.listener().onOutcome(Outcome.TOO_LARGE, 0);
     }
 
-    /** Ends the writes whose own conditions failed, and sends the others again. */
+    /** Ends the writes whose own conditions do not hold, and queues the others again. */
     private void onConflict(List<Write> batch, Set<String> failedKeys) {
         List<Write> retried = new ArrayList<>();
         List<Write> conflicted = new ArrayList<>();
@@ -329,7 +353,7 @@
         return false;
     }
 
-    /** Puts writes back to the front of their queues, in their order. */
+    /** Puts writes back at the front of their queues, in their order. */
     private void requeue(List<Write> batch) {
         for (int i = batch.size() - 1; i >= 0; i--) {
             queueOf(batch.get(i)).addFirst(batch.get(i));
--- a/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
+++ b/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
@@ -10,14 +10,14 @@
 import java.util.function.Consumer;
 
 /**
- * Limits the reads that users cause to a share of the request budget, so that records, elections
- * and the leader never wait behind them. A read that would have to wait too long is refused at
- * once.
+ * Limits the rate of reads for users' requests to a share of the state store's rate limit, so that
+ * reads for record replication, for elections and by the leader never wait behind them. A read that
+ * would have to wait too long is rejected at once.
  *
- * <p>Owns the budget of user reads. Runs on the event loop.
+ * <p>Owns the rate limit of users' reads. Runs on the event loop.
  */
 public final class RateLimitedReader implements StateStoreReader {
-    /** A user waits for 2 s for a response. */
+    /** Users wait 2 s for a response, of which the wait for the rate limit may take only a part. */
     private static final double MAX_WAIT_SECONDS = 0.5;
 
     private static final double BURST_SECONDS = 0.5;
@@ -27,9 +27,9 @@
     private final TokenBucket requestLimiter;
 
     /**
-     * Limits a reader.
+     * Creates a reader that limits the rate of the reads that it forwards.
      *
-     * @param requestsPerSecond reads per second, at most
+     * @param requestsPerSecond maximum number of reads per second
      */
     public RateLimitedReader(StateStoreReader reader, EventLoop loop, double requestsPerSecond) {
         this.reader = reader;
@@ -55,13 +55,16 @@
     @Override
     public void changesSince(
             String prefix, long afterRevision, Consumer<StateStoreResult<StoredChanges>> callback) {
-        // One request serves all users who wait at the time. Their number is bounded that way, and
-        // a refusal would hit all of them.
+        // One request serves all users who wait at the time. So the number of these requests is
+        // bounded without a limit, and a rejection would fail the queries of all these users.
         requestLimiter.acquireUnconditionally(1, loop.nowSeconds());
         reader.changesSince(prefix, afterRevision, callback);
     }
 
-    /** Runs reads in the order of the calls: a read that waits has taken its permit already. */
+    /**
+     * Runs a read now or when the rate limit allows it. Reads run in the order of the calls, since
+     * a read that waits has taken its token already.
+     */
     private void runWithinLimit(Runnable read, Runnable onRejected) {
         double nowSeconds = loop.nowSeconds();
         double waitSeconds = requestLimiter.secondsUntilAvailable(1, nowSeconds);
--- a/src/main/java/io/kelphoist/statestore/RecordWatcher.java
+++ b/src/main/java/io/kelphoist/statestore/RecordWatcher.java
@@ -12,39 +12,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows the records below a prefix: reads a snapshot, and from its revision on the changes. Where
+ * Watches the records below a prefix: reads a snapshot, and then the changes after its revision. If
  * changes may have been missed, it reads a new snapshot.
  *
- * <p>One request is in flight at a time, so that the listener gets everything in order. Owns the
- * revision up to which the records are known. Runs on the event loop.
+ * <p>One request is in flight at a time, so that the listener receives all changes in order. Owns
+ * the revision up to which records were delivered to the listener. Runs on the event loop.
  */
 public final class RecordWatcher {
-    /** Receives the records. Runs on the event loop. */
+    /** Receives the watched records. Called on the event loop. */
     public interface Listener {
         /**
-         * Receives all records, in place of everything that was received before.
+         * Receives all records, which replace all records received before.
          *
-         * @param requestedAtSeconds when the first page was requested, on the loop's clock
+         * @param requestedAtSeconds when the first page was requested, by the event loop's clock
          */
         void onSnapshot(StateSnapshot snapshot, double requestedAtSeconds);
 
         /**
          * Receives the changes up to a revision.
          *
-         * @param changes oldest first, perhaps none
-         * @param requestedAtSeconds when they were requested, on the loop's clock
+         * @param changes oldest first; may be empty
+         * @param requestedAtSeconds when the changes were requested, by the event loop's clock
          */
         void onChanges(List<RecordChange> changes, long revision, double requestedAtSeconds);
 
         /**
-         * The state store does not answer, or changes were missed: the records may be outdated
-         * until the next snapshot or changes.
+         * A request to the state store failed, or changes were missed: the received records may be
+         * outdated until the next snapshot or the next changes are received.
          */
         default void onStale() {}
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(RecordWatcher.class);
     private static final double RETRY_DELAY_SECONDS = 0.25;
+
+    /** The value of {@link #deliveredRevision} before a snapshot was read. */
     private static final long NO_REVISION = -1;
 
     private final StateStoreWatcher watcher;
@@ -54,28 +56,31 @@
     private final Listener listener;
     private double requestPauseSeconds;
 
-    /** Incremented to abandon whatever is in flight. */
+    /**
+     * Incremented when a call replaces or stops the current activity: timers and callbacks that
+     * were registered in an earlier generation do nothing.
+     */
     private long generation;
 
-    /** Revision up to which the records are known. */
+    /** Revision up to which all changes were delivered to the listener. */
     private long deliveredRevision = NO_REVISION;
 
     /**
-     * Incremented whenever the revision is forgotten: changes that were requested before do not
-     * continue from the new one.
+     * Incremented when the delivered revision is discarded: changes that were requested before do
+     * not continue from the next snapshot's revision.
      */
     private long revisionEpoch;
 
     private boolean watching;
 
     /**
-     * Whether the store holds a request for changes. There is never a second one, as each takes a
-     * connection on both sides.
+     * Whether the store holds a request for changes. Never more than one is sent at a time, since
+     * each occupies a connection on both sides.
      */
     private boolean watchInFlight;
 
     /**
-     * Creates a watcher that does nothing yet.
+     * Creates a watcher. It sends no request before the first call of a method.
      *
      * @param holdMillis how long the store may hold a request for changes
      */
@@ -93,9 +98,10 @@
     }
 
     /**
-     * Follows the records from the known revision on.
+     * Watches the records from the delivered revision on, or from a new snapshot if there is none.
      *
-     * @param pauseSeconds pause between two requests; what changes meanwhile comes with one answer
+     * @param pauseSeconds pause between a response and the next request; changes in that time are
+     *     received with one response
      */
     public void watch(double pauseSeconds) {
         requestPauseSeconds = pauseSeconds;
@@ -103,21 +109,21 @@
         requestNext(++generation);
     }
 
-    /** Stops following. The known revision is kept for {@link #watch} and {@link #catchUp}. */
+    /** Stops watching. The delivered revision is kept for {@link #watch} and {@link #catchUp}. */
     public void stop() {
         watching = false;
         generation++;
     }
 
-    /** Stops following and forgets the known revision: the next request reads a snapshot. */
+    /** Stops watching and discards the delivered revision: the next request reads a snapshot. */
     public void reset() {
         stop();
         discardRevision();
     }
 
     /**
-     * Stops following and calls back once the listener has all records as of a moment after this
-     * call.
+     * Stops watching and calls back once the listener has received all records as of a moment after
+     * this call.
      */
     public void catchUp(Runnable onCaughtUp) {
         watching = false;
@@ -164,7 +170,7 @@
             return;
         }
         if (watchInFlight) {
-            // Its answer brings all changes since, whatever it was requested for.
+            // The response to the request in flight has all changes, and onWatchResponse goes on.
             return;
         }
         watchInFlight = true;
@@ -233,7 +239,10 @@
         return true;
     }
 
-    /** Passes changes on; false if the result has none, not even an empty list. */
+    /**
+     * Delivers changes to the listener. Returns false if the result is not a success; an empty list
+     * of changes is one.
+     */
     private boolean applyChanges(
             StateStoreResult<StoredChanges> result, double requestedAtSeconds) {
         if (result instanceof StateStoreResult.Success<StoredChanges> success) {
--- a/src/main/java/io/kelphoist/statestore/StateStoreClient.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreClient.java
@@ -19,28 +19,36 @@
 import java.util.function.Consumer;
 
 /**
- * Client of the consensus-backed key-value store.
+ * Client of the state store, the consensus-backed key-value store.
  *
- * <p>All requests count against the store's rate limit; urgent ones are sent at once even if they
- * exceed it. Owns the request budget and the record of how long the store has been failing. Methods
- * and callbacks run on the event loop.
+ * <p>All requests are charged to the store's rate limit; urgent requests and watch requests are
+ * sent at once even if they exceed it. Owns this rate limit and the time since when requests have
+ * been failing. Methods and callbacks run on the event loop.
  */
 public final class StateStoreClient implements StateStoreWatcher, StateStoreWriter {
     private static final int REQUEST_TIMEOUT_MILLIS = 1500;
 
-    /** A held watch request is given up this long after the store should have answered it. */
+    /**
+     * A watch request times out this long after its hold time, by which the store should respond.
+     */
     private static final int WATCH_TIMEOUT_MARGIN_MILLIS = 3000;
 
     private static final double REQUEST_BURST_SECONDS = 0.8;
     private static final double MAX_RATE_LIMIT_WAIT_SECONDS = 2.0;
 
-    /** A deferred request is retried this long after the budget allows it. */
+    /** A request that exceeds the rate limit is sent this long after the limit allows it. */
     private static final double RATE_LIMIT_RETRY_MARGIN_SECONDS = 0.005;
 
-    /** No requests but urgent ones are sent for this long after the store refused one. */
+    /**
+     * Only urgent and watch requests are sent for this long after the store rejected a request for
+     * exceeding its rate limit.
+     */
     private static final double RATE_LIMITED_PAUSE_SECONDS = 0.1;
 
-    /** A failure is dated back to this long after the last success. */
+    /**
+     * Requests are assumed to have been failing since this long after the last success at the
+     * latest, even if the first failure is noticed later.
+     */
     private static final double FAILURE_BACKDATE_SECONDS = 1;
 
     private final HttpHostClient client;
@@ -51,19 +59,19 @@
     private final Consumer<String> onMalformedResponse;
     private double lastSuccessAtSeconds;
 
-    /** Not a number while the store works. */
+    /** Time since when requests have been failing; NaN if they are not failing. */
     private double failingSinceSeconds = Double.NaN;
 
     /**
      * Creates a client.
      *
      * @param client connections for requests that may wait
-     * @param urgentClient connections for requests that must not wait behind others: leases, writes
-     *     and the leadership keys
-     * @param watchClient connections for held requests
+     * @param urgentClient connections for requests that must not wait behind others: for leases,
+     *     writes and leadership keys
+     * @param watchClient connections for watch requests, which the store holds
      * @param requestsPerSecond the store's rate limit
-     * @param onMalformedResponse receives the log fields of each response that cannot be decoded;
-     *     its request counts as one without an answer
+     * @param onMalformedResponse receives the log fields of each response that can't be decoded;
+     *     the outcome of its request is unknown
      */
     public StateStoreClient(
             HttpHostClient client,
@@ -81,7 +89,7 @@
         this.lastSuccessAtSeconds = loop.nowSeconds();
     }
 
-    /** Returns for how many seconds requests have been failing; 0 while the store works. */
+    /** Returns for how many seconds requests have been failing; 0 if they are not failing. */
     public double failingForSeconds() {
         return Double.isNaN(failingSinceSeconds) ? 0 : loop.nowSeconds() - failingSinceSeconds;
     }
@@ -97,7 +105,7 @@
         new SnapshotRead(prefix, false, callback).requestPage("");
     }
 
-    /** As {@link #readAll}, but with urgent requests: for reads that an election waits for. */
+    /** As {@link #readAll}, but with urgent requests, for reads on which an election waits. */
     public void readAllUrgently(String prefix, Consumer<Optional<StateSnapshot>> callback) {
         new SnapshotRead(prefix, true, callback).requestPage("");
     }
@@ -115,7 +123,7 @@
     }
 
     /**
-     * Creates a lease. The callback receives its id.
+     * Creates a lease. The callback receives the lease id.
      *
      * @param timeToLiveMillis time after which the lease expires unless it is renewed
      */
@@ -127,7 +135,7 @@
                 callback);
     }
 
-    /** Renews a lease; rejected as not found if it has expired. */
+    /** Renews a lease. The result is rejected as {@code NOT_FOUND} if the lease has expired. */
     public void renewLease(long leaseId, Consumer<StateStoreResult<Long>> callback) {
         send(
                 StateStoreRequests.renewLease(leaseId),
@@ -141,7 +149,9 @@
         revokeLease(leaseId, () -> {});
     }
 
-    /** Revokes a lease and calls back when the request has ended in any way. */
+    /**
+     * Revokes a lease and calls back when the request has ended, whether it succeeded or failed.
+     */
     public void revokeLease(long leaseId, Runnable onCompleted) {
         send(
                 StateStoreRequests.revokeLease(leaseId),
@@ -192,7 +202,10 @@
                         result -> callback.accept(toResult(result, decoder)));
     }
 
-    /** Sends a request later that exceeds the rate limit now, unless that takes too long. */
+    /**
+     * Schedules a request that exceeds the rate limit now, or rejects it if it would have to wait
+     * too long.
+     */
     private <T> void defer(
             HttpRequest request,
             StateStoreResponses.Decoder<T> decoder,
@@ -272,7 +285,10 @@
         private final Consumer<Optional<StateSnapshot>> callback;
         private final List<StoredRecord> records = new ArrayList<>();
 
-        /** Of the first page, since later pages may miss earlier changes; negative: none yet. */
+        /**
+         * Revision of the first page: at a later page's revision, earlier pages may miss changes.
+         * Negative until the first page is read.
+         */
         private long revision = -1;
 
         SnapshotRead(String prefix, boolean urgent, Consumer<Optional<StateSnapshot>> callback) {
--- a/src/main/java/io/kelphoist/statestore/StateStoreReader.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreReader.java
@@ -7,17 +7,20 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Reads of the state store. Callbacks run once, on the event loop, and may run before return. */
+/**
+ * Reads from the state store. Each callback runs once, on the event loop, possibly before the call
+ * returns.
+ */
 public interface StateStoreReader {
-    /** Reads one key; rejected as not found if it does not exist. */
+    /** Reads one key. The result is rejected as {@code NOT_FOUND} if the key does not exist. */
     void get(String key, Consumer<StateStoreResult<StoredRecord>> callback);
 
-    /** Reads all records below a prefix; empty if they could not be read. */
+    /** Reads all records below a prefix. The result is empty if they can't be read. */
     void readAll(String prefix, Consumer<Optional<StateSnapshot>> callback);
 
     /**
-     * Reads the changes below a prefix after a revision, without waiting for one; rejected as
-     * compacted if the store no longer has all of them.
+     * Reads the changes below a prefix after a revision, without waiting for a change. The result
+     * is rejected as {@code COMPACTED} if the store no longer has all of them.
      */
     void changesSince(
             String prefix, long afterRevision, Consumer<StateStoreResult<StoredChanges>> callback);
--- a/src/main/java/io/kelphoist/statestore/StateStoreWatcher.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreWatcher.java
@@ -4,13 +4,13 @@
 import io.kelphoist.statestore.protocol.StoredChanges;
 import java.util.function.Consumer;
 
-/** Reads of the state store, and waiting for changes. */
+/** Reads from the state store, with requests that wait for changes. */
 public interface StateStoreWatcher extends StateStoreReader {
     /**
-     * Waits for changes below a prefix after a revision. The callback runs at once if there are any
-     * already, otherwise when one happens or the hold time is over.
+     * Waits for changes below a prefix after a revision. The store responds at once if it has any
+     * already, otherwise when there is a change or when the hold time has expired.
      *
-     * @param holdMillis longest time that the store holds the request
+     * @param holdMillis maximum time that the store holds the request
      */
     void awaitChanges(
             String prefix,
--- a/src/main/java/io/kelphoist/statestore/StateStoreWriter.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreWriter.java
@@ -9,8 +9,8 @@
 /** Writes to the state store. */
 public interface StateStoreWriter {
     /**
-     * Makes all changes in one transaction if all conditions hold. The callback runs once, on the
-     * event loop, and receives the revision of the transaction.
+     * Applies all mutations in one transaction if all conditions hold. The callback runs once, on
+     * the event loop; a success has the revision of the transaction.
      */
     void commit(
             List<VersionCondition> conditions,
--- a/src/main/java/io/kelphoist/statestore/TokenBucket.java
+++ b/src/main/java/io/kelphoist/statestore/TokenBucket.java
@@ -1,15 +1,14 @@
 package io.kelphoist.statestore;
 
 /**
- * Token bucket that limits a rate. Time is passed in, in seconds of the monotonic clock.
- *
- * <p>Owns its tokens. Not thread safe.
+ * Limits a rate with a token bucket. The caller passes the time, in seconds of a monotonic clock.
+ * Not thread-safe.
  */
 public final class TokenBucket {
     private final double tokensPerSecond;
     private final double capacity;
 
-    /** Negative after permits were taken unconditionally. */
+    /** Negative if more tokens were taken unconditionally than were available. */
     private double availableTokens;
 
     private double refilledAtSeconds;
@@ -18,42 +17,47 @@
     /**
      * Creates a full bucket.
      *
-     * @param burstSeconds the bucket holds the permits of this many seconds, at least one
+     * @param burstSeconds the bucket's capacity as a time: it holds the tokens of this many
+     *     seconds, but at least one
      */
-    public TokenBucket(double permitsPerSecond, double burstSeconds) {
-        this.tokensPerSecond = permitsPerSecond;
-        this.capacity = Math.max(1, permitsPerSecond * burstSeconds);
+    public TokenBucket(double tokensPerSecond, double burstSeconds) {
+        this.tokensPerSecond = tokensPerSecond;
+        this.capacity = Math.max(1, tokensPerSecond * burstSeconds);
         this.availableTokens = capacity;
     }
 
     /**
-     * Takes permits if they are available. A request for more permits than the bucket can hold is
-     * granted when the bucket is full.
+     * Takes tokens if they are available, and returns whether it took them. More tokens than the
+     * bucket's capacity are granted when the bucket is full; the number of available tokens is then
+     * negative.
      */
-    public boolean tryAcquire(double permits, double nowSeconds) {
+    public boolean tryAcquire(double tokens, double nowSeconds) {
         refill(nowSeconds);
-        if (nowSeconds < blockedUntilSeconds || availableTokens < Math.min(permits, capacity)) {
+        if (nowSeconds < blockedUntilSeconds || availableTokens < Math.min(tokens, capacity)) {
             return false;
         }
-        availableTokens -= permits;
+        availableTokens -= tokens;
         return true;
     }
 
-    /** Returns the seconds until the permits are available; not positive if they are now. */
-    public double secondsUntilAvailable(double permits, double nowSeconds) {
+    /**
+     * Returns the seconds until this many tokens are available; zero or negative if they are
+     * available now.
+     */
+    public double secondsUntilAvailable(double tokens, double nowSeconds) {
         refill(nowSeconds);
         double secondsBlocked = Math.max(0, blockedUntilSeconds - nowSeconds);
-        double secondsToRefill = (Math.min(permits, capacity) - availableTokens) / tokensPerSecond;
+        double secondsToRefill = (Math.min(tokens, capacity) - availableTokens) / tokensPerSecond;
         return Math.max(secondsBlocked, secondsToRefill);
     }
 
-    /** Takes permits whether they are available or not, for work that must not wait. */
-    public void acquireUnconditionally(double permits, double nowSeconds) {
+    /** Takes tokens whether they are available or not, for requests that must not wait. */
+    public void acquireUnconditionally(double tokens, double nowSeconds) {
         refill(nowSeconds);
-        availableTokens -= permits;
+        availableTokens -= tokens;
     }
 
-    /** Grants no permits for a while, after the other side refused a request. */
+    /** Makes {@link #tryAcquire} fail for this long, after the server has rejected a request. */
     public void blockFor(double seconds, double nowSeconds) {
         blockedUntilSeconds = Math.max(blockedUntilSeconds, nowSeconds + seconds);
     }
--- a/src/main/java/io/kelphoist/statestore/WriteBatch.java
+++ b/src/main/java/io/kelphoist/statestore/WriteBatch.java
@@ -13,13 +13,14 @@
 /**
  * Writes that share one transaction.
  *
- * <p>A batch always takes its first write, whatever its size; further ones only within the limits
- * of a transaction, and only if they neither change the same keys nor contradict a condition.
+ * <p>The first write is always added, whatever its size. Further writes are added only within the
+ * limits of a transaction, and only if they neither mutate a key of the batch nor expect another
+ * version of a key than the batch does.
  */
 final class WriteBatch {
     private static final int MAX_BYTES = 48 * 1024;
 
-    /** Conditions that a transaction may have for each change that it may have. */
+    /** Maximum number of conditions of a transaction, per mutation that a transaction may have. */
     private static final int MAX_CONDITIONS_PER_MUTATION = 4;
 
     private final int maxWrites;
@@ -33,22 +34,24 @@
     /**
      * Creates an empty batch.
      *
-     * @param maxWrites writes per transaction
-     * @param maxChanges changes per transaction that the store allows
+     * @param maxWrites maximum number of writes per transaction
+     * @param maxMutations mutations per transaction that the store allows
      */
-    WriteBatch(int maxWrites, int maxChanges) {
+    WriteBatch(int maxWrites, int maxMutations) {
         this.maxWrites = maxWrites;
-        this.maxMutations = maxChanges;
+        this.maxMutations = maxMutations;
     }
 
-    /** Adds a write; false if the batch is complete without it. No more may be added then. */
+    /**
+     * Adds a write. Returns false if the write was not added, after which no other may be added.
+     */
     boolean tryAdd(GroupCommitter.Write write) {
         mutationCount += write.mutations().size();
         totalBytes += write.sizeBytes();
         if (!writes.isEmpty() && (exceedsLimits() || conflictsWith(write))) {
             return false;
         }
-        write.mutations().forEach(change -> mutatedKeys.add(change.key()));
+        write.mutations().forEach(mutation -> mutatedKeys.add(mutation.key()));
         write.conditions()
                 .forEach(condition -> expectedVersions.put(condition.key(), condition.version()));
         if (!writes.isEmpty()
@@ -63,7 +66,7 @@
         return writes;
     }
 
-    /** Conditions of all writes, each key once. */
+    /** Returns the conditions of all writes, one for each key. */
     static List<VersionCondition> conditionsOf(List<GroupCommitter.Write> writes) {
         Map<String, VersionCondition> conditions = new LinkedHashMap<>();
         for (GroupCommitter.Write write : writes) {
@@ -72,13 +75,13 @@
         return List.copyOf(conditions.values());
     }
 
-    /** Changes of all writes. */
+    /** Returns the mutations of all writes. */
     static List<RecordMutation> mutationsOf(List<GroupCommitter.Write> writes) {
-        List<RecordMutation> changes = new ArrayList<>();
+        List<RecordMutation> mutations = new ArrayList<>();
         for (GroupCommitter.Write write : writes) {
-            changes.addAll(write.mutations());
+            mutations.addAll(write.mutations());
         }
-        return changes;
+        return mutations;
     }
 
     private boolean exceedsLimits() {
@@ -86,8 +89,8 @@
     }
 
     private boolean conflictsWith(GroupCommitter.Write write) {
-        for (RecordMutation change : write.mutations()) {
-            if (mutatedKeys.contains(change.key())) {
+        for (RecordMutation mutation : write.mutations()) {
+            if (mutatedKeys.contains(mutation.key())) {
                 return true;
             }
         }
--- a/src/main/java/io/kelphoist/statestore/protocol/LeaderRecord.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/LeaderRecord.java
@@ -3,7 +3,7 @@
 /**
  * Value of the keys {@link StateStoreKeys#TERM} and {@link StateStoreKeys#LEADER}.
  *
- * @param term the term that began when the keys were written
- * @param nodeName controller that leads the term
+ * @param term number of the term, which began when the keys were written
+ * @param nodeName name of the controller that leads in this term
  */
 public record LeaderRecord(long term, String nodeName) {}
--- a/src/main/java/io/kelphoist/statestore/protocol/RecordChange.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/RecordChange.java
@@ -1,8 +1,8 @@
 package io.kelphoist.statestore.protocol;
 
 /**
- * One change of a key.
+ * A change of a key that the state store reports.
  *
- * @param record the key as of the change; without a value if it was deleted
+ * @param record the key with its value after the change; without a value if the key was deleted
  */
 public record RecordChange(StoredRecord record, boolean deleted) {}
--- a/src/main/java/io/kelphoist/statestore/protocol/RecordCodec.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/RecordCodec.java
@@ -23,15 +23,18 @@
 import java.util.Map;
 
 /**
- * Encodes and decodes the values of stored records. Values that any earlier version stored stay
- * readable.
+ * Encodes and decodes the values of stored records. Values that were stored by any earlier version
+ * can be decoded.
  */
 public final class RecordCodec {
     private static final String STATUS_ACTIVE = "active";
     private static final String STATUS_DONE = "done";
     private static final String STATUS_CANCELLED = "cancelled";
 
-    /** Fields of a machine on a page of starts that come before its tasks: type, zone, spot. */
+    /**
+     * Number of elements before the tasks in a machine's entry on a page of recorded starts:
+     * machine type, zone and spot flag.
+     */
     private static final int START_HEADER_FIELDS = 3;
 
     private RecordCodec() {}
@@ -66,9 +69,9 @@
     }
 
     /**
-     * Encodes the record of a done job, which keeps only its owner.
+     * Encodes the record of a done job, which keeps the owner but not the spec.
      *
-     * @param owner null: not known, as records of earlier versions had no owner
+     * @param owner null if unknown, since records of earlier versions had no owner
      */
     public static RecordMutation encodeDoneJob(String jobId, long doneAtMillis, JobOwner owner) {
         ObjectNode value =
@@ -80,11 +83,12 @@
     }
 
     /**
-     * Encodes the record of a cancelled job. It keeps the spec, since the job's tasks count until
-     * they are gone, also for the next leader. A spec that was accepted when values could be larger
-     * is abridged to what counts.
+     * Encodes the record of a cancelled job. The record keeps the spec, since the job's tasks are
+     * still charged for their resources until they have exited, by the next leader too. A spec that
+     * was accepted when the limit on the size of values was higher is abridged to the fields that
+     * are still needed.
      *
-     * @param maxBytes largest size of the JSON encoding
+     * @param maxBytes maximum size of the value's JSON encoding
      */
     public static RecordMutation encodeCancelledJob(JobRecord job, int maxBytes) {
         RecordMutation mutation =
@@ -106,7 +110,7 @@
     /**
      * Decodes the record of a job.
      *
-     * @throws MalformedMessageException if the status or the spec cannot be read
+     * @throws MalformedMessageException if the status or the spec can't be decoded
      */
     public static JobRecord decodeJob(StoredRecord record) throws MalformedMessageException {
         JsonNode value = record.value();
@@ -117,7 +121,11 @@
                     case STATUS_CANCELLED -> JobStatus.CANCELLED;
                     default ->
                             throw new MalformedMessageException(
-                                    "status of " + record.key() + " is unknown");
+                                    "status of "
+                                            + record.key()
+                                            + " is '"
+                                            + value.path("status").asText()
+                                            + "', expected active, done or cancelled");
                 };
         JobSpec spec =
                 status == JobStatus.DONE ? null : JobCodec.decodeStoredJob(value.path("spec"));
@@ -138,13 +146,13 @@
 
     // ---- pages ----
 
-    /** Encodes a page of done tasks: a bit set for each piece of a job. */
-    public static RecordMutation encodeProgress(int pageNumber, List<TaskProgress> pieces) {
+    /** Encodes a page of done tasks: a bit set for each range of a job's tasks. */
+    public static RecordMutation encodeProgress(int pageNumber, List<TaskProgress> ranges) {
         ObjectNode page = MessageEncoding.newObject();
-        for (TaskProgress piece : pieces) {
+        for (TaskProgress range : ranges) {
             page.put(
-                    piece.jobId() + "/" + piece.firstTask(),
-                    Base64.getEncoder().encodeToString(piece.doneTasks().toByteArray()));
+                    range.jobId() + "/" + range.firstTask(),
+                    Base64.getEncoder().encodeToString(range.doneTasks().toByteArray()));
         }
         return new RecordMutation(
                 StateStoreKeys.pageKey(StateStoreKeys.PROGRESS_PREFIX, pageNumber), page);
@@ -153,27 +161,32 @@
     /** Decodes a page of done tasks. */
     public static List<TaskProgress> decodeProgress(StoredRecord page)
             throws MalformedMessageException {
-        List<TaskProgress> pieces = new ArrayList<>();
+        List<TaskProgress> ranges = new ArrayList<>();
         for (Map.Entry<String, JsonNode> field : page.value().properties()) {
             TaskRef firstTask = WorkerCodec.decodeTaskRef(field.getKey());
-            pieces.add(
+            ranges.add(
                     new TaskProgress(
                             firstTask.jobId(),
                             firstTask.taskIndex(),
                             decodeBits(field.getKey(), field.getValue().asText())));
         }
-        return pieces;
+        return ranges;
     }
 
-    private static BitSet decodeBits(String piece, String base64) throws MalformedMessageException {
+    private static BitSet decodeBits(String firstTask, String base64)
+            throws MalformedMessageException {
         try {
             return BitSet.valueOf(Base64.getDecoder().decode(base64));
         } catch (IllegalArgumentException e) {
-            throw new MalformedMessageException("progress of " + piece + " can't be read");
+            throw new MalformedMessageException(
+                    "done tasks from " + firstTask + " on are not valid Base64");
         }
     }
 
-    /** Decodes a page of tasks that may run on machines; see {@link StartPageEncoder}. */
+    /**
+     * Decodes a page of recorded starts: tasks that may run on machines. {@link StartPageEncoder}
+     * is the inverse.
+     */
     public static List<RecordedStart> decodeStarts(StoredRecord page)
             throws MalformedMessageException {
         List<RecordedStart> starts = new ArrayList<>();
@@ -192,7 +205,10 @@
         return starts;
     }
 
-    /** Encodes a page of cached images: their sizes by machine, least recently used first. */
+    /**
+     * Encodes a page of cached images: for each machine its images and their sizes, least recently
+     * used first.
+     */
     public static RecordMutation encodeImages(int pageNumber, List<CachedImages> machines) {
         ObjectNode page = MessageEncoding.newObject();
         for (CachedImages machine : machines) {
@@ -225,9 +241,9 @@
     // ---- others ----
 
     /**
-     * Encodes from when a controller's lease delegation runs at the latest.
+     * Encodes the latest possible start of a controller's lease delegation.
      *
-     * @param startMillis wall-clock time; not a number if nothing is known
+     * @param startMillis wall-clock time in ms since the epoch; NaN to clear the record
      */
     public static RecordMutation encodeDelegation(String controller, double startMillis) {
         ObjectNode value = MessageEncoding.newObject();
@@ -239,7 +255,10 @@
         return new RecordMutation(StateStoreKeys.DELEGATIONS_PREFIX + controller, value);
     }
 
-    /** Decodes a lease delegation; not a number if nothing is known. */
+    /**
+     * Decodes the latest possible start of a lease delegation, by the wall clock; NaN if the record
+     * is cleared.
+     */
     public static double decodeDelegation(StoredRecord record) {
         JsonNode startMillis = record.value().path("base");
         return startMillis.isIntegralNumber() ? startMillis.asLong() : Double.NaN;
--- a/src/main/java/io/kelphoist/statestore/protocol/StartPageEncoder.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StartPageEncoder.java
@@ -6,7 +6,7 @@
 import io.kelphoist.wire.MessageEncoding;
 
 /**
- * Encodes a page of tasks that may run on machines, one task after the other. {@link
+ * Encodes a page of recorded starts: tasks that may run on machines, added one by one. {@link
  * RecordCodec#decodeStarts} is the inverse.
  */
 public final class StartPageEncoder {
@@ -18,7 +18,10 @@
         this.pageNumber = pageNumber;
     }
 
-    /** Adds a task. Of the machine, what the first call says is stored. */
+    /**
+     * Adds a task. The machine's type, zone and spot flag are taken from the first call for that
+     * machine.
+     */
     public void add(
             String machineName,
             String machineType,
@@ -34,7 +37,7 @@
         entry.add(jobId + "/" + taskIndex);
     }
 
-    /** Returns the change that stores the page. */
+    /** Returns the mutation that stores the page. */
     public RecordMutation toMutation() {
         return new RecordMutation(
                 StateStoreKeys.pageKey(StateStoreKeys.STARTS_PREFIX, pageNumber), page);
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreKeys.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreKeys.java
@@ -7,13 +7,16 @@
     /** Prefix of {@link #TERM} and {@link #LEADER}. */
     public static final String LEADERSHIP_PREFIX = "k/";
 
-    /** Holds the {@link LeaderRecord} of the newest term; never deleted. */
+    /** Key of the {@link LeaderRecord} of the newest term; never deleted. */
     public static final String TERM = "k/term";
 
-    /** Holds the {@link LeaderRecord} of the leader; deleted with its lease. */
+    /**
+     * Key of the {@link LeaderRecord} of the leader; deleted when the leader's lease expires or is
+     * revoked.
+     */
     public static final String LEADER = "k/leader";
 
-    /** Holds the machine types that the cloud offers. */
+    /** Key of the machine types that the cloud offers. */
     public static final String MACHINE_TYPES = "c/types";
 
     /** Prefix of job records, one for each job. */
@@ -28,10 +31,13 @@
     /** Prefix of pages that list the tasks that may run on machines. */
     public static final String STARTS_PREFIX = "s/";
 
-    /** Prefix of the lease delegations, one record for each controller. */
+    /** Prefix of lease delegation records, one for each controller. */
     public static final String DELEGATIONS_PREFIX = "q/";
 
-    /** Added to a page number so that all have the same number of digits. */
+    /**
+     * Added to a page number, of which the first digit is then dropped, so that all page numbers
+     * have six digits and keys sort by number.
+     */
     private static final int PAGE_NUMBER_OFFSET = 1_000_000;
 
     private StateStoreKeys() {}
@@ -47,15 +53,16 @@
     }
 
     /**
-     * Returns the page number in a key.
+     * Decodes the page number in the key of a page.
      *
-     * @throws MalformedMessageException if the key does not name a page
+     * @throws MalformedMessageException if no page number follows the prefix
      */
     public static int pageNumber(String prefix, String key) throws MalformedMessageException {
         try {
             return Integer.parseUnsignedInt(key.substring(prefix.length()));
         } catch (NumberFormatException e) {
-            throw new MalformedMessageException("not a page");
+            throw new MalformedMessageException(
+                    "key " + key + " has no page number after " + prefix);
         }
     }
 }
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreRequests.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreRequests.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * HTTP requests in the state store's protocol. Field names and paths of the protocol occur only
- * here and in {@link StateStoreResponses}.
+ * Encodes the HTTP requests of the state store's protocol. Field names and paths of the protocol
+ * occur only here and in {@link StateStoreResponses}.
  */
 public final class StateStoreRequests {
     /** Records per page of a snapshot. */
@@ -26,7 +26,7 @@
     /**
      * Reads one page of the records below a prefix.
      *
-     * @param afterKey last key of the page before, empty for the first page
+     * @param afterKey last key of the previous page; empty for the first page
      */
     public static HttpRequest page(String prefix, String afterKey) {
         String firstPage = "/kv?starts=" + urlEncode(prefix) + "&limit=" + PAGE_SIZE;
@@ -34,18 +34,21 @@
         return HttpRequest.get(path);
     }
 
-    /** Reads the changes below a prefix after a revision, without waiting for one. */
+    /** Reads the changes below a prefix after a revision. The store responds at once. */
     public static HttpRequest changes(String prefix, long afterRevision) {
         return HttpRequest.get(changesPath(prefix, afterRevision));
     }
 
-    /** As {@link #changes}, but the store holds the request until there is a change. */
+    /**
+     * As {@link #changes}, but the store holds the request until a change is available or the hold
+     * time has expired.
+     */
     public static HttpRequest watch(String prefix, long afterRevision, int holdMillis) {
         String path = changesPath(prefix, afterRevision) + "&hold_ms=" + holdMillis;
         return HttpRequest.get(path);
     }
 
-    /** Makes all changes atomically if all conditions hold. */
+    /** Applies all mutations atomically if all conditions hold. */
     public static HttpRequest transaction(
             List<VersionCondition> conditions, List<RecordMutation> mutations) {
         ObjectNode message = MessageEncoding.newObject();
@@ -72,7 +75,7 @@
         return HttpRequest.post("/leases/" + leaseId + "/renew", emptyMessage);
     }
 
-    /** Ends a lease, which deletes the keys attached to it. */
+    /** Revokes a lease, which deletes the keys attached to it. */
     public static HttpRequest revokeLease(long leaseId) {
         return HttpRequest.delete("/leases/" + leaseId);
     }
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreResponses.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreResponses.java
@@ -10,14 +10,14 @@
 import java.util.Optional;
 
 /**
- * Decodes the state store's responses. Fields that are missing read as empty, zero or "not stated";
- * only a body that is no message at all is malformed.
+ * Decodes the state store's responses. A missing field is decoded as empty, as zero or as a
+ * constant that says that it is missing; a response is malformed only if its body is not a message.
  */
 public final class StateStoreResponses {
     /**
      * Decodes the body of a successful response.
      *
-     * @param <T> what the request returns
+     * @param <T> type of the decoded value
      */
     public interface Decoder<T> {
         /** Decodes a body; never throws. */
@@ -25,26 +25,26 @@
     }
 
     /**
-     * A part of a snapshot.
+     * A page of a snapshot.
      *
-     * @param revision revision when this page was read
-     * @param hasNext whether records follow after the last one
+     * @param revision the store's revision when this page was read
+     * @param hasNext whether more pages follow
      */
     public record Page(List<StoredRecord> records, long revision, boolean hasNext) {}
 
     /** Status of a successful response. */
     public static final int OK = 200;
 
-    /** Status of a request that the store cannot execute as it is. */
+    /** Status of a request that is malformed or exceeds a limit. */
     public static final int BAD_REQUEST = 400;
 
-    /** Status of a request for something that does not exist. */
+    /** Status of a request for a key or a lease that does not exist. */
     public static final int NOT_FOUND = 404;
 
     /** Status of a transaction whose conditions do not hold. */
     public static final int CONFLICT = 409;
 
-    /** Status of a request for changes that the store has discarded. */
+    /** Status of a request for changes that the store has compacted. */
     public static final int GONE = 410;
 
     /** Status of a request that exceeds the rate limit; it was not executed. */
@@ -55,12 +55,12 @@
 
     private StateStoreResponses() {}
 
-    /** Decodes the record of a key that was asked for by name. */
+    /** Decodes the response to a request for one key, which does not repeat the key. */
     public static Decoder<StoredRecord> record(String key) {
         return body -> new StoredRecord(key, body.path("value"), version(body), leaseId(body));
     }
 
-    /** Decodes a page of records; empty if the body has no list of them. */
+    /** Decodes a page of records; empty if the body has no list of records. */
     public static Decoder<Optional<Page>> page() {
         return StateStoreResponses::decodePage;
     }
@@ -70,24 +70,26 @@
         return StateStoreResponses::decodeChanges;
     }
 
-    /** Decodes the revision that the store had reached with the response. */
+    /**
+     * Decodes the revision in a response, which for a transaction is the transaction's revision.
+     */
     public static Decoder<Long> revision() {
         return StateStoreResponses::decodeRevision;
     }
 
-    /** Decodes the id of the lease that was created. */
+    /** Decodes the id of a created lease. */
     public static Decoder<Long> createdLeaseId() {
         return body -> body.path("tether").asLong();
     }
 
-    /** Returns the id of a lease that the request named, whatever the body says. */
+    /** Returns the id of the lease that the request named and ignores the body. */
     public static Decoder<Long> requestedLeaseId(long leaseId) {
         return body -> leaseId;
     }
 
     /**
-     * Decodes an answer of the store, that is a response with one of the statuses {@link #OK},
-     * {@link #BAD_REQUEST}, {@link #NOT_FOUND}, {@link #CONFLICT} and {@link #GONE}.
+     * Decodes a response with one of the statuses {@link #OK}, {@link #BAD_REQUEST}, {@link
+     * #NOT_FOUND}, {@link #CONFLICT} and {@link #GONE}.
      *
      * @throws MalformedMessageException if the body is not a message
      */
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreResult.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreResult.java
@@ -3,30 +3,33 @@
 import java.util.List;
 
 /**
- * Outcome of one request to the state store.
+ * The outcome of one request to the state store.
  *
- * <p>The variants differ in what the caller may assume about the effect of the request: {@link
- * Success} and {@link Rejected} are answers of the store, {@link NotExecuted} guarantees that the
- * request has no effect now or later, and {@link OutcomeUnknown} leaves both possible.
+ * <p>The variants differ in what the caller may assume about the effect of the request: after
+ * {@link Success} and {@link Rejected} the store has processed the request; {@link NotExecuted}
+ * guarantees that the request has no effect now or later; after {@link OutcomeUnknown} the request
+ * may or may not have an effect, now or later.
  *
- * @param <T> what a successful request returns
+ * @param <T> type of the value that a successful request returns
  */
 public sealed interface StateStoreResult<T> {
-    /** Why the store answered a request without executing it as asked. */
+    /** Why the store rejected a request. */
     enum Reason {
         /** The key or the lease does not exist. */
         NOT_FOUND,
         /** At least one condition of a transaction does not hold. */
         CONDITION_FAILED,
-        /** The store has discarded the changes that were asked for; read a snapshot instead. */
+        /**
+         * The store has compacted some of the requested changes; the caller must read a snapshot.
+         */
         COMPACTED,
-        /** The request is malformed or exceeds a limit; it can never succeed unchanged. */
+        /** The request is malformed or exceeds a limit; repeating it unchanged would fail again. */
         INVALID
     }
 
     /** Why a request was not executed. */
     enum NotExecutedCause {
-        /** A rate limit, of the store or of this client. */
+        /** A rate limit of the store or of this client was exceeded. */
         RATE_LIMITED,
         /** The store is unavailable. */
         STORE_UNAVAILABLE
@@ -36,22 +39,25 @@
     record Success<T>(T value) implements StateStoreResult<T> {}
 
     /**
-     * The store answered the request but did not execute it as asked.
+     * The store processed the request but did not execute it.
      *
-     * @param failedKeys keys whose condition failed; empty if the store named none
-     * @param message the store's explanation; may be empty
+     * @param failedKeys keys whose condition does not hold; empty if the store named none
+     * @param message the store's error message; may be empty
      */
     record Rejected<T>(Reason reason, List<String> failedKeys, String message)
             implements StateStoreResult<T> {}
 
     /**
-     * The request was certainly not executed and never will be.
+     * The request was not executed and will not be executed later.
      *
-     * @param cause what prevented it
+     * @param cause why it was not executed
      */
     record NotExecuted<T>(NotExecutedCause cause) implements StateStoreResult<T> {}
 
-    /** No usable answer: the request may have been executed, or may be executed later. */
+    /**
+     * No usable response was received: the request may have been executed, or may be executed
+     * later.
+     */
     record OutcomeUnknown<T>() implements StateStoreResult<T> {}
 
     /** Returns whether the store rejected the request for this reason. */
@@ -59,7 +65,7 @@
         return this instanceof Rejected<T> rejected && rejected.reason() == reason;
     }
 
-    /** Returns whether the store answered the request, with a success or a rejection. */
+    /** Returns whether the store processed the request, with a success or a rejection. */
     default boolean isProcessed() {
         return this instanceof Success<T> || this instanceof Rejected<T>;
     }
--- a/src/main/java/io/kelphoist/statestore/protocol/VersionCondition.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/VersionCondition.java
@@ -1,9 +1,9 @@
 package io.kelphoist.statestore.protocol;
 
 /**
- * Condition of a transaction: the key has exactly this version.
+ * A condition of a transaction: the key has exactly this version (compare-and-swap).
  *
- * @param version {@link #ABSENT} if the key must not exist
+ * @param version the expected version; {@link #ABSENT} if the key must not exist
  */
 public record VersionCondition(String key, long version) {
     /** Version of a key that does not exist. */
--- a/src/main/java/io/kelphoist/statestore/protocol/package-info.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/package-info.java
@@ -1,13 +1,14 @@
 /**
  * The state store's protocol and the records stored there.
  *
- * <p>{@link io.kelphoist.statestore.protocol.StateStoreRequests} and {@link
- * io.kelphoist.statestore.protocol.StateStoreResponses} know the field names of the protocol,
- * {@link io.kelphoist.statestore.protocol.RecordCodec} those of stored records; nothing outside
- * this package does. {@link io.kelphoist.statestore.protocol.StateStoreResult} and the records
- * beside it are what callers see.
+ * <p>The field names of the protocol occur only in {@link
+ * io.kelphoist.statestore.protocol.StateStoreRequests} and {@link
+ * io.kelphoist.statestore.protocol.StateStoreResponses}, those of stored records only in {@link
+ * io.kelphoist.statestore.protocol.RecordCodec}. Callers use {@link
+ * io.kelphoist.statestore.protocol.StateStoreResult} and the record types of this package instead.
  *
- * <p>Everything here is stateless or immutable, so that any thread may use it. It depends on the
- * model and the wire encoding alone.
+ * <p>All types are stateless or immutable and may be used by any thread, except {@link
+ * io.kelphoist.statestore.protocol.StartPageEncoder}. The package depends only on the model and the
+ * wire encoding.
  */
 package io.kelphoist.statestore.protocol;
