--- a/src/main/java/io/kelphoist/api/HttpJobApi.java
+++ b/src/main/java/io/kelphoist/api/HttpJobApi.java
@@ -12,9 +12,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The users' HTTP API: passes requests to {@link Admission} and translates its results into
- * statuses and bodies. Called on the event loop; a response may be sent after the call has
- * returned.
+ * The HTTP API for users: passes requests to {@link Admission} and translates its results into HTTP
+ * statuses and bodies. Methods are called on the event loop; a response may be sent after the call
+ * has returned.
  */
 public final class HttpJobApi {
     private static final Logger LOG = LoggerFactory.getLogger(HttpJobApi.class);
@@ -32,16 +32,16 @@
     }
 
     /**
-     * Handles a submission.
+     * Handles the submission of a job.
      *
-     * @param body the job's description in CBOR
+     * @param body the job in CBOR
      */
     public void submit(HttpServerExchange exchange, byte[] body) {
         JobSubmission submission;
         try {
             submission = JobSubmission.decode(body);
         } catch (MalformedMessageException e) {
-            LOG.debug("submission rejected as malformed: error={}", e.getMessage());
+            LOG.debug("malformed submission: error={}", e.getMessage());
             HttpExchanges.sendError(exchange, HTTP_BAD_REQUEST, e.getMessage());
             return;
         }
@@ -53,7 +53,7 @@
         try {
             job = submission.decodeJob();
         } catch (MalformedMessageException e) {
-            LOG.debug("submission rejected as malformed: error={}", e.getMessage());
+            LOG.debug("malformed submission: job={} error={}", submission.jobId(), e.getMessage());
             admission.rejectMalformed(
                     submission.jobId(), e.getMessage(), result -> respond(exchange, result));
             return;
@@ -66,7 +66,7 @@
         admission.query(jobId, result -> respond(exchange, result));
     }
 
-    /** Handles a job's cancellation. */
+    /** Handles the cancellation of a job. */
     public void cancel(HttpServerExchange exchange, String jobId) {
         admission.cancel(jobId, result -> respond(exchange, result));
     }
--- a/src/main/java/io/kelphoist/wire/CloudCodec.java
+++ b/src/main/java/io/kelphoist/wire/CloudCodec.java
@@ -10,16 +10,19 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Encodes and decodes messages to and from the cloud, and machine types as they are stored. */
+/** Encodes and decodes messages to and from the cloud, and stored machine types. */
 public final class CloudCodec {
-    /** Slower image transfers are taken as this fast, so that fetch times stay finite. */
+    /**
+     * Lower bound on the speed of image fetches; slower ones are assumed to have it, so that fetch
+     * times stay finite.
+     */
     private static final double MIN_FETCH_GB_PER_SECOND = 1e-3;
 
     private static final String OUT_OF_CAPACITY = "no capacity";
 
     private CloudCodec() {}
 
-    /** Decodes the body of a response with the machine types that the cloud offers. */
+    /** Decodes a response body with the machine types that the cloud offers. */
     public static List<MachineType> decodeMachineTypes(byte[] body)
             throws MalformedMessageException {
         return decodeMachineTypes(MessageEncoding.decodeCbor(body));
@@ -48,7 +51,7 @@
                 List.copyOf(MessageFields.texts(type, FieldNames.ZONES)));
     }
 
-    /** Encodes machine types as the cloud sends them, which is also how they are stored. */
+    /** Encodes machine types in the cloud's format, in which they are also stored. */
     public static ObjectNode encodeMachineTypes(List<MachineType> machineTypes) {
         ObjectNode message = MessageEncoding.newObject();
         ArrayNode list = message.putArray(FieldNames.MACHINE_TYPES);
@@ -69,7 +72,7 @@
         return message;
     }
 
-    /** Encodes a request for new instances. */
+    /** Encodes a scale-out request: a request for new instances. */
     public static ObjectNode encodeScaleOutRequest(ScaleOutRequest request) {
         return MessageEncoding.newObject()
                 .put(FieldNames.SCALE_OUT_REQUEST, request.name())
@@ -85,12 +88,12 @@
         return MessageFields.texts(message, FieldNames.MACHINES);
     }
 
-    /** Decodes the body of a response to a scale-out request: the names of the new instances. */
+    /** Decodes the response body of a scale-out request: the names of the new instances. */
     public static List<String> decodeInstanceNames(byte[] body) throws MalformedMessageException {
         return decodeInstanceNames(MessageEncoding.decodeCbor(body));
     }
 
-    /** Returns whether the body of an error response says that the cloud is out of capacity. */
+    /** Returns whether an error response's body says that the cloud is out of capacity. */
     public static boolean isOutOfCapacity(byte[] body) {
         try {
             return MessageEncoding.decodeCbor(body).path("error").asText().equals(OUT_OF_CAPACITY);
@@ -108,9 +111,9 @@
     }
 
     /**
-     * Decodes the body of a response with a page of the cloud's list of instances.
+     * Decodes a response body with a page of the cloud's instance list.
      *
-     * @param afterName last name of the page before, empty for the first page
+     * @param afterName last name of the previous page; empty for the first page
      */
     public static InstanceListPage decodeInstanceListPage(byte[] body, String afterName)
             throws MalformedMessageException {
@@ -120,7 +123,7 @@
         return new InstanceListPage(afterName, isLast, instances);
     }
 
-    /** Decodes the instances of a page of the cloud's list. */
+    /** Decodes the instances on a page of the cloud's instance list. */
     public static List<CloudInstance> decodeInstances(JsonNode message)
             throws MalformedMessageException {
         List<CloudInstance> instances = new ArrayList<>();
@@ -147,7 +150,7 @@
         };
     }
 
-    /** Decodes whether a page of the list of instances is followed by another one. */
+    /** Decodes whether another page of the instance list follows. */
     public static boolean decodeHasNextPage(JsonNode message) throws MalformedMessageException {
         return MessageFields.boolOr(message, "has_next", false);
     }
--- a/src/main/java/io/kelphoist/wire/CloudRequests.java
+++ b/src/main/java/io/kelphoist/wire/CloudRequests.java
@@ -4,11 +4,11 @@
 import io.kelphoist.model.ScaleOutRequest;
 import java.util.List;
 
-/** HTTP requests to the cloud. The paths of its protocol occur only here. */
+/** Encodes the HTTP requests to the cloud. The paths of its protocol occur only here. */
 public final class CloudRequests {
     private static final String INSTANCES_PATH = "/rentals";
 
-    /** Instances per page of the list. */
+    /** Maximum number of instances per page of the instance list. */
     private static final int PAGE_SIZE = 500;
 
     private CloudRequests() {}
@@ -18,20 +18,20 @@
         return HttpRequest.get("/flavors");
     }
 
-    /** Requests new instances. */
+    /** Requests new instances (scale out). */
     public static HttpRequest scaleOut(ScaleOutRequest request) {
         return post(INSTANCES_PATH, CloudCodec.encodeScaleOutRequest(request));
     }
 
-    /** Requests that instances be terminated. */
+    /** Requests the termination of instances (scale in). */
     public static HttpRequest scaleIn(List<String> instanceNames) {
         return post(INSTANCES_PATH + "/return", CloudCodec.encodeInstanceNames(instanceNames));
     }
 
     /**
-     * Requests one page of the list of instances.
+     * Requests one page of the instance list.
      *
-     * @param afterName last name of the page before, empty for the first page
+     * @param afterName last name of the previous page; empty for the first page
      */
     public static HttpRequest instanceListPage(String afterName) {
         String firstPage = INSTANCES_PATH + "?limit=" + PAGE_SIZE;
--- a/src/main/java/io/kelphoist/wire/FieldNames.java
+++ b/src/main/java/io/kelphoist/wire/FieldNames.java
@@ -1,8 +1,9 @@
 package io.kelphoist.wire;
 
 /**
- * Names of fields in messages to and from users, workers and the cloud, by what they mean. Names
- * that are the same as their meaning are written out in the codecs.
+ * Field names in messages to and from users, workers and the cloud. Each constant is named after
+ * the field's meaning. Fields whose name is their meaning have no constant; the codecs use their
+ * names directly.
  */
 final class FieldNames {
     static final String AGENT_EPOCH = "watch";
--- a/src/main/java/io/kelphoist/wire/HttpBodyWriter.java
+++ b/src/main/java/io/kelphoist/wire/HttpBodyWriter.java
@@ -5,7 +5,10 @@
 import org.xnio.ChannelListener;
 import org.xnio.channels.StreamSinkChannel;
 
-/** Writes the body of a request as fast as the connection takes it. Runs on the I/O thread. */
+/**
+ * Writes the body of a request without blocking: as much as the connection accepts, and the rest
+ * when it is writable again. Runs on the I/O thread.
+ */
 final class HttpBodyWriter implements ChannelListener<StreamSinkChannel> {
     private final HttpCall call;
     private final ByteBuffer remaining;
--- a/src/main/java/io/kelphoist/wire/HttpCall.java
+++ b/src/main/java/io/kelphoist/wire/HttpCall.java
@@ -17,18 +17,18 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One call of an {@link HttpHostClient}: from the queue over the connection and the request to its
+ * One call of an {@link HttpHostClient}, from the queue through connecting and sending to the
  * result. Owns the connection while the call is in flight. Runs on the client's I/O thread.
  */
 final class HttpCall {
     private enum State {
-        /** Waits for its turn; nothing was done. */
+        /** Waits in the client's queue; no connection was requested. */
         QUEUED,
-        /** Waits for a connection; nothing was sent. */
+        /** Waits for a connection; the request was not sent. */
         CONNECTING,
-        /** The request was handed to the connection and may be executed. */
+        /** The request was passed to the connection and may be executed. */
         SENT,
-        /** The handler has the result. */
+        /** The result was passed to the handler. */
         FINISHED
     }
 
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Ends the call with its result, unless it has ended already.
+     * Ends the call with its result. Does nothing if the call has ended already.
      *
-     * @param reusable whether another request can be sent on the connection
+     * @param reusable whether another request can be sent over the connection
      */
     void finish(CallResult result, boolean reusable) {
         if (isFinished()) {
--- a/src/main/java/io/kelphoist/wire/HttpExchanges.java
+++ b/src/main/java/io/kelphoist/wire/HttpExchanges.java
@@ -15,20 +15,20 @@
     /** Content type of messages between controllers. */
     public static final String JSON = "application/json";
 
-    /** Largest request of a user or a worker. */
+    /** Maximum size of the body of a user's or a worker's request. */
     public static final int MAX_REQUEST_BYTES = 64 * 1024;
 
-    /** Handles a request whose body was read in full. */
+    /** Handles a request whose body was read completely. */
     public interface BodyHandler {
-        /** Responds to the exchange now or later. */
+        /** Responds to the request, possibly after the call has returned. */
         void handle(HttpServerExchange exchange, byte[] body);
     }
 
     private HttpExchanges() {}
 
     /**
-     * Reads the body and passes it on. A body that exceeds the limit, or that cannot be read, gets
-     * status 400.
+     * Reads a request's body and passes it to the handler. If the body exceeds the limit or can't
+     * be read, responds with status 400 (bad request).
      */
     public static void receiveBody(HttpServerExchange exchange, int maxBytes, BodyHandler handler) {
         if (exchange.getRequestContentLength() > maxBytes) {
@@ -59,43 +59,52 @@
         sendStatus(exchange, StatusCodes.BAD_REQUEST);
     }
 
-    /** Runs a task on the same thread; the exchange stays open until the task responds to it. */
+    /**
+     * Runs a task on the current thread after the current call; the exchange stays open until it is
+     * responded to.
+     */
     public static void dispatch(HttpServerExchange exchange, Runnable task) {
         exchange.dispatch(SameThreadExecutor.INSTANCE, task);
     }
 
-    /** Responds with a CBOR body. */
+    /** Responds with a message in CBOR. */
     public static void sendCbor(HttpServerExchange exchange, int status, ObjectNode body) {
         sendBody(exchange, status, CBOR, MessageEncoding.encodeCbor(body));
     }
 
-    /** Responds with a body that is encoded in CBOR already. */
+    /** Responds with a body that is already encoded in CBOR. */
     public static void sendCbor(HttpServerExchange exchange, int status, byte[] body) {
         sendBody(exchange, status, CBOR, body);
     }
 
-    /** Responds with a JSON body. */
+    /** Responds with a message in JSON. */
     public static void sendJson(HttpServerExchange exchange, int status, ObjectNode body) {
         sendBody(exchange, status, JSON, MessageEncoding.encodeJson(body));
     }
 
-    /** Responds with a body that is encoded in JSON already. */
+    /** Responds with a body that is already encoded in JSON. */
     public static void sendJson(HttpServerExchange exchange, int status, byte[] body) {
         sendBody(exchange, status, JSON, body);
     }
 
-    /** Responds that the request can never succeed, and why. */
+    /** Responds that the request is invalid, with the reason. */
     public static void sendError(HttpServerExchange exchange, int status, String reason) {
         sendCbor(exchange, status, MessageEncoding.newObject().put("error", reason));
     }
 
-    /** Responds that the request should be repeated after a delay. */
+    /**
+     * Responds with status 503 (service unavailable) and the delay after which to repeat the
+     * request.
+     */
     public static void sendRetryLater(HttpServerExchange exchange, int delaySeconds) {
         exchange.getResponseHeaders().put(Headers.RETRY_AFTER, Integer.toString(delaySeconds));
         sendStatus(exchange, StatusCodes.SERVICE_UNAVAILABLE);
     }
 
-    /** Responds without a body. */
+    /**
+     * Responds with a status and without a body. If the response has started already, only ends the
+     * exchange.
+     */
     public static void sendStatus(HttpServerExchange exchange, int status) {
         if (!exchange.isResponseStarted()) {
             exchange.setStatusCode(status);
--- a/src/main/java/io/kelphoist/wire/HttpHostClient.java
+++ b/src/main/java/io/kelphoist/wire/HttpHostClient.java
@@ -9,10 +9,12 @@
 import org.xnio.XnioIoThread;
 
 /**
- * HTTP client of one host over a few persistent connections, with one request at a time on each.
+ * HTTP client for one host, over a bounded number of persistent connections with one request at a
+ * time on each.
  *
- * <p>Every call ends in exactly one {@link CallResult}, whatever goes wrong. Owns the pool of idle
- * connections and the queue of calls that wait for one. Everything runs on one I/O thread.
+ * <p>Every call ends with exactly one {@link CallResult}, also after failures. Owns the pool of
+ * idle connections and the queue of calls that wait for a connection. All methods and callbacks run
+ * on one I/O thread.
  */
 public final class HttpHostClient {
     /** Outcome of a call. */
@@ -33,16 +35,19 @@
             return status;
         }
 
-        /** Returns the body, which the caller must not change; empty if there is none. */
+        /** Returns the body, which the caller must not change; empty if the response has none. */
         public byte[] body() {
             return body;
         }
     }
 
-    /** The request was never sent, so it cannot be executed later. */
+    /** The request was not sent, so it can't be executed, now or later. */
     public record NotSent() implements CallResult {}
 
-    /** No complete response: the request may have been executed, or may be executed later. */
+    /**
+     * No complete response was received: the request may have been executed, or may be executed
+     * later.
+     */
     public record NoResponse() implements CallResult {}
 
     /** Receives the outcome of a call. */
@@ -65,11 +70,12 @@
     private int activeCalls;
 
     /**
-     * Creates a client without connecting.
+     * Creates a client. It does not connect before the first call.
      *
      * @param address host and port
-     * @param contentType of the request bodies
-     * @param maxConnections calls beyond this number wait
+     * @param contentType content type of the request bodies
+     * @param maxConnections maximum number of connections and so of calls in flight; further calls
+     *     are queued
      */
     public HttpHostClient(
             XnioIoThread ioThread,
@@ -88,7 +94,7 @@
     /**
      * Sends a request.
      *
-     * @param timeoutMillis includes the time that the call waits for a connection
+     * @param timeoutMillis maximum time until the result, including the time in the queue
      */
     public void call(HttpRequest request, int timeoutMillis, ResultHandler handler) {
         HttpCall call = new HttpCall(this, request, handler);
@@ -101,7 +107,7 @@
         }
     }
 
-    /** Closes idle connections; calls in flight continue. */
+    /** Closes the idle connections; calls in flight continue. */
     public void close() {
         for (ClientConnection connection = idleConnections.poll();
                 connection != null;
@@ -115,7 +121,7 @@
         return activeCalls == 0 && queuedCalls.isEmpty();
     }
 
-    /** Takes an open connection from the pool; null if there is none. */
+    /** Takes an open connection from the pool; null if the pool has none. */
     ClientConnection pollIdleConnection() {
         for (ClientConnection connection = idleConnections.poll();
                 connection != null;
@@ -128,17 +134,17 @@
         return null;
     }
 
-    /** Puts a connection back into the pool that another request can be sent on. */
+    /** Puts a reusable connection back into the pool. */
     void returnConnection(ClientConnection connection) {
         idleConnections.push(connection);
     }
 
-    /** Removes a call that was not started. */
+    /** Removes a call from the queue before it is started. */
     void removeQueued(HttpCall call) {
         queuedCalls.remove(call);
     }
 
-    /** Starts the next call after one that was started has ended. */
+    /** Starts the next queued call, after a started call has ended. */
     void onCallFinished() {
         HttpCall next = queuedCalls.poll();
         if (next != null) {
--- a/src/main/java/io/kelphoist/wire/HttpRequest.java
+++ b/src/main/java/io/kelphoist/wire/HttpRequest.java
@@ -13,24 +13,25 @@
     }
 
     /**
-     * Returns a request that reads.
+     * Returns a GET request.
      *
-     * @param path with the query
+     * @param path path and query
      */
     public static HttpRequest get(String path) {
         return new HttpRequest("GET", path, null);
     }
 
     /**
-     * Returns a request with a body.
+     * Returns a POST request.
      *
-     * @param body is not copied, and the caller must not change it
+     * @param path path and query
+     * @param body the encoded body, which is not copied, so that the caller must not change it
      */
     public static HttpRequest post(String path, byte[] body) {
         return new HttpRequest("POST", path, body);
     }
 
-    /** Returns a request that deletes. */
+    /** Returns a DELETE request. */
     public static HttpRequest delete(String path) {
         return new HttpRequest("DELETE", path, null);
     }
@@ -40,12 +41,12 @@
         return method;
     }
 
-    /** Returns the path with the query. */
+    /** Returns the path and query. */
     String path() {
         return path;
     }
 
-    /** Returns the body; null if there is none. */
+    /** Returns the body; null if the request has none. */
     byte[] body() {
         return body;
     }
--- a/src/main/java/io/kelphoist/wire/HttpResponseReader.java
+++ b/src/main/java/io/kelphoist/wire/HttpResponseReader.java
@@ -10,7 +10,7 @@
 import org.xnio.ChannelListener;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads the body of a response and ends its call. Runs on the I/O thread. */
+/** Reads the body of a response and finishes the call with the response. Runs on the I/O thread. */
 final class HttpResponseReader implements ChannelListener<StreamSourceChannel> {
     private static final int MAX_BODY_BYTES = 16 << 20;
 
@@ -62,7 +62,7 @@
         buffer.get(chunk);
         body.write(chunk, 0, chunk.length);
         if (body.size() > MAX_BODY_BYTES) {
-            throw new IOException("response too large");
+            throw new IOException("response body exceeds " + MAX_BODY_BYTES + " bytes");
         }
     }
 }
--- a/src/main/java/io/kelphoist/wire/JobCodec.java
+++ b/src/main/java/io/kelphoist/wire/JobCodec.java
@@ -12,19 +12,19 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Encodes and decodes messages to and from users, and job specs as they are stored. */
+/** Encodes and decodes messages to and from users, and stored job specs. */
 public final class JobCodec {
-    /** Most tasks that a job may have. */
+    /** Maximum number of tasks of a job. */
     public static final int MAX_TASKS = 100_000;
 
-    /** Longer than any id that users may choose, so that no job has it. */
+    /** A job id that no job has, since it is longer than any id that users may choose. */
     private static final String UNSATISFIABLE_DEPENDENCY = "job-" + "0".repeat(31);
 
     private static final Pattern JOB_ID = Pattern.compile("job-[0-9]{1,30}");
 
     private JobCodec() {}
 
-    /** Returns whether a text is a job id that users may choose. */
+    /** Returns whether the text is a valid job id. */
     public static boolean isJobId(String id) {
         return JOB_ID.matcher(id).matches();
     }
@@ -32,25 +32,25 @@
     /**
      * Decodes a submitted job.
      *
-     * @throws MalformedMessageException if a field is missing or has no allowed value
+     * @throws MalformedMessageException if a field is missing or invalid
      */
     public static JobSpec decodeJob(JsonNode message) throws MalformedMessageException {
         return decodeJob(message, decodeDependencies(message));
     }
 
     /**
-     * Checks a job that did not come as a message like one that did, and returns it with defaults
-     * filled in.
+     * Validates a job that was not decoded from a message by the rules of {@link #decodeJob}, and
+     * returns it with defaults for missing values.
      *
-     * @throws MalformedMessageException if a field has no allowed value
+     * @throws MalformedMessageException if a field is invalid
      */
     public static JobSpec checkJob(JobSpec job) throws MalformedMessageException {
         return decodeJob(encodeJob(job));
     }
 
     /**
-     * Decodes a job as it was stored. A job whose dependencies cannot be read gets one that no job
-     * satisfies: its user may still ask for it, but it must never start.
+     * Decodes a stored job. If its dependencies can't be decoded, the job gets a dependency on a
+     * job that can't exist: its user can still query it, but it never starts.
      */
     public static JobSpec decodeStoredJob(JsonNode message) throws MalformedMessageException {
         try {
@@ -60,7 +60,7 @@
         }
     }
 
-    /** Decodes the id of a submitted job alone, whatever else is wrong with the message. */
+    /** Decodes only the id of a submitted job, even if other fields of the message are invalid. */
     public static String decodeJobId(JsonNode message) throws MalformedMessageException {
         String id = MessageFields.text(message, FieldNames.NAME);
         if (!isJobId(id)) {
@@ -147,7 +147,7 @@
         return List.copyOf(dependencies);
     }
 
-    /** Encodes a job as users send it, which is also how it is stored. */
+    /** Encodes a job in the format of submissions, in which it is also stored. */
     public static ObjectNode encodeJob(JobSpec job) {
         ObjectNode message = MessageEncoding.newObject();
         message.put(FieldNames.NAME, job.id())
@@ -202,15 +202,18 @@
     }
 
     /**
-     * Encodes the response to a user's request.
+     * Encodes the response to a submission that stored the job.
      *
-     * @param state the job's state in the words that users know
+     * @param state the job's state as users receive it
      */
     public static ObjectNode encodeAccepted(String jobId, String state) {
         return MessageEncoding.newObject().put(FieldNames.NAME, jobId).put(FieldNames.STATE, state);
     }
 
-    /** As {@link #encodeAccepted}, with the counts of the job's tasks. */
+    /**
+     * Encodes the response to other requests: as {@link #encodeAccepted}, with the counts of the
+     * job's tasks.
+     */
     public static ObjectNode encodeJobState(
             String jobId, String state, int doneTasks, int runningTasks) {
         return encodeAccepted(jobId, state).put("done", doneTasks).put("running", runningTasks);
--- a/src/main/java/io/kelphoist/wire/JobStateMessage.java
+++ b/src/main/java/io/kelphoist/wire/JobStateMessage.java
@@ -3,34 +3,34 @@
 /**
  * A job's state in responses to users.
  *
- * @param doneTasks tasks that are done
- * @param runningTasks tasks that run
+ * @param doneTasks number of completed tasks
+ * @param runningTasks number of running tasks
  */
 public record JobStateMessage(String jobId, State state, int doneTasks, int runningTasks) {
-    /** A job's state by the words that users know. */
+    /** A job's state, with its name in messages. */
     public enum State {
         /** No task runs. */
         QUEUED("queued"),
         /** At least one task runs. */
         RUNNING("running"),
-        /** All tasks are done. */
+        /** All tasks have completed. */
         DONE("done"),
         /** The job was cancelled. */
         CANCELLED("aborted");
 
         private final String encodedName;
 
-        State(String word) {
-            this.encodedName = word;
+        State(String encodedName) {
+            this.encodedName = encodedName;
         }
     }
 
-    /** Encodes the response to a submission by which the job was stored, in CBOR. */
+    /** Encodes the CBOR body of the response to a submission that stored the job. */
     public byte[] encodeAccepted() {
         return MessageEncoding.encodeCbor(JobCodec.encodeAccepted(jobId, state.encodedName));
     }
 
-    /** Encodes the response to other requests, in CBOR. */
+    /** Encodes the CBOR body of the response to other requests. */
     public byte[] encode() {
         return MessageEncoding.encodeCbor(
                 JobCodec.encodeJobState(jobId, state.encodedName, doneTasks, runningTasks));
--- a/src/main/java/io/kelphoist/wire/JobSubmission.java
+++ b/src/main/java/io/kelphoist/wire/JobSubmission.java
@@ -4,8 +4,8 @@
 import io.kelphoist.model.JobSpec;
 
 /**
- * A submission of which the job's id was decoded. The rest is decoded separately, so that a
- * submission that is otherwise malformed can still be recognized as the repetition of another one.
+ * A submission of which the job id was decoded. The other fields are decoded separately, so that a
+ * malformed submission can still be recognized as the repetition of an earlier one.
  */
 public final class JobSubmission {
     private final ObjectNode message;
@@ -20,22 +20,22 @@
      * Decodes a submission's job id.
      *
      * @param body the submission in CBOR
-     * @throws MalformedMessageException if it is not a message or has no job id
+     * @throws MalformedMessageException if the body is not a message or has no valid job id
      */
     public static JobSubmission decode(byte[] body) throws MalformedMessageException {
         ObjectNode message = MessageEncoding.decodeCbor(body);
         return new JobSubmission(message, JobCodec.decodeJobId(message));
     }
 
-    /** Returns the job's id. */
+    /** Returns the job id. */
     public String jobId() {
         return jobId;
     }
 
     /**
-     * Decodes the job.
+     * Decodes all fields of the job.
      *
-     * @throws MalformedMessageException if a field is missing or has no allowed value
+     * @throws MalformedMessageException if a field is missing or invalid
      */
     public JobSpec decodeJob() throws MalformedMessageException {
         return JobCodec.decodeJob(message);
--- a/src/main/java/io/kelphoist/wire/MalformedMessageException.java
+++ b/src/main/java/io/kelphoist/wire/MalformedMessageException.java
@@ -1,9 +1,10 @@
 package io.kelphoist.wire;
 
 /**
- * A message that does not follow the protocol. Has no stack trace, as its cause is the sender.
+ * Thrown if a received message or a stored value does not follow its protocol. Has no stack trace,
+ * since the fault is the sender's.
  *
- * <p>Its text may be sent back to the sender.
+ * <p>The exception's message may be sent back to the sender.
  */
 public final class MalformedMessageException extends Exception {
     private static final long serialVersionUID = 1;
@@ -11,7 +12,8 @@
     /**
      * Creates an exception.
      *
-     * @param reason what is wrong, beginning with the field if it is one
+     * @param reason description of the error, which begins with the field's name if a field is
+     *     invalid
      */
     public MalformedMessageException(String reason) {
         super(reason, null, false, false);
--- a/src/main/java/io/kelphoist/wire/MessageEncoding.java
+++ b/src/main/java/io/kelphoist/wire/MessageEncoding.java
@@ -8,8 +8,8 @@
 import java.io.IOException;
 
 /**
- * Encodes and decodes message bodies: CBOR to and from users, workers, the cloud and the state
- * store, JSON between controllers.
+ * Encodes and decodes message bodies: CBOR for users, workers, the cloud and the state store, JSON
+ * between controllers.
  */
 public final class MessageEncoding {
     private static final ObjectMapper CBOR_MAPPER = new CBORMapper();
@@ -35,7 +35,7 @@
     /**
      * Decodes a CBOR body.
      *
-     * @throws MalformedMessageException if the body is anything but exactly one map
+     * @throws MalformedMessageException if the body is not exactly one map
      */
     public static ObjectNode decodeCbor(byte[] body) throws MalformedMessageException {
         return readObject(CBOR_MAPPER, body);
@@ -44,7 +44,7 @@
     /**
      * Decodes a JSON body.
      *
-     * @throws MalformedMessageException if the body is anything but exactly one map
+     * @throws MalformedMessageException if the body is not exactly one map
      */
     public static ObjectNode decodeJson(byte[] body) throws MalformedMessageException {
         return readObject(JSON_MAPPER, body);
--- a/src/main/java/io/kelphoist/wire/MessageFields.java
+++ b/src/main/java/io/kelphoist/wire/MessageFields.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Typed access to the fields of a received message. A field that is null counts as missing. Users
- * get the text of the exceptions with the response to their request.
+ * Typed access to the fields of a received message. A field that is null is treated as missing.
+ * Users receive the messages of the exceptions in the responses to their requests.
  */
 final class MessageFields {
     private MessageFields() {}
@@ -41,7 +41,7 @@
         return has(message, name) ? bool(message, name) : defaultValue;
     }
 
-    /** Returns an integer within bounds, both inclusive. */
+    /** Returns an integer of {@code min} to {@code max}, both inclusive. */
     static long integer(JsonNode message, String name, long min, long max)
             throws MalformedMessageException {
         JsonNode value = require(message, name);
--- a/src/main/java/io/kelphoist/wire/ReceivedHeartbeat.java
+++ b/src/main/java/io/kelphoist/wire/ReceivedHeartbeat.java
@@ -6,8 +6,8 @@
 /**
  * A heartbeat that a worker sent to this controller.
  *
- * @param message the message as it came, for a controller that relays it: it may have fields that
- *     this version does not know
- * @param heartbeat what this controller understands of it
+ * @param message the message as received, which a controller relays unchanged: it may have fields
+ *     that this version does not know
+ * @param heartbeat the decoded message
  */
 public record ReceivedHeartbeat(ObjectNode message, Heartbeat heartbeat) {}
--- a/src/main/java/io/kelphoist/wire/WorkerCodec.java
+++ b/src/main/java/io/kelphoist/wire/WorkerCodec.java
@@ -19,9 +19,10 @@
     private WorkerCodec() {}
 
     /**
-     * Decodes the body of a heartbeat that a worker sent to this controller.
+     * Decodes the CBOR body of a heartbeat that a worker sent to this controller, and keeps the
+     * message for a relay.
      *
-     * @throws MalformedMessageException if a field is missing or has no allowed value
+     * @throws MalformedMessageException if a field is missing or invalid
      */
     public static ReceivedHeartbeat decodeHeartbeatBody(byte[] body)
             throws MalformedMessageException {
@@ -30,9 +31,9 @@
     }
 
     /**
-     * Decodes the body of a heartbeat that another controller relayed.
+     * Decodes the JSON body of a heartbeat that another controller relayed.
      *
-     * @throws MalformedMessageException if a field is missing or has no allowed value
+     * @throws MalformedMessageException if a field is missing or invalid
      */
     public static Heartbeat decodeRelayedHeartbeat(byte[] body) throws MalformedMessageException {
         return decodeHeartbeat(MessageEncoding.decodeJson(body));
@@ -41,7 +42,7 @@
     /**
      * Decodes a worker's heartbeat.
      *
-     * @throws MalformedMessageException if a field is missing or has no allowed value
+     * @throws MalformedMessageException if a field is missing or invalid
      */
     public static Heartbeat decodeHeartbeat(JsonNode message) throws MalformedMessageException {
         List<TaskStatus> tasks = new ArrayList<>();
@@ -62,18 +63,19 @@
     }
 
     /**
-     * Decodes a heartbeat from its body in CBOR.
+     * Decodes the CBOR body of a heartbeat.
      *
-     * @throws MalformedMessageException if it can't be read, or a field has no allowed value
+     * @throws MalformedMessageException if the body is not a message, or a field is missing or
+     *     invalid
      */
     public static Heartbeat decodeHeartbeat(byte[] body) throws MalformedMessageException {
         return decodeHeartbeat(MessageEncoding.decodeCbor(body));
     }
 
     /**
-     * Decodes the name of a task: its job's id, a slash and its index.
+     * Decodes the name of a task: the job id, a slash and the task's index.
      *
-     * @throws MalformedMessageException if the text is no such name
+     * @throws MalformedMessageException if the text does not have this form
      */
     public static TaskRef decodeTaskRef(String name) throws MalformedMessageException {
         int slash = name.lastIndexOf('/');
@@ -81,10 +83,12 @@
         try {
             index = Integer.parseInt(name.substring(slash + 1));
         } catch (NumberFormatException e) {
-            throw new MalformedMessageException(name + " is not a task");
+            throw new MalformedMessageException(
+                    "'" + name + "' is not a task name, expected JOB_ID/INDEX");
         }
         if (slash < 1 || index < 0) {
-            throw new MalformedMessageException(name + " is not a task");
+            throw new MalformedMessageException(
+                    "'" + name + "' is not a task name, expected JOB_ID/INDEX");
         }
         return new TaskRef(name.substring(0, slash), index);
     }
@@ -128,13 +132,15 @@
         };
     }
 
-    /** Encodes the body of the response to a heartbeat that the worker sent here. */
+    /**
+     * Encodes the CBOR body of the response to a heartbeat that a worker sent to this controller.
+     */
     public static byte[] encodeHeartbeatResponseBody(HeartbeatResponse response) {
         return MessageEncoding.encodeCbor(
                 encodeHeartbeatResponse(response.fencingToken(), response.commands()));
     }
 
-    /** Encodes the body of the response to a heartbeat that another controller relayed. */
+    /** Encodes the JSON body of the response to a heartbeat that another controller relayed. */
     public static byte[] encodeRelayedHeartbeatResponse(HeartbeatResponse response) {
         return MessageEncoding.encodeJson(
                 encodeHeartbeatResponse(response.fencingToken(), response.commands()));
@@ -150,23 +156,23 @@
         return message;
     }
 
-    /** Encodes commands that are sent to a worker without waiting for its next heartbeat. */
+    /** Encodes commands that are sent to a worker in a request, before its next heartbeat. */
     public static ObjectNode encodeCommands(
             long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
         return encodeHeartbeatResponse(fencingToken, commands)
                 .put(FieldNames.AGENT_EPOCH, agentEpoch);
     }
 
-    /** As {@link #encodeCommands}, as the body of a request. */
+    /** Encodes the CBOR body of a request with {@link #encodeCommands commands}. */
     public static byte[] encodeCommandRequest(
             long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
         return MessageEncoding.encodeCbor(encodeCommands(fencingToken, agentEpoch, commands));
     }
 
     /**
-     * Encodes the response of a controller that is not the leader.
+     * Encodes the response to a heartbeat by a controller that is not the leader.
      *
-     * @param leaderNode the leader's node; null: not known
+     * @param leaderNode name of the leader's node; null if the leader is unknown
      */
     public static ObjectNode encodeRedirect(String leaderNode) {
         ObjectNode message = MessageEncoding.newObject();
@@ -177,9 +183,10 @@
     }
 
     /**
-     * Encodes the body of the response of a controller that is not the leader.
+     * Encodes the CBOR body of the response to a heartbeat by a controller that is not the leader.
      *
-     * @param controller where the worker should go; empty: to any other controller
+     * @param controller the controller to which the worker should send its heartbeats; empty for
+     *     any other controller
      */
     public static byte[] encodeRedirectBody(Optional<String> controller) {
         return MessageEncoding.encodeCbor(encodeRedirect(controller.orElse(null)));
--- a/src/main/java/io/kelphoist/wire/package-info.java
+++ b/src/main/java/io/kelphoist/wire/package-info.java
@@ -1,12 +1,14 @@
 /**
- * Messages to and from users, workers and the cloud, and HTTP in both directions.
+ * Messages to and from users, workers and the cloud, and HTTP for requests that are sent and
+ * served.
  *
  * <p>{@link io.kelphoist.wire.JobCodec}, {@link io.kelphoist.wire.WorkerCodec} and {@link
- * io.kelphoist.wire.CloudCodec} translate messages into the terms of the model and back; field
+ * io.kelphoist.wire.CloudCodec} convert between messages and the types of the model; the field
  * names of these messages occur only in this package. {@link io.kelphoist.wire.HttpHostClient}
- * calls one host, {@link io.kelphoist.wire.HttpExchanges} helps to serve requests.
+ * sends requests to one host, {@link io.kelphoist.wire.HttpExchanges} reads requests that the
+ * controller serves and responds to them.
  *
- * <p>The package owns pooled connections and calls in flight. It depends on the model alone. The
- * codecs are stateless; HTTP runs on the I/O thread.
+ * <p>The package owns pooled connections and calls in flight. It depends only on the model. The
+ * codecs are stateless; the HTTP classes run on the I/O thread.
  */
 package io.kelphoist.wire;
