--- a/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
@@ -28,22 +28,27 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Users submit, cancel and query jobs through three controllers, while the state service is slow,
- * refuses one controller, is down for all, or applies transactions late, out of order, or without a
- * response. A user whose answer is that a job is accepted or final queries all controllers within
- * milliseconds, submits the job again and sometimes cancels it. No answer is older than any answer
- * given before the request was sent, nor than any earlier answer of the same controller; no
- * accepted job is unknown, a dependent of a cancelled job is soon cancelled, and a cancellation is
- * recorded before it is reported.
+ * Guards against responses that are older than an earlier response. Users submit, cancel and query
+ * jobs through three controllers, while the state store is slow, unreachable for one controller or
+ * down for all, or applies transactions late, out of order or without a response. Users of some
+ * jobs query all controllers within milliseconds of a response that the job is accepted or has
+ * ended, submit the job again and sometimes cancel it.
+ *
+ * <p>Checks that no response is older than any response that was received before the request was
+ * sent, nor than any earlier response of the same controller; that no accepted job is reported as
+ * not found or rejected; that a job that depends on a cancelled one is reported as cancelled after
+ * {@link #CANCELLATION_TIMEOUT_SECONDS}; and that a cancellation is recorded before it is reported.
  */
 class AdmissionSimulationTest {
     private static final int JOBS = 8;
     private static final int CONTROLLERS = 3;
-    private static final double CANCEL_SECONDS = 30;
+    private static final double CANCELLATION_TIMEOUT_SECONDS = 30;
     private static final Team TEAM =
             new Team("t", new Resources(1e6, 4, 1e6), new Resources(1e6, 8, 1e6));
     private static final MachineType TYPE =
             new MachineType("m", new Resources(8, 2, 64), 50, 1, 8, 3, 25, List.of("a"));
+
+    // Counted over all tries, to check that the faults and their effects were frequent enough.
     private static int finalResponses;
     private static int deferredResponses;
     private static int lateWrites;
@@ -51,7 +56,9 @@
     private static int lostResponses;
     private static int overtakenResponses;
 
+    /** The admission of one controller, and what it has reported. */
     private final class Controller {
+        /** Cancelled jobs that were passed to the listener that runs before a state is reported. */
         final Set<String> recordedCancellations = new HashSet<>();
 
         /** The last phase that this controller reported of each job. */
@@ -66,7 +73,8 @@
                         store,
                         () -> 1,
                         new FixedMachineTypes(List.of(TYPE)),
-                        new AdmissionSettings(List.of(TEAM), List.of("a"), 4, CANCEL_SECONDS),
+                        new AdmissionSettings(
+                                List.of(TEAM), List.of("a"), 4, CANCELLATION_TIMEOUT_SECONDS),
                         this::onStatusReported);
 
         private void onStatusReported(JobRecord record) {
@@ -80,27 +88,32 @@
     private StoredJobs storedJobs;
     private List<Controller> controllers;
 
-    /** The phase of each job that any controller has answered. */
-    private Map<String, AdmissionResult.Phase> reported;
+    /** The newest phase of each job that any controller has reported; a final phase stays. */
+    private Map<String, AdmissionResult.Phase> reportedByAny;
 
-    private Map<String, Double> cancelledAt;
+    /** By job id: when it was first reported as cancelled. */
+    private Map<String, Double> cancelledAtSeconds;
 
-    /** Jobs whose users query all controllers whenever an answer has a new phase. */
+    /** Jobs whose users query all controllers when they are first reported and when they end. */
     private Set<String> watchedJobs;
 
+    /** Creates a new simulation for each try, since jqwik runs all tries on one instance. */
     private void reset(int seed) {
         store = new StateStoreSimulation(seed, 0);
         storedJobs = new StoredJobs(store);
         controllers = new ArrayList<>();
-        reported = new HashMap<>();
-        cancelledAt = new HashMap<>();
+        reportedByAny = new HashMap<>();
+        cancelledAtSeconds = new HashMap<>();
         watchedJobs = new HashSet<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             controllers.add(new Controller());
         }
     }
 
-    /** Two dependency chains: 1 needs 0, 2 needs 1, and 5 needs 4. */
+    /**
+     * Returns the spec of a job. There are two dependency chains: job 2 depends on 1, which depends
+     * on 0, and 5 depends on 4.
+     */
     private static JobSpec spec(int number) {
         List<String> dependencies =
                 number == 1 || number == 2 || number == 5
@@ -113,17 +126,28 @@
         return new ResponseCheck(number, controller);
     }
 
-    /** Compares an answer with all answers that were given before the request was sent. */
+    /**
+     * Compares the response to a request with all responses that were received before the request
+     * was sent.
+     */
     private final class ResponseCheck implements Consumer<AdmissionResult> {
         private final int number;
         private final String id;
         private final Controller controller;
-        private final AdmissionResult.Phase before;
 
-        /** On a first submission: an answer had been that a dependency is cancelled. */
+        /** The job's reported phase when the request was sent; null if none was reported. */
+        private final AdmissionResult.Phase phaseBefore;
+
+        /**
+         * Whether no phase of the job was reported before the request, and a dependency was
+         * reported as cancelled.
+         */
         private final boolean dependencyCancelled;
 
-        /** The time in which the cancellation of a dependency has to reach this job is over. */
+        /**
+         * Whether the time within which the job must be cancelled with a dependency had expired
+         * when the request was sent.
+         */
         private final boolean cancellationDue;
 
         private boolean hasResponse;
@@ -132,97 +156,118 @@
             this.number = number;
             this.controller = controller;
             id = "job-" + number;
-            before = reported.get(id);
+            phaseBefore = reportedByAny.get(id);
             List<String> dependencies = spec(number).dependencies();
             dependencyCancelled =
-                    before == null
+                    phaseBefore == null
                             && dependencies.stream()
                                     .anyMatch(
                                             dependency ->
-                                                    reported.get(dependency)
+                                                    reportedByAny.get(dependency)
                                                             == AdmissionResult.Phase.CANCELLED);
             cancellationDue = dependencies.stream().anyMatch(this::isCancellationDue);
         }
 
         private boolean isCancellationDue(String dependency) {
             return store.nowSeconds()
-                    > cancelledAt.getOrDefault(dependency, Double.POSITIVE_INFINITY)
-                            + CANCEL_SECONDS;
+                    > cancelledAtSeconds.getOrDefault(dependency, Double.POSITIVE_INFINITY)
+                            + CANCELLATION_TIMEOUT_SECONDS;
         }
 
         @Override
-        public void accept(AdmissionResult answer) {
-            assertTrue(!hasResponse, id + " is answered twice");
+        public void accept(AdmissionResult result) {
+            assertTrue(!hasResponse, id + ": received a second response to one request");
             hasResponse = true;
-            if (answer instanceof AdmissionResult.RetryLater) {
+            if (result instanceof AdmissionResult.RetryLater) {
                 deferredResponses++;
                 return;
             }
-            AdmissionResult.JobStateView job = jobOf(answer);
+            AdmissionResult.JobStateView job = jobOf(result);
             if (job == null) {
-                assertNeverAccepted(answer);
+                assertNeverAccepted(result);
                 return;
             }
-            AdmissionResult.Phase now = job.phase();
-            assertAgreesWithController(answer, now);
-            boolean news =
-                    reported.get(id) == null || (now.isFinal() && !reported.get(id).isFinal());
-            assertAgreesWithAllResponses(now);
-            recordPhase(now);
-            if (news && watchedJobs.contains(id)) {
+            AdmissionResult.Phase phase = job.phase();
+            assertAgreesWithController(result, phase);
+            boolean isNewPhase =
+                    reportedByAny.get(id) == null
+                            || (phase.isFinal() && !reportedByAny.get(id).isFinal());
+            assertAgreesWithAllResponses(phase);
+            recordPhase(phase);
+            if (isNewPhase && watchedJobs.contains(id)) {
                 queryEverywhere(number);
             }
         }
 
-        private static AdmissionResult.JobStateView jobOf(AdmissionResult answer) {
-            if (answer instanceof AdmissionResult.Accepted accepted) {
+        private static AdmissionResult.JobStateView jobOf(AdmissionResult result) {
+            if (result instanceof AdmissionResult.Accepted accepted) {
                 return accepted.job();
             }
-            return answer instanceof AdmissionResult.Found found ? found.job() : null;
+            return result instanceof AdmissionResult.Found found ? found.job() : null;
         }
 
-        private void assertNeverAccepted(AdmissionResult answer) {
-            assertEquals(null, before, id + " was accepted, and is answered " + answer);
+        private void assertNeverAccepted(AdmissionResult result) {
+            assertEquals(
+                    null,
+                    phaseBefore,
+                    id + " was reported before the request, but the response is " + result);
             assertEquals(
                     null,
                     controller.reportedPhases.get(id),
-                    id + " was accepted here, and is answered " + answer);
+                    id + " was reported by this controller, but its response is " + result);
         }
 
-        private void assertAgreesWithController(AdmissionResult answer, AdmissionResult.Phase now) {
-            AdmissionResult.Phase here = controller.reportedPhases.get(id);
+        private void assertAgreesWithController(
+                AdmissionResult result, AdmissionResult.Phase phase) {
+            AdmissionResult.Phase previousPhase = controller.reportedPhases.get(id);
             assertTrue(
-                    here == null || !here.isFinal() || here == now,
-                    id + " was called " + here + " here and is called " + now);
+                    previousPhase == null || !previousPhase.isFinal() || previousPhase == phase,
+                    id
+                            + " was reported by this controller as "
+                            + previousPhase
+                            + " and now as "
+                            + phase);
             assertTrue(
                     !dependencyCancelled
-                            || now == AdmissionResult.Phase.CANCELLED
-                            || answer instanceof AdmissionResult.Found,
-                    id + " is accepted as " + now + ", and a dependency was called cancelled");
-            overtakenResponses += here != null && here.isFinal() && before != here ? 1 : 0;
-            controller.reportedPhases.put(id, now);
+                            || phase == AdmissionResult.Phase.CANCELLED
+                            || result instanceof AdmissionResult.Found,
+                    id
+                            + " was accepted as "
+                            + phase
+                            + ", expected CANCELLED: a dependency was reported as cancelled");
+            overtakenResponses +=
+                    previousPhase != null && previousPhase.isFinal() && phaseBefore != previousPhase
+                            ? 1
+                            : 0;
+            controller.reportedPhases.put(id, phase);
         }
 
-        private void assertAgreesWithAllResponses(AdmissionResult.Phase now) {
+        private void assertAgreesWithAllResponses(AdmissionResult.Phase phase) {
             assertTrue(
-                    before == null || !before.isFinal() || before == now,
-                    id + " was called " + before + " and is called " + now);
+                    phaseBefore == null || !phaseBefore.isFinal() || phaseBefore == phase,
+                    id + " was reported as " + phaseBefore + " and now as " + phase);
             assertTrue(
-                    now != AdmissionResult.Phase.CANCELLED
+                    phase != AdmissionResult.Phase.CANCELLED
                             || controller.recordedCancellations.contains(id),
-                    id + " is called cancelled, and that was not recorded before");
+                    id + " was reported as cancelled before the cancellation was recorded");
             assertTrue(
-                    !cancellationDue || now == AdmissionResult.Phase.CANCELLED,
-                    id + " is called " + now + " long after a dependency was cancelled");
+                    !cancellationDue || phase == AdmissionResult.Phase.CANCELLED,
+                    id
+                            + " was reported as "
+                            + phase
+                            + ", expected CANCELLED: a dependency was reported as cancelled more than "
+                            + CANCELLATION_TIMEOUT_SECONDS
+                            + " s before the request");
         }
 
-        private void recordPhase(AdmissionResult.Phase now) {
-            reported.merge(id, now, (was, is) -> was.isFinal() ? was : is);
-            if (now == AdmissionResult.Phase.CANCELLED
-                    && cancelledAt.putIfAbsent(id, store.nowSeconds()) == null) {
+        private void recordPhase(AdmissionResult.Phase phase) {
+            reportedByAny.merge(
+                    id, phase, (previous, newest) -> previous.isFinal() ? previous : newest);
+            if (phase == AdmissionResult.Phase.CANCELLED
+                    && cancelledAtSeconds.putIfAbsent(id, store.nowSeconds()) == null) {
                 cancelledDependents += spec(number).dependencies().isEmpty() ? 0 : 1;
             }
-            finalResponses += now.isFinal() ? 1 : 0;
+            finalResponses += phase.isFinal() ? 1 : 0;
         }
     }
 
@@ -252,13 +297,13 @@
         int argument = action / 16;
         switch (action % 16) {
             case 0, 1, 2 -> {
-                // Users name only accepted jobs as dependencies.
-                if (spec(number).dependencies().stream().allMatch(reported::containsKey)) {
+                // Users submit a job only after its dependencies were reported.
+                if (spec(number).dependencies().stream().allMatch(reportedByAny::containsKey)) {
                     controller.admission.submit(spec(number), newCheck(number, controller));
                 }
             }
             case 3, 4 -> {
-                if (reported.containsKey("job-" + number)) {
+                if (reportedByAny.containsKey("job-" + number)) {
                     controller.admission.cancel("job-" + number, newCheck(number, controller));
                 }
             }
@@ -279,7 +324,7 @@
         store.advance(argument / 4.0);
     }
 
-    /** Stores the end of a job as the leader does: only an active job becomes done. */
+    /** Stores that a job is done, as the leader does: only if it is active. */
     private void storeDone(int number) {
         boolean isActive =
                 storedJobs.status("job-" + number).filter(JobStatus.ACTIVE::equals).isPresent();
@@ -296,7 +341,7 @@
         steps.forEach(this::runStep);
         lateWrites += store.lateWrites();
         lostResponses += store.lostResponses();
-        // After all faults have ended, the second query of each job is answered.
+        // After all faults have ended, the second query for each job must not be deferred.
         store.faults().setDown(false);
         store.faults().setLateWritesPerTen(0);
         store.faults().setLostResponsesPerTen(0);
@@ -309,15 +354,18 @@
                     ResponseCheck check = newCheck(number, controller);
                     controller.admission.query(
                             "job-" + number,
-                            answer -> {
-                                last[0] = answer;
-                                check.accept(answer);
+                            result -> {
+                                last[0] = result;
+                                check.accept(result);
                             });
                     store.advance(10);
                 }
                 assertTrue(
                         last[0] != null && !(last[0] instanceof AdmissionResult.RetryLater),
-                        "job-" + number + " is answered " + last[0] + " after all faults");
+                        "job-"
+                                + number
+                                + ": expected a response that is not deferred after all faults, was "
+                                + last[0]);
             }
         }
     }
@@ -330,7 +378,7 @@
                         && lateWrites > 150
                         && cancelledDependents > 500,
                 finalResponses
-                        + " final answers, "
+                        + " final responses, "
                         + deferredResponses
                         + " deferred, "
                         + lateWrites
@@ -342,11 +390,12 @@
                 lostResponses
                         + " responses lost, "
                         + overtakenResponses
-                        + " requests overtaken by a final answer");
+                        + " requests overtaken by a final response");
     }
 
     /**
-     * A cancellation is recorded before it is reported by a repeated submission or cancellation.
+     * A controller records a cancellation before it reports it, also in the response to a repeated
+     * submission, or to a submission of a job that depends on the cancelled one.
      */
     @Test
     void cancellationIsRecordedBeforeItIsReported() {
@@ -364,8 +413,8 @@
         controllers.get(2).admission.submit(spec(1), newCheck(1, controllers.get(2)));
         store.advance(5);
         assertEquals(Set.of("job-0"), controllers.get(1).recordedCancellations);
-        // Accepted as cancelled, as its dependency is.
+        // job-1 is accepted as cancelled, since its dependency is cancelled.
         assertEquals(Set.of("job-1"), controllers.get(2).recordedCancellations);
-        assertTrue(storedJobs.status("job-1").isPresent(), "job-1 has a record");
+        assertTrue(storedJobs.status("job-1").isPresent(), "expected a record of job-1");
     }
 }
--- a/src/test/java/io/kelphoist/admission/FixedMachineTypes.java
+++ b/src/test/java/io/kelphoist/admission/FixedMachineTypes.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A controller that knows these machine types, and nothing of what runs. */
+/** A cluster view with a fixed list of machine types and without task counts. */
 public record FixedMachineTypes(List<MachineType> machineTypes) implements Admission.ClusterView {
     @Override
-    public Optional<TaskCounts> taskCounts(String job) {
+    public Optional<TaskCounts> taskCounts(String jobId) {
         return Optional.empty();
     }
 }
--- a/src/test/java/io/kelphoist/admission/FreshReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/FreshReadsTest.java
@@ -15,13 +15,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A result that concurrent reads share is never older than any of these reads, although the state
- * service responds late and out of order.
+ * Guards against read results that are older than the request. It could happen when several reads
+ * share one request to the state store, or are served from the cache, while the state store
+ * responds late and out of order.
  */
 class FreshReadsTest {
     private static final int JOBS = 6;
 
-    /** A job's later states have higher ranks; unavailable is never older than what is stored. */
+    /**
+     * Ranks of read results: a job's later states have higher ranks. "Unavailable" has the highest,
+     * since it is correct for any stored state.
+     */
     private static final int RANK_ABSENT = 0;
 
     private static final int RANK_ACTIVE = 1;
@@ -33,19 +37,19 @@
     private JobLookup lookup;
     private int resultCount;
 
-    /** jqwik runs all tries on one instance. */
-    private void reset(int salt) {
-        store = new StateStoreSimulation(salt, 0);
+    /** Creates a new store and lookup for each try, since jqwik runs all tries on one instance. */
+    private void reset(int seed) {
+        store = new StateStoreSimulation(seed, 0);
         storedJobs = new StoredJobs(store);
         lookup = new JobLookup(store, store, 1);
         resultCount = 0;
     }
 
-    private static int rank(JobReadResult found) {
-        if (found instanceof JobReadResult.Present present) {
+    private static int rank(JobReadResult result) {
+        if (result instanceof JobReadResult.Present present) {
             return present.record().status().isFinal() ? RANK_FINAL : RANK_ACTIVE;
         }
-        return found instanceof JobReadResult.Absent ? RANK_ABSENT : RANK_UNAVAILABLE;
+        return result instanceof JobReadResult.Absent ? RANK_ABSENT : RANK_UNAVAILABLE;
     }
 
     private int storedRank(String id) {
@@ -55,6 +59,7 @@
                 .orElse(RANK_ABSENT);
     }
 
+    /** Runs one step of a try: the number determines the job and the action. */
     private void runStep(int step) {
         String id = "job-" + step % JOBS;
         switch (step / JOBS % 16) {
@@ -75,7 +80,10 @@
         store.advance(step % 23 / 200.0);
     }
 
-    /** The response to the transaction may arrive after many other events. */
+    /**
+     * This controller accepts the job. It receives the outcome of the transaction some time later,
+     * possibly after many other events.
+     */
     private void acceptHere(String id, int step) {
         if (storedRank(id) == RANK_ABSENT) {
             long revision = storedJobs.putActive(id);
@@ -92,7 +100,7 @@
         }
     }
 
-    /** Another controller accepts the job or writes its record again. */
+    /** Another controller accepts the job, or writes its record again. */
     private void acceptElsewhere(String id) {
         if (storedRank(id) < RANK_FINAL) {
             storedJobs.putActive(id);
@@ -113,27 +121,35 @@
         }
     }
 
-    /** A result is at least as new as the read, and no newer than what is stored. */
+    /**
+     * Reads a job and checks that the result is not older than the record at the time of the
+     * request, and not newer than the stored record at the time of the result.
+     */
     private void readAndCheck(String id) {
-        int leastRank = storedRank(id);
+        int minRank = storedRank(id);
         lookup.read(
                 id,
-                found -> {
+                result -> {
                     resultCount++;
                     assertTrue(
-                            rank(found) >= leastRank,
-                            () -> id + " was read as " + found + " after rank " + leastRank);
+                            rank(result) >= minRank,
+                            () ->
+                                    id
+                                            + ": expected a result of rank "
+                                            + minRank
+                                            + " or higher, was "
+                                            + result);
                     assertTrue(
-                            rank(found) == RANK_UNAVAILABLE || rank(found) <= storedRank(id),
-                            () -> id + " was read as " + found);
+                            rank(result) == RANK_UNAVAILABLE || rank(result) <= storedRank(id),
+                            () -> id + ": expected no result newer than stored, was " + result);
                 });
     }
 
     @Property(tries = 3000, seed = "20261202")
     void resultIsNeverOlderThanTheRequest(
             @ForAll @Size(min = 20, max = 200) List<@IntRange(min = 0, max = 9599) Integer> steps,
-            @ForAll @IntRange(min = 0, max = 996) int salt) {
-        reset(salt);
+            @ForAll @IntRange(min = 0, max = 996) int seed) {
+        reset(seed);
         steps.forEach(this::runStep);
         store.advance(30);
     }
@@ -142,18 +158,18 @@
         String[] status = new String[1];
         lookup.read(
                 "job-" + number,
-                found ->
+                result ->
                         status[0] =
-                                found instanceof JobReadResult.Present present
+                                result instanceof JobReadResult.Present present
                                         ? present.record().status().toString()
-                                        : found.toString());
+                                        : result.toString());
         store.advance(5);
         return status[0];
     }
 
     /**
-     * One final job more than the cache holds: the evicted one is read again, and is unavailable
-     * while the state service is.
+     * The cache of finished jobs is filled with one job more than it holds. The evicted job is read
+     * from the state store again, and is unavailable while the state store is.
      */
     @Test
     void evictedFinalJobIsReadAgain() {
@@ -171,8 +187,8 @@
     }
 
     /**
-     * More unfinished jobs than the cache holds: evicted ones that changed since are read as they
-     * are stored.
+     * More unfinished jobs are read than the cache holds. Evicted jobs that have changed since are
+     * read as stored.
      */
     @Test
     void evictedUnfinishedJobsAreReadAsStored() {
@@ -192,7 +208,7 @@
         for (int i = 0; i < jobs; i += 7) {
             storedJobs.putDone("job-" + i);
         }
-        // The state service compacts its history as well: a watch has to start again.
+        // The state store also compacts its changes, so that the cache must be reset.
         store.setCompactedRevision(store.revision());
         // then
         for (int i = 0; i < jobs; i++) {
@@ -204,29 +220,30 @@
     private void readAndExpect(String id, JobStatus status) {
         lookup.read(
                 id,
-                found ->
+                result ->
                         assertTrue(
-                                found instanceof JobReadResult.Present present
+                                result instanceof JobReadResult.Present present
                                         && present.record().status() == status,
-                                found::toString));
+                                () -> id + ": expected " + status + ", was " + result));
     }
 
-    /** A hundred concurrent reads cost a few requests, not a hundred. */
+    /** A hundred concurrent reads of a cached job take at most two requests to the state store. */
     @Test
     void concurrentReadsShareRequests() {
         reset(0);
         storedJobs.putActive("job-1");
         for (int round = 0; round < 3; round++) {
-            // The first reads find the revision and the record.
-            lookup.read("job-1", found -> resultCount++);
+            // The first reads load the store's revision and then the record into the cache.
+            lookup.read("job-1", result -> resultCount++);
             store.advance(1);
         }
-        int before = store.requests().size();
+        int requestsBefore = store.requests().size();
         for (int i = 0; i < 100; i++) {
-            lookup.read("job-1", found -> resultCount++);
+            lookup.read("job-1", result -> resultCount++);
         }
         store.advance(1);
         assertEquals(103, resultCount);
-        assertTrue(store.requests().size() - before <= 2, () -> store.requests().toString());
+        assertTrue(
+                store.requests().size() - requestsBefore <= 2, () -> store.requests().toString());
     }
 }
--- a/src/test/java/io/kelphoist/admission/MonotonicReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/MonotonicReadsTest.java
@@ -9,8 +9,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which answer a read may give after newer answers were given meanwhile; also at the bound of the
- * number of remembered answers, and beyond it.
+ * Guards against job states that are reported after a newer one: a read may end after a later read
+ * whose result was reported already. Includes the limits on the number of kept responses and on
+ * their age.
  */
 class MonotonicReadsTest {
     private MonotonicReads reads;
@@ -19,8 +20,8 @@
         return new JobReadResult.Present(jobRecord(number, JobStatus.ACTIVE, version));
     }
 
-    private JobReadResult ensureMonotonic(JobReadResult read, double requestedAt) {
-        return reads.ensureMonotonic("job-1", read, requestedAt);
+    private JobReadResult ensureMonotonic(JobReadResult read, double requestedAtSeconds) {
+        return reads.ensureMonotonic("job-1", read, requestedAtSeconds);
     }
 
     @BeforeEach
@@ -35,7 +36,8 @@
         reads.recordResponse(jobRecord(1, JobStatus.ACTIVE, 5), 1);
         assertEquals(active(1, 5), ensureMonotonic(new JobReadResult.Absent(), 0));
         assertEquals(active(1, 7), ensureMonotonic(active(1, 7), 0));
-        // An unavailable read is not replaced: the remembered answer may be outdated by now.
+        // The result "unavailable" is not replaced: the last reported record may be outdated by
+        // now.
         assertEquals(
                 new JobReadResult.Unavailable(),
                 ensureMonotonic(new JobReadResult.Unavailable(), 0));
@@ -56,7 +58,7 @@
         assertEquals(
                 new JobReadResult.Unavailable(), ensureMonotonic(new JobReadResult.Absent(), 0.5));
         assertEquals(new JobReadResult.Unavailable(), ensureMonotonic(active(1, 4), 1));
-        // A read that was requested later counts as it is; a final state counts whenever read.
+        // The result of a read that was sent later is returned as it is, a final state always.
         assertEquals(active(1, 5), ensureMonotonic(active(1, 5), 1.01));
         JobReadResult done = new JobReadResult.Present(jobRecord(1, JobStatus.DONE, 6));
         assertEquals(done, ensureMonotonic(done, 0.5));
--- a/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
+++ b/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Each field of a submission, missing or wrong in every way that a user may think of; fields.txt
- * has the table.
+ * Tests the outcome of submissions in which one field is missing, malformed or at a limit.
+ * fields.txt lists the values of each field with the expected outcomes.
  */
 class SubmissionFieldsTest {
     private static final String VALID =
@@ -37,6 +37,9 @@
                             new MachineType("m", CAPACITY, 50, 1, 8, 3, 25, List.of("a", "b")),
                             new MachineType("one-zone", CAPACITY, 50, 1, 8, 3, 25, List.of("a"))));
 
+    /**
+     * Sets a field to a value from fields.txt: JSON, a number that JSON does not have, or missing.
+     */
     private static void setField(ObjectNode message, String field, String value)
             throws MalformedMessageException {
         switch (value) {
@@ -99,20 +102,21 @@
         StateStoreSimulation store = new StateStoreSimulation(1, 0);
         Admission admission = newAdmission(store);
         AdmissionResult[] result = new AdmissionResult[1];
-        // The gRPC server decodes what comes over the wire in the same way.
+        // The message is encoded and decoded as when it is sent to a controller; the gRPC server
+        // decodes jobs in the same way.
         ObjectNode message = MessageEncoding.decodeCbor(MessageEncoding.encodeCbor(sent));
         String id = null;
         // when
         try {
             id = JobCodec.decodeJobId(message);
-            admission.submit(JobCodec.decodeJob(message), answer -> result[0] = answer);
+            admission.submit(JobCodec.decodeJob(message), received -> result[0] = received);
         } catch (MalformedMessageException e) {
             assertTrue(e.getMessage().contains(field), e.getMessage());
             if (id == null) {
                 assertEquals("malformed", expected);
                 return;
             }
-            admission.rejectMalformed(id, e.getMessage(), answer -> result[0] = answer);
+            admission.rejectMalformed(id, e.getMessage(), received -> result[0] = received);
         }
         store.advance(10);
         // then
@@ -131,7 +135,7 @@
                 job -> {});
     }
 
-    /** The outcome as fields.txt names it. */
+    /** Returns the name of the outcome in fields.txt. */
     private static String outcomeName(AdmissionResult result) {
         if (result instanceof AdmissionResult.Accepted) {
             return "accepted";
--- a/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
+++ b/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
@@ -13,17 +13,24 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Which writes share a transaction, and which wait for one that is open. */
+/** Tests which writes share a transaction and which wait for a transaction in flight. */
 class GroupCommitterTest {
     private final StateStoreSimulation loop = new StateStoreSimulation(1, 0);
+
+    /** The mutations of each transaction that was sent. */
     private final List<List<RecordMutation>> sent = new ArrayList<>();
-    private final List<Consumer<StateStoreResult<Long>>> inFlight = new ArrayList<>();
+
+    /** The callback of each transaction that was sent. */
+    private final List<Consumer<StateStoreResult<Long>>> callbacks = new ArrayList<>();
+
+    /** Key and outcome of each write that has ended. */
     private final List<String> outcomes = new ArrayList<>();
+
     private final GroupCommitter committer =
             new GroupCommitter(
-                    (conditions, changes, handler) -> {
-                        sent.add(changes);
-                        inFlight.add(handler);
+                    (conditions, mutations, callback) -> {
+                        sent.add(mutations);
+                        callbacks.add(callback);
                     },
                     loop,
                     100,
@@ -41,15 +48,15 @@
                         (outcome, revision) -> outcomes.add(key + " " + outcome)));
     }
 
-    private void respond(int number, StateStoreResult<Long> result) {
-        inFlight.get(number).accept(result);
+    private void respond(int transactionIndex, StateStoreResult<Long> result) {
+        callbacks.get(transactionIndex).accept(result);
     }
 
     private static StateStoreResult<Long> stored(long revision) {
         return new StateStoreResult.Success<>(revision);
     }
 
-    /** Usually one transaction is open at a time: writes that wait meanwhile share the next. */
+    /** While a transaction is in flight, further writes wait, and share the next transaction. */
     @Test
     void waitingWritesShareATransaction() {
         write("a");
@@ -65,8 +72,8 @@
     }
 
     /**
-     * A transaction without response for longer than usual does not block others any more; a few
-     * may be open at a time.
+     * A transaction that has had no response for longer than 0.25 s no longer delays the next one,
+     * up to the maximum number of transactions in flight.
      */
     @Test
     void transactionWithoutResponseDoesNotBlockOthers() {
@@ -78,7 +85,8 @@
         assertEquals(2, sent.size());
         respond(1, stored(5));
         assertEquals(List.of("b STORED"), outcomes);
-        // The first is still open: the next ones are sent at once.
+        // The newest transaction has a response, so "c" is sent at once, although the first
+        // transaction is still in flight.
         write("c");
         write("d");
         assertEquals(3, sent.size());
@@ -93,8 +101,8 @@
     }
 
     /**
-     * The queue is bounded: one more write is refused at once as not executed, and the others go
-     * on.
+     * The queue is bounded: a write to the full queue ends at once as not executed, and the queued
+     * writes are not affected.
      */
     @Test
     void writeToAFullQueueEndsAtOnceAsNotExecuted() {
@@ -111,7 +119,7 @@
         assertEquals(2, outcomes.size());
     }
 
-    /** After a refusal nothing is sent for a moment, whatever else is open. */
+    /** After a transaction exceeded the store's rate limit, no other is sent for 0.15 s. */
     @Test
     void pausesAfterARateLimitedTransaction() {
         write("a");
@@ -124,6 +132,7 @@
         loop.advance(0.2);
         assertEquals(3, sent.size());
         assertTrue(
-                sent.get(2).size() == 2, "the refused write is sent with the one that came since");
+                sent.get(2).size() == 2,
+                "the rejected write must be sent in one transaction with the later one");
     }
 }
--- a/src/test/java/io/kelphoist/statestore/RateLimitedReaderTest.java
+++ b/src/test/java/io/kelphoist/statestore/RateLimitedReaderTest.java
@@ -20,13 +20,13 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * However often users read: the rate of reads is limited, each read is answered, and none waits for
- * more than half a second.
+ * Guards against users' reads that exceed the rate limit, stay without a result or wait for more
+ * than half a second, when users send more reads than the limit allows.
  */
 class RateLimitedReaderTest {
     private static final double READS_PER_SECOND = 20;
 
-    /** A state store that responds to each read at once, and the event loop of its client. */
+    /** A state store that responds to each read at once, with a virtual clock and timers. */
     private static final class ImmediateStore implements StateStoreReader, EventLoop {
         final ScheduledEvents timers = new ScheduledEvents();
         final List<Double> sentAtSeconds = new ArrayList<>();
@@ -83,13 +83,15 @@
                             answered[0]++;
                             assertTrue(
                                     store.now - sentAtSeconds < 0.51,
-                                    "waited for " + (store.now - sentAtSeconds));
+                                    "a read must end within 0.5 s, but took "
+                                            + (store.now - sentAtSeconds)
+                                            + " s");
                         });
             }
             store.advanceTo(store.now + pause);
         }
         store.advanceTo(store.now + 1);
-        assertEquals(sent[0], answered[0], "each read is answered once");
+        assertEquals(sent[0], answered[0], "each read must have exactly one result");
         for (int i = 0; i < store.sentAtSeconds.size(); i++) {
             double startSeconds = store.sentAtSeconds.get(i);
             long readsInASecond =
@@ -100,7 +102,8 @@
                                                     && atSeconds < startSeconds + 1)
                             .count();
             assertTrue(
-                    readsInASecond <= READS_PER_SECOND * 1.5 + 1, readsInASecond + " in a second");
+                    readsInASecond <= READS_PER_SECOND * 1.5 + 1,
+                    readsInASecond + " reads in one second");
         }
     }
 }
--- a/src/test/java/io/kelphoist/statestore/StateStoreFaults.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreFaults.java
@@ -1,16 +1,17 @@
 package io.kelphoist.statestore;
 
-/** The faults of a simulated state service that are active for all controllers. */
+/** The faults of a simulated state store that affect all controllers. */
 public final class StateStoreFaults {
     private boolean down;
     private int lateWritesPerTen;
     private int lostResponsesPerTen;
 
+    /** Returns whether the store is down. */
     public boolean isDown() {
         return down;
     }
 
-    /** While down, every request of every controller is refused. */
+    /** Sets whether the store is down: no request of any controller is executed then. */
     public void setDown(boolean down) {
         this.down = down;
     }
@@ -19,7 +20,7 @@
         return lateWritesPerTen;
     }
 
-    /** Of ten transactions, how many get no response and are applied late. */
+    /** Sets how many of ten transactions are applied seconds late and get no response. */
     public void setLateWritesPerTen(int count) {
         lateWritesPerTen = count;
     }
@@ -28,7 +29,7 @@
         return lostResponsesPerTen;
     }
 
-    /** Of ten transactions, how many are applied as usual and get no response. */
+    /** Sets how many of ten transactions are applied after the usual delay and get no response. */
     public void setLostResponsesPerTen(int count) {
         lostResponsesPerTen = count;
     }
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -20,20 +20,26 @@
 import java.util.function.Consumer;
 
 /**
- * Simulates the state service in virtual time. A request is processed some time after it was sent,
- * and its response arrives some time after that. A transaction may get no response and be applied
- * at once or seconds later, after newer ones. All requests may be refused, or those of one
- * controller.
+ * Simulates the state store in virtual time. A request is processed some time after it was sent,
+ * and its response arrives some time after that. The response to a transaction may be lost; the
+ * transaction is then applied after the usual delay, or seconds later and after newer ones. The
+ * store may be unavailable to all controllers or to one of them.
  */
 public final class StateStoreSimulation implements StateStoreWatcher, StateStoreWriter, EventLoop {
     /** A key's value and the revision of its last change. */
     public record Item(String key, ObjectNode value, long revision) {}
 
+    /**
+     * A client receives an unknown outcome this long after it sent a transaction without response.
+     */
     private static final double REQUEST_TIMEOUT_SECONDS = 1.5;
+
+    /** A watch request times out this long after its hold time. */
     private static final double WATCH_TIMEOUT_MARGIN_SECONDS = 3;
+
     private static final double WATCH_POLL_SECONDS = 0.05;
 
-    /** Longest time of a request on its way, and of its response. */
+    /** Maximum delay of a request, and of its response. */
     private static final double MAX_DELAY_SECONDS = 29 / 60.0;
 
     private final ScheduledEvents events = new ScheduledEvents();
@@ -46,7 +52,7 @@
     private int lateWrites;
     private int lostResponses;
 
-    /** Admits a number of changes a second, with bursts of one second's worth. */
+    /** Limits the mutations per second, with bursts of the mutations of one second. */
     private TokenBucket writeRateLimit = new TokenBucket(1e9, 1);
 
     private int rateLimitedWrites;
@@ -56,47 +62,60 @@
     private long revision = 10;
     private int randomState;
 
-    public StateStoreSimulation(int salt, double startsAt) {
-        this.randomState = salt;
-        this.nowSeconds = startsAt;
+    /**
+     * Creates an empty store.
+     *
+     * @param seed determines the delays and the faults of transactions
+     * @param startSeconds virtual time at the start
+     */
+    public StateStoreSimulation(int seed, double startSeconds) {
+        this.randomState = seed;
+        this.nowSeconds = startSeconds;
     }
 
-    /** The kinds of all requests that were sent, oldest first. */
+    /** Returns the kinds of all read and watch requests that were sent, oldest first. */
     public List<String> requests() {
         return Collections.unmodifiableList(requests);
     }
 
-    /** Called with each change before any other reader can see it. */
+    /** Sets a listener that receives each change before any reader can. */
     public void setChangeListener(Consumer<Item> listener) {
         changeListener = listener;
     }
 
+    /** Returns the faults that affect all controllers, to be changed by the test. */
     public StateStoreFaults faults() {
         return faults;
     }
 
-    /** Transactions that were applied late, with their conditions met. */
+    /** Returns the number of transactions that were applied late, because their conditions held. */
     public int lateWrites() {
         return lateWrites;
     }
 
-    /** Transactions of which only the response was lost, with their conditions met. */
+    /**
+     * Returns the number of transactions that were applied after the usual delay, because their
+     * conditions held, and whose response was lost.
+     */
     public int lostResponses() {
         return lostResponses;
     }
 
-    /** Transactions that were refused by the limit of changes a second. */
+    /**
+     * Returns the number of transactions that were rejected by the limit on mutations per second.
+     */
     public int rateLimitedWrites() {
         return rateLimitedWrites;
     }
 
-    /** Changes up to this revision are compacted. */
+    /** Returns the revision up to which changes are compacted. */
     public long compactedRevision() {
         return compactedRevision;
     }
 
-    public void setCompactedRevision(long oldest) {
-        compactedRevision = oldest;
+    /** Compacts the changes up to a revision. */
+    public void setCompactedRevision(long newRevision) {
+        compactedRevision = newRevision;
     }
 
     @Override
@@ -109,39 +128,43 @@
         events.add(nowSeconds + seconds, task);
     }
 
+    /** Advances the virtual time and runs all events that are due. */
     public void advance(double seconds) {
-        double until = nowSeconds + seconds;
-        events.runUntil(until, atSeconds -> nowSeconds = Math.max(nowSeconds, atSeconds));
-        nowSeconds = until;
+        double endSeconds = nowSeconds + seconds;
+        events.runUntil(endSeconds, atSeconds -> nowSeconds = Math.max(nowSeconds, atSeconds));
+        nowSeconds = endSeconds;
     }
 
+    /** Returns the revision of the last change. */
     public long revision() {
         return revision;
     }
 
-    public void limitWriteRate(double writeRps) {
-        writeRateLimit = new TokenBucket(writeRps, 1);
+    /** Limits the mutations per second. */
+    public void limitWriteRate(double mutationsPerSecond) {
+        writeRateLimit = new TokenBucket(mutationsPerSecond, 1);
     }
 
-    /** Returns null for a key that is not stored. */
+    /** Returns what is stored under a key now, or null if the key is not stored. */
     public Item get(String key) {
         return stored.get(key);
     }
 
+    /** Returns what is stored under all keys with a prefix now, ordered by key. */
     public List<Item> withPrefix(String prefix) {
         return stored.tailMap(prefix).values().stream()
                 .takeWhile(item -> item.key().startsWith(prefix))
                 .toList();
     }
 
-    /** Changes below a prefix after a revision, oldest first. */
+    /** Returns the changes below a prefix after a revision, oldest first. */
     public List<Item> changes(String prefix, long after) {
         return changes.stream()
                 .filter(item -> item.revision() > after && item.key().startsWith(prefix))
                 .toList();
     }
 
-    /** Stores a value directly, whatever faults are active. */
+    /** Stores a value at once, independent of the faults, and returns the new revision. */
     public long put(String key, ObjectNode value) {
         Item item = new Item(key, value, ++revision);
         stored.put(key, item);
@@ -163,7 +186,7 @@
         schedule(delay(), () -> handler.accept(result));
     }
 
-    // ---- as a controller that is never refused alone ----
+    // ---- requests of a controller that is never unreachable alone ----
 
     @Override
     public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
@@ -198,29 +221,33 @@
         viewFor(() -> false).awaitChanges(prefix, after, holdMillis, handler);
     }
 
-    /** The view of a controller that may be refused alone. */
-    public View viewFor(BooleanSupplier refused) {
-        return new View(refused);
+    /**
+     * Returns the store's view for one controller.
+     *
+     * @param unreachable whether the store is unavailable to this controller at the time
+     */
+    public View viewFor(BooleanSupplier unreachable) {
+        return new View(unreachable);
     }
 
-    /** The state service as one controller sees it. */
+    /** The state store for one controller, to which it may be unavailable while others reach it. */
     public final class View implements StateStoreWatcher, StateStoreWriter {
         private final BooleanSupplier unreachable;
 
-        private View(BooleanSupplier refused) {
-            this.unreachable = refused;
+        private View(BooleanSupplier unreachable) {
+            this.unreachable = unreachable;
         }
 
         private boolean isUnreachable() {
             return faults.isDown() || unreachable.getAsBoolean();
         }
 
-        private void process(Runnable request, Runnable onRefused) {
+        private void process(Runnable request, Runnable onUnreachable) {
             schedule(
                     delay(),
                     () -> {
                         if (isUnreachable()) {
-                            onRefused.run();
+                            onUnreachable.run();
                         } else {
                             request.run();
                         }
@@ -293,7 +320,9 @@
         }
 
         /**
-         * During an outage watches stay open; a client gives up some seconds after their timeout.
+         * Holds a watch request until there are changes or the hold time has expired. During an
+         * outage the request stays open, until the client times out some seconds after the hold
+         * time.
          */
         private void hold(
                 String prefix,
@@ -374,7 +403,7 @@
         return version(condition.key()) == condition.version();
     }
 
-    /** Returns the new revision, or 0 if a condition does not hold. */
+    /** Applies a transaction. Returns the new revision, or 0 if a condition does not hold. */
     private long apply(List<VersionCondition> conditions, List<RecordMutation> puts) {
         if (!conditions.stream().allMatch(this::isMet)) {
             return 0;
--- a/src/test/java/io/kelphoist/statestore/StoredJobs.java
+++ b/src/test/java/io/kelphoist/statestore/StoredJobs.java
@@ -10,27 +10,29 @@
 import io.kelphoist.wire.MalformedMessageException;
 import java.util.Optional;
 
-/** Job records at a simulated state store, read and written directly, whatever faults it has. */
+/** Reads and writes job records in a simulated state store at once, independent of its faults. */
 public final class StoredJobs {
     private static final int MAX_RECORD_BYTES = 4000;
 
     private final StateStoreSimulation store;
 
+    /** Creates access to the job records of a store. */
     public StoredJobs(StateStoreSimulation store) {
         this.store = store;
     }
 
-    /** The description of all jobs that are stored here: an array of one task. */
+    /** Returns the spec of every job that this class stores: an array of one task. */
     public static JobSpec spec(String jobId) {
         return new JobSpecBuilder(jobId).build();
     }
 
-    /** Returns the revision of the change, as do the other writes. */
+    /** Stores the record of an active job and returns the new revision. */
     public long putActive(String jobId) {
         return store.put(
                 StateStoreKeys.jobKey(jobId), RecordCodec.encodeActiveJob(spec(jobId), 1).value());
     }
 
+    /** Stores the record of a cancelled job and returns the new revision. */
     public long putCancelled(String jobId) {
         JobRecord active = new JobRecord(jobId, spec(jobId), JobStatus.ACTIVE, 1, 0);
         return store.put(
@@ -38,12 +40,13 @@
                 RecordCodec.encodeCancelledJob(active, MAX_RECORD_BYTES).value());
     }
 
+    /** Stores the record of a done job and returns the new revision. */
     public long putDone(String jobId) {
         return store.put(
                 StateStoreKeys.jobKey(jobId), RecordCodec.encodeDoneJob(jobId, 1, null).value());
     }
 
-    /** Empty: the job has no record. */
+    /** Returns the status in a job's record, or empty if the job has no record. */
     public Optional<JobStatus> status(String jobId) {
         StateStoreSimulation.Item item = store.get(StateStoreKeys.jobKey(jobId));
         if (item == null) {
@@ -53,7 +56,7 @@
             StoredRecord stored = new StoredRecord(item.key(), item.value(), item.revision());
             return Optional.of(RecordCodec.decodeJob(stored).status());
         } catch (MalformedMessageException e) {
-            throw new AssertionError("a job's record is malformed: " + item, e);
+            throw new AssertionError("malformed job record: " + item, e);
         }
     }
 }
--- a/src/test/java/io/kelphoist/statestore/protocol/RecordCodecTest.java
+++ b/src/test/java/io/kelphoist/statestore/protocol/RecordCodecTest.java
@@ -22,11 +22,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Stored records, also those of earlier versions. */
+/** Tests the encoding and decoding of stored records, including those of earlier versions. */
 class RecordCodecTest {
     /**
-     * Records of the version without dependencies are read as before, and jobs without dependencies
-     * are written as that version did.
+     * Records of the version without dependencies can still be decoded, and jobs without
+     * dependencies are encoded as that version did.
      */
     @Test
     void readsAndWritesJobRecordsOfThePreviousVersion() throws MalformedMessageException {
@@ -62,7 +62,9 @@
                 json(RecordCodec.encodeDoneJob("job-1", 12, new JobOwner("red", "c")).value()));
     }
 
-    /** Pages of the version without dependencies. */
+    /**
+     * Pages of the version without dependencies can still be decoded, and are encoded unchanged.
+     */
     @Test
     void readsAndWritesPagesOfThePreviousVersion() throws MalformedMessageException {
         List<RecordedStart> starts =
@@ -107,8 +109,8 @@
     }
 
     /**
-     * A record that is too large by now is abridged to what counts, and the previous version can
-     * read it.
+     * The record of a cancelled job that exceeds the current limit on its size is abridged to the
+     * fields that are still needed, and the previous version can decode it.
      */
     @Test
     void cancelledRecordFitsTheLimit() throws MalformedMessageException {
@@ -129,7 +131,10 @@
         assertEquals(spec.resourcesPerTask(), read.spec().resourcesPerTask());
     }
 
-    /** No version writes this record: the job exists, and its dependency can't. */
+    /**
+     * Dependencies that can't be decoded must not be read as none, since the job would then start.
+     * Instead the job depends on a job that can't exist. No version stores such a record.
+     */
     @Test
     void undecodableDependenciesAreNotReadAsNone() throws MalformedMessageException {
         ObjectNode stored =
--- a/src/test/java/io/kelphoist/wire/HeartbeatBodiesTest.java
+++ b/src/test/java/io/kelphoist/wire/HeartbeatBodiesTest.java
@@ -12,7 +12,9 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Bodies of heartbeats and of the responses to them: CBOR for workers, JSON when relayed. */
+/**
+ * Tests the bodies of heartbeats and of the responses to them: CBOR for workers, JSON for a relay.
+ */
 class HeartbeatBodiesTest {
     private static final String HEARTBEAT =
             "{'buoy':'vm-1','address':'10.0.0.1:9000','hull':'g8','bed':'a','watch':1,"
@@ -30,7 +32,10 @@
         return MessageEncoding.decodeJson(json(text));
     }
 
-    /** The leader may be of a newer version, and knows fields that this one does not. */
+    /**
+     * Guards against fields that are lost in a relay: the leader may be of a newer version and know
+     * fields that the relaying controller does not.
+     */
     @Test
     void receivedHeartbeatKeepsUnknownFieldsForARelay() throws MalformedMessageException {
         ReceivedHeartbeat received =
--- a/src/test/java/io/kelphoist/wire/MessageCodecTest.java
+++ b/src/test/java/io/kelphoist/wire/MessageCodecTest.java
@@ -23,7 +23,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages from users and workers, well-formed and malformed. */
+/**
+ * Tests the decoding of valid and malformed messages from users and workers, and the encoding of
+ * commands.
+ */
 class MessageCodecTest {
     private static final String HEARTBEAT =
             """
@@ -126,12 +129,15 @@
         assertThrows(MalformedMessageException.class, () -> MessageEncoding.decodeCbor(nested));
     }
 
-    /** Altered bytes end in MalformedMessageException or in a message, never in anything else. */
+    /**
+     * Corrupted bytes are either decoded or rejected with MalformedMessageException; no other
+     * exception is thrown.
+     */
     @Test
     void rejectsOrDecodesAlteredBytes() throws MalformedMessageException {
         byte[] valid = MessageEncoding.encodeCbor(cbor(HEARTBEAT));
         Random random = new Random(7);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] altered = valid.clone();
             for (int changes = random.nextInt(4); changes >= 0; changes--) {
@@ -140,10 +146,12 @@
             try {
                 WorkerCodec.decodeHeartbeat(MessageEncoding.decodeCbor(altered));
             } catch (MalformedMessageException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 5_000, "refused " + refused);
+        assertTrue(
+                rejected > 5_000,
+                "expected more than 5000 of 20000 messages to be rejected, was " + rejected);
     }
 
     @Test
@@ -160,7 +168,7 @@
 
     @Test
     void encodesCommands() throws MalformedMessageException {
-        ObjectNode answer =
+        ObjectNode response =
                 WorkerCodec.encodeHeartbeatResponse(
                         41,
                         List.of(
@@ -172,6 +180,7 @@
                         """
                 {"helm":41,"calls":[{"call":"start","frond":"job-1/4","cast":2},{"call":"halt","frond":"job-2/1","cast":1,"slack_s":10.0},
                  {"call":"clear","frond":"job-3/0","cast":1}]}""");
-        assertArrayEquals(MessageEncoding.encodeJson(expected), MessageEncoding.encodeJson(answer));
+        assertArrayEquals(
+                MessageEncoding.encodeJson(expected), MessageEncoding.encodeJson(response));
     }
 }
--- a/src/test/java/io/kelphoist/wire/MessageSamples.java
+++ b/src/test/java/io/kelphoist/wire/MessageSamples.java
@@ -3,9 +3,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.nio.charset.StandardCharsets;
 
-/** Messages for tests of codecs. */
+/** Sample messages for tests of codecs. */
 public final class MessageSamples {
-    /** A gang with a deadline, as a user submits it, and a field that no version knows. */
+    /** The submission of a gang with a deadline, with a field that no version knows ("news"). */
     public static final String GANG_JOB =
             """
             {"name_id":"job-000412","catch":"train","crew":"vision","rig":"ensemble","tide":"high","fronds":16,
@@ -15,7 +15,7 @@
 
     private MessageSamples() {}
 
-    /** A message as it is decoded after it went over the wire in CBOR. */
+    /** Returns a message, given in JSON, as it is decoded after it was sent in CBOR. */
     public static ObjectNode cbor(String json) throws MalformedMessageException {
         return MessageEncoding.decodeCbor(
                 MessageEncoding.encodeCbor(
