--- a/src/main/java/io/kelphoist/statestore/RecordWatcher.java
+++ b/src/main/java/io/kelphoist/statestore/RecordWatcher.java
@@ -57,8 +57,9 @@
     private double requestPauseSeconds;
 
     /**
-     * Incremented when a call replaces or stops the current activity: timers and callbacks that
-     * were registered in an earlier generation do nothing.
+     * Incremented when a call replaces or stops the current activity: timers and reads of an
+     * earlier generation have no further effect. The response to a watch request is used in any
+     * generation.
      */
     private long generation;
 
--- a/src/main/java/io/kelphoist/statestore/WriteBatch.java
+++ b/src/main/java/io/kelphoist/statestore/WriteBatch.java
@@ -13,9 +13,9 @@
 /**
  * Writes that share one transaction.
  *
- * <p>The first write is always added, whatever its size. Further writes are added only within the
- * limits of a transaction, and only if they neither mutate a key of the batch nor expect another
- * version of a key than the batch does.
+ * <p>The first write is always added, regardless of its size. Further writes are added only within
+ * the limits of a transaction, and only if they neither mutate a key of the batch nor expect
+ * another version of a key than the batch does.
  */
 final class WriteBatch {
     private static final int MAX_BYTES = 48 * 1024;
--- a/src/main/java/io/kelphoist/wire/CloudCodec.java
+++ b/src/main/java/io/kelphoist/wire/CloudCodec.java
@@ -13,8 +13,8 @@
 /** Encodes and decodes messages to and from the cloud, and stored machine types. */
 public final class CloudCodec {
     /**
-     * Lower bound on the speed of image fetches; slower ones are assumed to have it, so that fetch
-     * times stay finite.
+     * Lower bound on the speed of image fetches. It replaces a lower speed, so that fetch times
+     * stay finite.
      */
     private static final double MIN_FETCH_GB_PER_SECOND = 1e-3;
 
--- a/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
+++ b/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
@@ -29,7 +29,7 @@
      * evicted, so that it does not determine the longest deferral.
      */
     @Test
-    void jobsWithoutQueriesAreForgotten() {
+    void jobsWithoutQueriesAreEvicted() {
         for (int i = 0; i < 3000; i++) {
             unansweredJobs.onQueryDeferred("job-" + i, 100);
         }
--- a/src/test/java/io/kelphoist/statestore/RateLimitedReaderTest.java
+++ b/src/test/java/io/kelphoist/statestore/RateLimitedReaderTest.java
@@ -30,26 +30,26 @@
     private static final class ImmediateStore implements StateStoreReader, EventLoop {
         final ScheduledEvents timers = new ScheduledEvents();
         final List<Double> sentAtSeconds = new ArrayList<>();
-        double now;
+        double nowSeconds;
 
         @Override
         public double nowSeconds() {
-            return now;
+            return nowSeconds;
         }
 
         @Override
         public void schedule(double seconds, Runnable task) {
-            timers.add(now + seconds, task);
+            timers.add(nowSeconds + seconds, task);
         }
 
         void advanceTo(double endSeconds) {
-            timers.runUntil(endSeconds, atSeconds -> now = Math.max(now, atSeconds));
-            now = endSeconds;
+            timers.runUntil(endSeconds, atSeconds -> nowSeconds = Math.max(nowSeconds, atSeconds));
+            nowSeconds = endSeconds;
         }
 
         @Override
         public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
-            sentAtSeconds.add(now);
+            sentAtSeconds.add(nowSeconds);
             handler.accept(new StateStoreResult.OutcomeUnknown<>());
         }
 
@@ -66,32 +66,32 @@
     }
 
     @Property(tries = 300, seed = "20261205")
-    void readsAreRateLimitedAndAnsweredSoon(
+    void readsAreRateLimitedAndEndWithinHalfASecond(
             @ForAll @Size(min = 10, max = 60) List<@IntRange(min = 0, max = 40) Integer> bursts,
             @ForAll @DoubleRange(min = 0.01, max = 0.4) double pause) {
         ImmediateStore store = new ImmediateStore();
         RateLimitedReader reader = new RateLimitedReader(store, store, READS_PER_SECOND);
-        int[] sent = {0};
-        int[] answered = {0};
+        int[] sentCount = {0};
+        int[] resultCount = {0};
         for (int burst : bursts) {
             for (int i = 0; i < burst; i++) {
-                sent[0]++;
-                double sentAtSeconds = store.now;
+                sentCount[0]++;
+                double sentAtSeconds = store.nowSeconds;
                 reader.get(
                         "j/job-1",
                         result -> {
-                            answered[0]++;
+                            resultCount[0]++;
                             assertTrue(
-                                    store.now - sentAtSeconds < 0.51,
+                                    store.nowSeconds - sentAtSeconds < 0.51,
                                     "a read must end within 0.5 s, but took "
-                                            + (store.now - sentAtSeconds)
+                                            + (store.nowSeconds - sentAtSeconds)
                                             + " s");
                         });
             }
-            store.advanceTo(store.now + pause);
+            store.advanceTo(store.nowSeconds + pause);
         }
-        store.advanceTo(store.now + 1);
-        assertEquals(sent[0], answered[0], "each read must have exactly one result");
+        store.advanceTo(store.nowSeconds + 1);
+        assertEquals(sentCount[0], resultCount[0], "each read must have exactly one result");
         for (int i = 0; i < store.sentAtSeconds.size(); i++) {
             double startSeconds = store.sentAtSeconds.get(i);
             long readsInASecond =
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -195,9 +195,9 @@
     @Override
     public void commit(
             List<VersionCondition> conditions,
-            List<RecordMutation> puts,
+            List<RecordMutation> mutations,
             Consumer<StateStoreResult<Long>> handler) {
-        viewFor(() -> false).commit(conditions, puts, handler);
+        viewFor(() -> false).commit(conditions, mutations, handler);
     }
 
     @Override
@@ -286,11 +286,11 @@
             if (after < compactedRevision) {
                 return rejected(StateStoreResult.Reason.COMPACTED);
             }
-            List<RecordChange> found = new ArrayList<>();
+            List<RecordChange> recordChanges = new ArrayList<>();
             for (Item item : StateStoreSimulation.this.changes(prefix, after)) {
-                found.add(new RecordChange(record(item), false));
+                recordChanges.add(new RecordChange(record(item), false));
             }
-            return new StateStoreResult.Success<>(new StoredChanges(found, revision));
+            return new StateStoreResult.Success<>(new StoredChanges(recordChanges, revision));
         }
 
         @Override
@@ -326,18 +326,18 @@
         @Override
         public void commit(
                 List<VersionCondition> conditions,
-                List<RecordMutation> puts,
+                List<RecordMutation> mutations,
                 Consumer<StateStoreResult<Long>> handler) {
             if (!isUnreachable() && nextRandom(10) < faults.lateWritesPerTen()) {
                 schedule(
                         2 + nextRandom(100) / 10.0,
-                        () -> lateWrites += apply(conditions, puts) > 0 ? 1 : 0);
+                        () -> lateWrites += apply(conditions, mutations) > 0 ? 1 : 0);
                 timeOut(handler);
             } else if (!isUnreachable() && nextRandom(10) < faults.lostResponsesPerTen()) {
-                schedule(delay(), () -> lostResponses += apply(conditions, puts) > 0 ? 1 : 0);
+                schedule(delay(), () -> lostResponses += apply(conditions, mutations) > 0 ? 1 : 0);
                 timeOut(handler);
             } else {
-                process(handler, () -> respond(handler, execute(conditions, puts)));
+                process(handler, () -> respond(handler, execute(conditions, mutations)));
             }
         }
 
@@ -348,14 +348,14 @@
         }
 
         private StateStoreResult<Long> execute(
-                List<VersionCondition> conditions, List<RecordMutation> puts) {
-            if (!writeRateLimit.tryAcquire(puts.size(), nowSeconds)) {
+                List<VersionCondition> conditions, List<RecordMutation> mutations) {
+            if (!writeRateLimit.tryAcquire(mutations.size(), nowSeconds)) {
                 rateLimitedWrites++;
                 return new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED);
             }
-            long appliedAt = apply(conditions, puts);
-            if (appliedAt > 0) {
-                return new StateStoreResult.Success<>(appliedAt);
+            long appliedRevision = apply(conditions, mutations);
+            if (appliedRevision > 0) {
+                return new StateStoreResult.Success<>(appliedRevision);
             }
             List<String> failed =
                     conditions.stream()
@@ -384,12 +384,12 @@
     }
 
     /** Applies a transaction. Returns the new revision, or 0 if a condition does not hold. */
-    private long apply(List<VersionCondition> conditions, List<RecordMutation> puts) {
+    private long apply(List<VersionCondition> conditions, List<RecordMutation> mutations) {
         if (!conditions.stream().allMatch(this::isMet)) {
             return 0;
         }
         revision++;
-        for (RecordMutation mutation : puts) {
+        for (RecordMutation mutation : mutations) {
             Item item = new Item(mutation.key(), mutation.value(), revision);
             stored.put(mutation.key(), item);
             changes.add(item);
