--- a/src/main/java/io/kelphoist/leadership/RecordReplication.java
+++ b/src/main/java/io/kelphoist/leadership/RecordReplication.java
@@ -116,7 +116,7 @@
 
     /** Starts following the records of all kinds. Called once. */
     public void start() {
-        watchers.values().forEach(watcher -> watcher.follow(FOLLOWER_WATCH_PAUSE_SECONDS));
+        watchers.values().forEach(watcher -> watcher.watch(FOLLOWER_WATCH_PAUSE_SECONDS));
     }
 
     private void onRevisionApplied(
@@ -209,7 +209,7 @@
      */
     void startLeading(TermRecordStore store) {
         leaderStore = Optional.of(store);
-        watchers.get(RecordKind.JOBS).follow(NO_PAUSE_SECONDS);
+        watchers.get(RecordKind.JOBS).watch(NO_PAUSE_SECONDS);
     }
 
     /**
@@ -223,7 +223,7 @@
                     if (kind != RecordKind.JOBS) {
                         watcher.reset();
                     }
-                    watcher.follow(FOLLOWER_WATCH_PAUSE_SECONDS);
+                    watcher.watch(FOLLOWER_WATCH_PAUSE_SECONDS);
                 });
     }
 
--- a/src/main/java/io/kelphoist/leadership/StartPages.java
+++ b/src/main/java/io/kelphoist/leadership/StartPages.java
@@ -29,6 +29,6 @@
                     attempt.job().spec().id(),
                     attempt.taskIndex());
         }
-        return encoder.toPut();
+        return encoder.toMutation();
     }
 }
--- a/src/main/java/io/kelphoist/leadership/TermRecordStore.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordStore.java
@@ -170,7 +170,7 @@
                 result -> {
                     if (!writer.isClosed()
                             && !applyStoredJob(jobId, result)
-                            && result.isAnswered()) {
+                            && result.isProcessed()) {
                         schedulerState.onJobNotFound(jobId, eventLoop.nowSeconds());
                     }
                     writer.requestTick();
--- a/src/main/java/io/kelphoist/worker/WorkerClient.java
+++ b/src/main/java/io/kelphoist/worker/WorkerClient.java
@@ -171,7 +171,7 @@
 
     /** Closes a connection unless it is in use, and removes it through the iterator. */
     private static boolean closeIfUnused(Connection connection, Iterator<Connection> iterator) {
-        if (!connection.httpClient.isUnused()) {
+        if (!connection.httpClient.isIdle()) {
             return false;
         }
         connection.httpClient.close();
--- a/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
@@ -28,37 +28,44 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Users submit, cancel and query jobs through three controllers, while the state service is slow,
- * refuses one controller, is down for all, or applies transactions late, out of order, or without a
- * response. A user whose answer is that a job is accepted or final queries all controllers within
- * milliseconds, submits the job again and sometimes cancels it. No answer is older than any answer
- * given before the request was sent, nor than any earlier answer of the same controller; no
- * accepted job is unknown, a dependent of a cancelled job is soon cancelled, and a cancellation is
- * recorded before it is reported.
+ * Guards against responses that are older than an earlier response. Users submit, cancel and query
+ * jobs through three controllers, while the state store is slow, unreachable for one controller or
+ * down for all, or applies transactions late, out of order or without a response. Users of some
+ * jobs query all controllers within milliseconds of a response that the job is accepted or has
+ * ended, submit the job again and sometimes cancel it.
+ *
+ * <p>Checks that no response is older than any response that was received before the request was
+ * sent, nor than any earlier response of the same controller; that no accepted job is reported as
+ * not found or rejected; that a job that depends on a cancelled one is reported as cancelled after
+ * {@link #CANCELLATION_TIMEOUT_SECONDS}; and that a cancellation is recorded before it is reported.
  */
 class AdmissionSimulationTest {
     private static final int JOBS = 8;
     private static final int CONTROLLERS = 3;
-    private static final double CANCEL_SECONDS = 30;
+    private static final double CANCELLATION_TIMEOUT_SECONDS = 30;
     private static final Team TEAM =
             new Team("t", new Resources(1e6, 4, 1e6), new Resources(1e6, 8, 1e6));
     private static final MachineType TYPE =
             new MachineType("m", new Resources(8, 2, 64), 50, 1, 8, 3, 25, List.of("a"));
-    private static int finalAnswers;
-    private static int retryLaterAnswers;
+
+    // Counted over all tries, to check that the faults and their effects were frequent enough.
+    private static int finalResponses;
+    private static int deferredResponses;
     private static int lateWrites;
     private static int cancelledDependents;
     private static int lostResponses;
-    private static int overtakenAnswers;
+    private static int overtakenResponses;
 
+    /** The admission of one controller, and what it has reported. */
     private final class Controller {
+        /** Cancelled jobs that were passed to the listener that runs before a state is reported. */
         final Set<String> recordedCancellations = new HashSet<>();
 
         /** The last phase that this controller reported of each job. */
         final Map<String, AdmissionResult.Phase> reportedPhases = new HashMap<>();
 
-        boolean refused;
-        final StateStoreSimulation.View view = store.seenBy(() -> refused);
+        boolean storeUnreachable;
+        final StateStoreSimulation.View view = store.viewFor(() -> storeUnreachable);
         final Admission admission =
                 Admission.create(
                         new Admission.StoreAccess(
@@ -66,7 +73,8 @@
                         store,
                         () -> 1,
                         new FixedMachineTypes(List.of(TYPE)),
-                        new AdmissionSettings(List.of(TEAM), List.of("a"), 4, CANCEL_SECONDS),
+                        new AdmissionSettings(
+                                List.of(TEAM), List.of("a"), 4, CANCELLATION_TIMEOUT_SECONDS),
                         this::onStatusReported);
 
         private void onStatusReported(JobRecord record) {
@@ -80,27 +88,31 @@
     private StoredJobs storedJobs;
     private List<Controller> controllers;
 
-    /** The phase of each job that any controller has answered. */
-    private Map<String, AdmissionResult.Phase> reported;
+    /** The newest phase of each job that any controller has reported; a final phase stays. */
+    private Map<String, AdmissionResult.Phase> reportedByAny;
 
-    private Map<String, Double> cancelledAt;
+    /** By job id: when it was first reported as cancelled. */
+    private Map<String, Double> cancelledAtSeconds;
 
-    /** Jobs whose users query all controllers whenever an answer has a new phase. */
+    /** Jobs whose users query all controllers when they are first reported and when they end. */
     private Set<String> watchedJobs;
 
-    private void begin(int seed) {
+    /** Creates a new simulation for each try, since jqwik runs all tries on one instance. */
+    private void reset(int seed) {
         store = new StateStoreSimulation(seed, 0);
         storedJobs = new StoredJobs(store);
         controllers = new ArrayList<>();
-        reported = new HashMap<>();
-        cancelledAt = new HashMap<>();
+        reportedByAny = new HashMap<>();
+        cancelledAtSeconds = new HashMap<>();
         watchedJobs = new HashSet<>();
         for (int i = 0; i < CONTROLLERS; i++) {
             controllers.add(new Controller());
         }
     }
 
-    /** Two dependency chains: 1 needs 0, 2 needs 1, and 5 needs 4. */
+    /**
+     * Returns a job's spec: job 1 depends on 0, 2 on 1 and 5 on 4; the others have no dependency.
+     */
     private static JobSpec spec(int number) {
         List<String> dependencies =
                 number == 1 || number == 2 || number == 5
@@ -109,120 +121,129 @@
         return new JobSpecBuilder("job-" + number).dependencies(dependencies).build();
     }
 
-    private AnswerCheck checkOf(int number, Controller controller) {
-        return new AnswerCheck(number, controller);
+    private ResponseCheck newCheck(int number, Controller controller) {
+        return new ResponseCheck(number, controller);
     }
 
-    /** Compares an answer with all answers that were given before the request was sent. */
-    private final class AnswerCheck implements Consumer<AdmissionResult> {
+    /** Checks a response against all responses that were received before its request was sent. */
+    private final class ResponseCheck implements Consumer<AdmissionResult> {
         private final int number;
         private final String id;
         private final Controller controller;
-        private final AdmissionResult.Phase before;
 
-        /** On a first submission: an answer had been that a dependency is cancelled. */
+        /** The job's reported phase when the request was sent; null if none was reported. */
+        private final AdmissionResult.Phase phaseBefore;
+
+        /** Whether the job was not reported before, and a dependency was reported as cancelled. */
         private final boolean dependencyCancelled;
 
-        /** The time in which the cancellation of a dependency has to reach this job is over. */
+        /** Whether the time to cancel the job with a dependency had expired before the request. */
         private final boolean cancellationDue;
 
-        private boolean answered;
+        private boolean hasResponse;
 
-        AnswerCheck(int number, Controller controller) {
+        ResponseCheck(int number, Controller controller) {
             this.number = number;
             this.controller = controller;
             id = "job-" + number;
-            before = reported.get(id);
+            phaseBefore = reportedByAny.get(id);
             List<String> dependencies = spec(number).dependencies();
             dependencyCancelled =
-                    before == null
+                    phaseBefore == null
                             && dependencies.stream()
                                     .anyMatch(
                                             dependency ->
-                                                    reported.get(dependency)
+                                                    reportedByAny.get(dependency)
                                                             == AdmissionResult.Phase.CANCELLED);
             cancellationDue = dependencies.stream().anyMatch(this::isCancellationDue);
         }
 
         private boolean isCancellationDue(String dependency) {
             return store.nowSeconds()
-                    > cancelledAt.getOrDefault(dependency, Double.POSITIVE_INFINITY)
-                            + CANCEL_SECONDS;
+                    > cancelledAtSeconds.getOrDefault(dependency, Double.POSITIVE_INFINITY)
+                            + CANCELLATION_TIMEOUT_SECONDS;
         }
 
         @Override
-        public void accept(AdmissionResult answer) {
-            assertTrue(!answered, id + " is answered twice");
-            answered = true;
-            if (answer instanceof AdmissionResult.RetryLater) {
-                retryLaterAnswers++;
+        public void accept(AdmissionResult result) {
+            assertTrue(!hasResponse, id + ": received a second response to one request");
+            hasResponse = true;
+            if (result instanceof AdmissionResult.RetryLater) {
+                deferredResponses++;
                 return;
             }
-            AdmissionResult.JobStateView job = jobOf(answer);
+            AdmissionResult.JobStateView job = jobOf(result);
             if (job == null) {
-                assertNeverAccepted(answer);
+                assertNeverAccepted(result);
                 return;
             }
-            AdmissionResult.Phase now = job.phase();
-            assertAgreesWithController(answer, now);
-            boolean news =
-                    reported.get(id) == null || (now.isFinal() && !reported.get(id).isFinal());
-            assertAgreesWithAllAnswers(now);
-            recordPhase(now);
-            if (news && watchedJobs.contains(id)) {
+            AdmissionResult.Phase phase = job.phase();
+            assertAgreesWithController(result, phase);
+            boolean isNewPhase =
+                    reportedByAny.get(id) == null
+                            || (phase.isFinal() && !reportedByAny.get(id).isFinal());
+            assertAgreesWithAllResponses(phase);
+            recordPhase(phase);
+            if (isNewPhase && watchedJobs.contains(id)) {
                 queryEverywhere(number);
             }
         }
 
-        private static AdmissionResult.JobStateView jobOf(AdmissionResult answer) {
-            if (answer instanceof AdmissionResult.Accepted accepted) {
+        private static AdmissionResult.JobStateView jobOf(AdmissionResult result) {
+            if (result instanceof AdmissionResult.Accepted accepted) {
                 return accepted.job();
             }
-            return answer instanceof AdmissionResult.Found found ? found.job() : null;
+            return result instanceof AdmissionResult.Found found ? found.job() : null;
         }
 
-        private void assertNeverAccepted(AdmissionResult answer) {
-            assertEquals(null, before, id + " was accepted, and is answered " + answer);
+        private void assertNeverAccepted(AdmissionResult result) {
+            assertEquals(
+                    null,
+                    phaseBefore,
+                    id + " was reported before the request, but the response is " + result);
             assertEquals(
                     null,
                     controller.reportedPhases.get(id),
-                    id + " was accepted here, and is answered " + answer);
+                    id + " was reported by this controller, but its response is " + result);
         }
 
-        private void assertAgreesWithController(AdmissionResult answer, AdmissionResult.Phase now) {
-            AdmissionResult.Phase here = controller.reportedPhases.get(id);
+        private void assertAgreesWithController(
+                AdmissionResult result, AdmissionResult.Phase phase) {
+            AdmissionResult.Phase phaseHere = controller.reportedPhases.get(id);
             assertTrue(
-                    here == null || !here.isFinal() || here == now,
-                    id + " was called " + here + " here and is called " + now);
+                    phaseHere == null || !phaseHere.isFinal() || phaseHere == phase,
+                    id + " was reported here as " + phaseHere + " and now as " + phase);
             assertTrue(
                     !dependencyCancelled
-                            || now == AdmissionResult.Phase.CANCELLED
-                            || answer instanceof AdmissionResult.Found,
-                    id + " is accepted as " + now + ", and a dependency was called cancelled");
-            overtakenAnswers += here != null && here.isFinal() && before != here ? 1 : 0;
-            controller.reportedPhases.put(id, now);
+                            || phase == AdmissionResult.Phase.CANCELLED
+                            || result instanceof AdmissionResult.Found,
+                    id + ": expected CANCELLED like a dependency, was accepted as " + phase);
+            overtakenResponses +=
+                    phaseHere != null && phaseHere.isFinal() && phaseBefore != phaseHere ? 1 : 0;
+            controller.reportedPhases.put(id, phase);
         }
 
-        private void assertAgreesWithAllAnswers(AdmissionResult.Phase now) {
+        private void assertAgreesWithAllResponses(AdmissionResult.Phase phase) {
             assertTrue(
-                    before == null || !before.isFinal() || before == now,
-                    id + " was called " + before + " and is called " + now);
+                    phaseBefore == null || !phaseBefore.isFinal() || phaseBefore == phase,
+                    id + " was reported as " + phaseBefore + " and now as " + phase);
             assertTrue(
-                    now != AdmissionResult.Phase.CANCELLED
+                    phase != AdmissionResult.Phase.CANCELLED
                             || controller.recordedCancellations.contains(id),
-                    id + " is called cancelled, and that was not recorded before");
+                    id + " was reported as cancelled before the cancellation was recorded");
             assertTrue(
-                    !cancellationDue || now == AdmissionResult.Phase.CANCELLED,
-                    id + " is called " + now + " long after a dependency was cancelled");
+                    !cancellationDue || phase == AdmissionResult.Phase.CANCELLED,
+                    id + ": expected CANCELLED in time after a dependency, was " + phase);
         }
 
-        private void recordPhase(AdmissionResult.Phase now) {
-            reported.merge(id, now, (was, is) -> was.isFinal() ? was : is);
-            if (now == AdmissionResult.Phase.CANCELLED
-                    && cancelledAt.putIfAbsent(id, store.nowSeconds()) == null) {
+        private void recordPhase(AdmissionResult.Phase phase) {
+            reportedByAny.merge(
+                    id, phase, (previous, newest) -> previous.isFinal() ? previous : newest);
+            if (phase == AdmissionResult.Phase.CANCELLED
+                    && cancelledAtSeconds.putIfAbsent(id, store.nowSeconds()) == null) {
                 cancelledDependents += spec(number).dependencies().isEmpty() ? 0 : 1;
             }
-            finalAnswers += now.isFinal() ? 1 : 0;
+            finalResponses += phase.isFinal() ? 1 : 0;
         }
     }
 
@@ -232,52 +253,54 @@
             Controller controller = controllers.get(i % CONTROLLERS);
             store.schedule(
                     0.001 * i,
-                    () -> controller.admission.query("job-" + number, checkOf(number, controller)));
+                    () ->
+                            controller.admission.query(
+                                    "job-" + number, newCheck(number, controller)));
         }
         Controller again = controllers.get(number % CONTROLLERS);
-        store.schedule(0.002, () -> again.admission.submit(spec(number), checkOf(number, again)));
+        store.schedule(0.002, () -> again.admission.submit(spec(number), newCheck(number, again)));
         if (number % 4 == 0) {
             Controller other = controllers.get((number + 1) % CONTROLLERS);
             store.schedule(
-                    0.003, () -> other.admission.cancel("job-" + number, checkOf(number, other)));
+                    0.003, () -> other.admission.cancel("job-" + number, newCheck(number, other)));
         }
     }
 
-    private void step(int step) {
+    private void runStep(int step) {
         int number = step % JOBS;
         Controller controller = controllers.get(step / JOBS % CONTROLLERS);
         int action = step / JOBS / CONTROLLERS;
         int argument = action / 16;
         switch (action % 16) {
             case 0, 1, 2 -> {
-                // Users name only accepted jobs as dependencies.
-                if (spec(number).dependencies().stream().allMatch(reported::containsKey)) {
-                    controller.admission.submit(spec(number), checkOf(number, controller));
+                // Users submit a job only after its dependencies were reported.
+                if (spec(number).dependencies().stream().allMatch(reportedByAny::containsKey)) {
+                    controller.admission.submit(spec(number), newCheck(number, controller));
                 }
             }
             case 3, 4 -> {
-                if (reported.containsKey("job-" + number)) {
-                    controller.admission.cancel("job-" + number, checkOf(number, controller));
+                if (reportedByAny.containsKey("job-" + number)) {
+                    controller.admission.cancel("job-" + number, newCheck(number, controller));
                 }
             }
             case 5 -> storeDone(number);
-            case 6 -> controller.refused = argument % 2 == 0;
+            case 6 -> controller.storeUnreachable = argument % 2 == 0;
             case 7 -> store.faults().setDown(argument % 2 == 0);
             case 8 -> store.faults().setLateWritesPerTen(argument % 6);
             case 11 -> watchedJobs.add("job-" + number);
             case 12 -> store.faults().setLostResponsesPerTen(argument % 4);
             case 9 -> {
                 if (argument % 3 == 0) {
-                    store.setOldestRevision(store.revision());
+                    store.setCompactedRevision(store.revision());
                 }
             }
-            case 10 -> store.pass(2.0 * argument);
-            default -> controller.admission.query("job-" + number, checkOf(number, controller));
+            case 10 -> store.advance(2.0 * argument);
+            default -> controller.admission.query("job-" + number, newCheck(number, controller));
         }
-        store.pass(argument / 4.0);
+        store.advance(argument / 4.0);
     }
 
-    /** Stores the end of a job as the leader does: only an active job becomes done. */
+    /** Stores that a job is done, as the leader does: only if it is active. */
     private void storeDone(int number) {
         boolean isActive =
                 storedJobs.status("job-" + number).filter(JobStatus.ACTIVE::equals).isPresent();
@@ -287,35 +310,35 @@
     }
 
     @Property(tries = 3000, seed = "20261205")
-    void answersAreNeverOlderThanEarlierAnswers(
+    void responsesAreNeverOlderThanEarlierResponses(
             @ForAll @Size(min = 20, max = 120) List<@IntRange(min = 0, max = 3071) Integer> steps,
             @ForAll @IntRange(min = 0, max = 996) int seed) {
-        begin(seed);
-        steps.forEach(this::step);
+        reset(seed);
+        steps.forEach(this::runStep);
         lateWrites += store.lateWrites();
         lostResponses += store.lostResponses();
-        // After all faults have ended, the second query of each job is answered.
+        // After all faults have ended, the second query for each job must not be deferred.
         store.faults().setDown(false);
         store.faults().setLateWritesPerTen(0);
         store.faults().setLostResponsesPerTen(0);
-        controllers.forEach(controller -> controller.refused = false);
-        store.pass(40);
+        controllers.forEach(controller -> controller.storeUnreachable = false);
+        store.advance(40);
         for (int number = 0; number < JOBS; number++) {
             for (Controller controller : controllers) {
                 AdmissionResult[] last = new AdmissionResult[1];
                 for (int i = 0; i < 2; i++) {
-                    AnswerCheck check = checkOf(number, controller);
+                    ResponseCheck check = newCheck(number, controller);
                     controller.admission.query(
                             "job-" + number,
-                            answer -> {
-                                last[0] = answer;
-                                check.accept(answer);
+                            result -> {
+                                last[0] = result;
+                                check.accept(result);
                             });
-                    store.pass(10);
+                    store.advance(10);
                 }
                 assertTrue(
                         last[0] != null && !(last[0] instanceof AdmissionResult.RetryLater),
-                        "job-" + number + " is answered " + last[0] + " after all faults");
+                        "job-" + number + ": expected a state after all faults, was " + last[0]);
             }
         }
     }
@@ -323,47 +346,48 @@
     @AfterContainer
     static void faultsHappenedOftenEnough() {
         assertTrue(
-                finalAnswers > 10_000
-                        && retryLaterAnswers > 5_000
+                finalResponses > 10_000
+                        && deferredResponses > 5_000
                         && lateWrites > 150
                         && cancelledDependents > 500,
-                finalAnswers
-                        + " final answers, "
-                        + retryLaterAnswers
+                finalResponses
+                        + " final responses, "
+                        + deferredResponses
                         + " deferred, "
                         + lateWrites
                         + " late writes, "
                         + cancelledDependents
                         + " dependents cancelled");
         assertTrue(
-                lostResponses > 300 && overtakenAnswers > 100,
+                lostResponses > 300 && overtakenResponses > 100,
                 lostResponses
                         + " responses lost, "
-                        + overtakenAnswers
-                        + " requests overtaken by a final answer");
+                        + overtakenResponses
+                        + " requests overtaken by a final response");
     }
 
     /**
-     * A cancellation is recorded before it is reported by a repeated submission or cancellation.
+     * A controller records a cancellation before it reports it, also in the response to a repeated
+     * submission, or to a submission of a job that depends on the cancelled one.
      */
     @Test
     void cancellationIsRecordedBeforeItIsReported() {
-        begin(1);
+        reset(1);
         Controller first = controllers.get(0);
-        first.admission.submit(spec(0), checkOf(0, first));
-        store.pass(5);
-        first.admission.cancel("job-0", checkOf(0, first));
-        store.pass(5);
+        first.admission.submit(spec(0), newCheck(0, first));
+        store.advance(5);
+        first.admission.cancel("job-0", newCheck(0, first));
+        store.advance(5);
         assertEquals(Set.of("job-0"), first.recordedCancellations);
         for (Controller other : controllers.subList(1, 3)) {
             assertEquals(Set.of(), other.recordedCancellations);
         }
-        controllers.get(1).admission.submit(spec(0), checkOf(0, controllers.get(1)));
-        controllers.get(2).admission.submit(spec(1), checkOf(1, controllers.get(2)));
-        store.pass(5);
+        controllers.get(1).admission.submit(spec(0), newCheck(0, controllers.get(1)));
+        controllers.get(2).admission.submit(spec(1), newCheck(1, controllers.get(2)));
+        store.advance(5);
         assertEquals(Set.of("job-0"), controllers.get(1).recordedCancellations);
-        // Accepted as cancelled, as its dependency is.
+        // job-1 is accepted as cancelled, since its dependency is cancelled.
         assertEquals(Set.of("job-1"), controllers.get(2).recordedCancellations);
-        assertTrue(storedJobs.status("job-1").isPresent(), "job-1 has a record");
+        assertTrue(storedJobs.status("job-1").isPresent(), "expected a record of job-1");
     }
 }
--- a/src/test/java/io/kelphoist/admission/FreshReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/FreshReadsTest.java
@@ -15,13 +15,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A result that concurrent reads share is never older than any of these reads, although the state
- * service responds late and out of order.
+ * Guards against read results that are older than the request. It could happen when several reads
+ * share one request to the state store, or are served from the cache, while the state store
+ * responds late and out of order.
  */
 class FreshReadsTest {
     private static final int JOBS = 6;
 
-    /** A job's later states have higher ranks; unavailable is never older than what is stored. */
+    /**
+     * Ranks of read results: a job's later states have higher ranks. "Unavailable" has the highest,
+     * since it is correct for any stored state.
+     */
     private static final int RANK_ABSENT = 0;
 
     private static final int RANK_ACTIVE = 1;
@@ -31,21 +35,21 @@
     private StateStoreSimulation store;
     private StoredJobs storedJobs;
     private JobLookup lookup;
-    private int answers;
+    private int resultCount;
 
-    /** jqwik runs all tries on one instance. */
-    private void begin(int salt) {
-        store = new StateStoreSimulation(salt, 0);
+    /** Creates a new store and lookup for each try, since jqwik runs all tries on one instance. */
+    private void reset(int seed) {
+        store = new StateStoreSimulation(seed, 0);
         storedJobs = new StoredJobs(store);
         lookup = new JobLookup(store, store, 1);
-        answers = 0;
+        resultCount = 0;
     }
 
-    private static int rank(JobReadResult found) {
-        if (found instanceof JobReadResult.Present present) {
+    private static int rank(JobReadResult result) {
+        if (result instanceof JobReadResult.Present present) {
             return present.record().status().isFinal() ? RANK_FINAL : RANK_ACTIVE;
         }
-        return found instanceof JobReadResult.Absent ? RANK_ABSENT : RANK_UNAVAILABLE;
+        return result instanceof JobReadResult.Absent ? RANK_ABSENT : RANK_UNAVAILABLE;
     }
 
     private int storedRank(String id) {
@@ -55,7 +59,8 @@
                 .orElse(RANK_ABSENT);
     }
 
-    private void step(int step) {
+    /** Runs one step of a try: the number determines the job and the action. */
+    private void runStep(int step) {
         String id = "job-" + step % JOBS;
         switch (step / JOBS % 16) {
             case 0, 1, 2 -> acceptHere(id, step);
@@ -63,7 +68,7 @@
             case 4 -> endJob(id, step % 2 == 0);
             case 5 -> {
                 if (step % 3 == 0) {
-                    store.setOldestRevision(store.revision());
+                    store.setCompactedRevision(store.revision());
                 }
             }
             case 6 -> {
@@ -72,10 +77,13 @@
             }
             default -> readAndCheck(id);
         }
-        store.pass(step % 23 / 200.0);
+        store.advance(step % 23 / 200.0);
     }
 
-    /** The response to the transaction may arrive after many other events. */
+    /**
+     * This controller accepts the job. It receives the outcome of the transaction some time later,
+     * possibly after many other events.
+     */
     private void acceptHere(String id, int step) {
         if (storedRank(id) == RANK_ABSENT) {
             long revision = storedJobs.putActive(id);
@@ -92,7 +100,7 @@
         }
     }
 
-    /** Another controller accepts the job or writes its record again. */
+    /** Another controller accepts the job, or writes its record again. */
     private void acceptElsewhere(String id) {
         if (storedRank(id) < RANK_FINAL) {
             storedJobs.putActive(id);
@@ -113,51 +121,59 @@
         }
     }
 
-    /** A result is at least as new as the read, and no newer than what is stored. */
+    /**
+     * Reads a job and checks that the result is not older than the record at the time of the
+     * request, and not newer than the stored record at the time of the result.
+     */
     private void readAndCheck(String id) {
-        int leastRank = storedRank(id);
+        int minRank = storedRank(id);
         lookup.read(
                 id,
-                found -> {
-                    answers++;
+                result -> {
+                    resultCount++;
                     assertTrue(
-                            rank(found) >= leastRank,
-                            () -> id + " was read as " + found + " after rank " + leastRank);
+                            rank(result) >= minRank,
+                            () ->
+                                    id
+                                            + ": expected a result of rank "
+                                            + minRank
+                                            + " or higher, was "
+                                            + result);
                     assertTrue(
-                            rank(found) == RANK_UNAVAILABLE || rank(found) <= storedRank(id),
-                            () -> id + " was read as " + found);
+                            rank(result) == RANK_UNAVAILABLE || rank(result) <= storedRank(id),
+                            () -> id + ": expected no result newer than stored, was " + result);
                 });
     }
 
     @Property(tries = 3000, seed = "20261202")
     void resultIsNeverOlderThanTheRequest(
             @ForAll @Size(min = 20, max = 200) List<@IntRange(min = 0, max = 9599) Integer> steps,
-            @ForAll @IntRange(min = 0, max = 996) int salt) {
-        begin(salt);
-        steps.forEach(this::step);
-        store.pass(30);
+            @ForAll @IntRange(min = 0, max = 996) int seed) {
+        reset(seed);
+        steps.forEach(this::runStep);
+        store.advance(30);
     }
 
     private String readStatus(int number) {
         String[] status = new String[1];
         lookup.read(
                 "job-" + number,
-                found ->
+                result ->
                         status[0] =
-                                found instanceof JobReadResult.Present present
+                                result instanceof JobReadResult.Present present
                                         ? present.record().status().toString()
-                                        : found.toString());
-        store.pass(5);
+                                        : result.toString());
+        store.advance(5);
         return status[0];
     }
 
     /**
-     * One final job more than the cache holds: the evicted one is read again, and is unavailable
-     * while the state service is.
+     * The cache of finished jobs is filled with one job more than it holds. The evicted job is read
+     * from the state store again, and is unavailable while the state store is.
      */
     @Test
     void evictedFinalJobIsReadAgain() {
-        begin(0);
+        reset(0);
         for (int i = 0; i <= JobLookup.MAX_CACHED_JOBS; i++) {
             storeFinal("job-" + i, i % 2 == 0);
             assertEquals(i % 2 == 0 ? "DONE" : "CANCELLED", readStatus(i));
@@ -171,12 +187,12 @@
     }
 
     /**
-     * More unfinished jobs than the cache holds: evicted ones that changed since are read as they
-     * are stored.
+     * More unfinished jobs are read than the cache holds. Evicted jobs that have changed since are
+     * read as stored.
      */
     @Test
     void evictedUnfinishedJobsAreReadAsStored() {
-        begin(0);
+        reset(0);
         int jobs = JobRecordCache.MAX_CACHED_JOBS + 50;
         // given
         for (int round = 0; round < 2; round++) {
@@ -186,47 +202,48 @@
                 }
                 readAndExpect("job-" + i, JobStatus.ACTIVE);
             }
-            store.pass(5);
+            store.advance(5);
         }
         // when
         for (int i = 0; i < jobs; i += 7) {
             storedJobs.putDone("job-" + i);
         }
-        // The state service compacts its history as well: a watch has to start again.
-        store.setOldestRevision(store.revision());
+        // The state store also compacts its changes, so that the cache must be reset.
+        store.setCompactedRevision(store.revision());
         // then
         for (int i = 0; i < jobs; i++) {
             readAndExpect("job-" + i, i % 7 == 0 ? JobStatus.DONE : JobStatus.ACTIVE);
         }
-        store.pass(10);
+        store.advance(10);
     }
 
     private void readAndExpect(String id, JobStatus status) {
         lookup.read(
                 id,
-                found ->
+                result ->
                         assertTrue(
-                                found instanceof JobReadResult.Present present
+                                result instanceof JobReadResult.Present present
                                         && present.record().status() == status,
-                                found::toString));
+                                () -> id + ": expected " + status + ", was " + result));
     }
 
-    /** A hundred concurrent reads cost a few requests, not a hundred. */
+    /** A hundred concurrent reads of a cached job take at most two requests to the state store. */
     @Test
     void concurrentReadsShareRequests() {
-        begin(0);
+        reset(0);
         storedJobs.putActive("job-1");
         for (int round = 0; round < 3; round++) {
-            // The first reads find the revision and the record.
-            lookup.read("job-1", found -> answers++);
-            store.pass(1);
+            // The first reads load the store's revision and then the record into the cache.
+            lookup.read("job-1", result -> resultCount++);
+            store.advance(1);
         }
-        int before = store.requests().size();
+        int requestsBefore = store.requests().size();
         for (int i = 0; i < 100; i++) {
-            lookup.read("job-1", found -> answers++);
+            lookup.read("job-1", result -> resultCount++);
         }
-        store.pass(1);
-        assertEquals(103, answers);
-        assertTrue(store.requests().size() - before <= 2, () -> store.requests().toString());
+        store.advance(1);
+        assertEquals(103, resultCount);
+        assertTrue(
+                store.requests().size() - requestsBefore <= 2, () -> store.requests().toString());
     }
 }
--- a/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
+++ b/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Each field of a submission, missing or wrong in every way that a user may think of; fields.txt
- * has the table.
+ * Tests the outcome of submissions in which one field is missing, malformed or at a limit.
+ * fields.txt lists the values of each field with the expected outcomes.
  */
 class SubmissionFieldsTest {
     private static final String VALID =
@@ -30,13 +30,16 @@
             {"name_id":"job-77","catch":"c","crew":"t","rig":"batch","tide":"normal","fronds":2,"cpus":1.0,"accelerators":1.0,"ram_gb":1.0,
              "spore":"i","image_gb":1.0,"hulls":null,"bed":null,"same_place":false,"scatter":false,"driftwood":false,"haul_s":60.0,
              "mooring_s":0.0,"stow_s":0.0,"landfall_s":null}""";
-    private static final Resources ROOM = new Resources(8, 2, 64);
+    private static final Resources CAPACITY = new Resources(8, 2, 64);
     private static final FixedMachineTypes TYPES =
             new FixedMachineTypes(
                     List.of(
-                            new MachineType("m", ROOM, 50, 1, 8, 3, 25, List.of("a", "b")),
-                            new MachineType("one-zone", ROOM, 50, 1, 8, 3, 25, List.of("a"))));
+                            new MachineType("m", CAPACITY, 50, 1, 8, 3, 25, List.of("a", "b")),
+                            new MachineType("one-zone", CAPACITY, 50, 1, 8, 3, 25, List.of("a"))));
 
+    /**
+     * Sets a field to a value from fields.txt: JSON, a number that JSON does not have, or missing.
+     */
     private static void setField(ObjectNode message, String field, String value)
             throws MalformedMessageException {
         switch (value) {
@@ -99,22 +102,23 @@
         StateStoreSimulation store = new StateStoreSimulation(1, 0);
         Admission admission = newAdmission(store);
         AdmissionResult[] result = new AdmissionResult[1];
-        // The gRPC server decodes what comes over the wire in the same way.
+        // The message is encoded and decoded as when it is sent to a controller; the gRPC server
+        // decodes jobs in the same way.
         ObjectNode message = MessageEncoding.decodeCbor(MessageEncoding.encodeCbor(sent));
         String id = null;
         // when
         try {
             id = JobCodec.decodeJobId(message);
-            admission.submit(JobCodec.decodeJob(message), answer -> result[0] = answer);
+            admission.submit(JobCodec.decodeJob(message), received -> result[0] = received);
         } catch (MalformedMessageException e) {
             assertTrue(e.getMessage().contains(field), e.getMessage());
             if (id == null) {
                 assertEquals("malformed", expected);
                 return;
             }
-            admission.rejectMalformed(id, e.getMessage(), answer -> result[0] = answer);
+            admission.rejectMalformed(id, e.getMessage(), received -> result[0] = received);
         }
-        store.pass(10);
+        store.advance(10);
         // then
         assertEquals(expected, outcomeName(result[0]));
         assertEquals(expected.equals("accepted"), store.get(StateStoreKeys.jobKey(id)) != null);
@@ -131,7 +135,7 @@
                 job -> {});
     }
 
-    /** The outcome as fields.txt names it. */
+    /** Returns the name of the outcome in fields.txt. */
     private static String outcomeName(AdmissionResult result) {
         if (result instanceof AdmissionResult.Accepted) {
             return "accepted";
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -116,7 +116,7 @@
 
     private TermRecordStore createRecordStore() {
         SimulatedStateStore stateStore = dependencies.stateStore();
-        StateStoreSimulation.View view = stateStore.store().seenBy(this::isRefusedByStore);
+        StateStoreSimulation.View view = stateStore.store().viewFor(this::isRefusedByStore);
         return new TermRecordStore(
                 view,
                 new TermRecordWriter(
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -65,7 +65,7 @@
         for (int i = 0; i < FRONT_ENDS; i++) {
             int number = i;
             StateStoreSimulation.View view =
-                    timer.seenBy(() -> leadership.isFrontEndRefusedByStore(number));
+                    timer.viewFor(() -> leadership.isFrontEndRefusedByStore(number));
             frontEnds.add(createFrontEnd(dependencies, view));
         }
     }
@@ -203,7 +203,7 @@
                                     });
                 }
             }
-            timer.pass(5);
+            timer.advance(5);
         }
         checker.checkResponsesAtEnd(responses, jobs.size() * FRONT_ENDS);
     }
--- a/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
@@ -43,7 +43,7 @@
         requestsRefused = false;
         lastChangeAtSeconds = new HashMap<>();
         lastChangeVersions = new HashMap<>();
-        replication = new RecordReplication(store.seenBy(() -> requestsRefused), store);
+        replication = new RecordReplication(store.viewFor(() -> requestsRefused), store);
         replication.start();
     }
 
@@ -87,7 +87,7 @@
             case 0, 1, 2, 3 -> storeJob("job-" + argument % JOB_COUNT, false);
             case 4, 5 -> storeJob("job-" + argument % JOB_COUNT, true);
             case 6 -> {
-                store.setOldestRevision(store.revision() + argument % 2);
+                store.setCompactedRevision(store.revision() + argument % 2);
                 compactions++;
             }
             case 7 -> store.faults().setDown(argument % 2 == 0);
@@ -108,7 +108,7 @@
             default -> {}
         }
         for (int i = 0; i <= argument % 12; i++) {
-            store.pass(0.2);
+            store.advance(0.2);
             assertStoredChangesApplied();
         }
     }
@@ -121,9 +121,9 @@
         steps.forEach(this::runStep);
         store.faults().setDown(false);
         requestsRefused = false;
-        store.setOldestRevision(Math.min(store.oldestRevision(), store.revision()));
+        store.setCompactedRevision(Math.min(store.compactedRevision(), store.revision()));
         replication.startFollowing();
-        store.pass(20);
+        store.advance(20);
         assertTrue(
                 replication.jobsCurrentAsOfSeconds() > store.nowSeconds() - 6,
                 "the replica must become current again after the faults end");
@@ -148,14 +148,14 @@
     void compactedChangesAreReadAgain() {
         startReplication(3);
         storeJob("job-1", false);
-        store.pass(6);
+        store.advance(6);
         requestsRefused = true;
         storeJob("job-1", true);
         storeJob("job-2", false);
-        store.pass(20);
-        store.setOldestRevision(store.revision());
+        store.advance(20);
+        store.setCompactedRevision(store.revision());
         requestsRefused = false;
-        store.pass(8);
+        store.advance(8);
         assertTrue(
                 replication.replica().isCancelled("job-1"),
                 "the cancellation of job-1 must be applied");
--- a/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
+++ b/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
@@ -113,7 +113,7 @@
         state.faults().setLateWritesPerTen(10);
         store.storeProgress(0, firstTasksDone(tasks));
         state.faults().setLateWritesPerTen(0);
-        state.pass(1.6);
+        state.advance(1.6);
     }
 
     @ParameterizedTest
@@ -123,11 +123,11 @@
         storeProgressWithLateWrite(1);
         // A page has at most one write in flight, so the next one waits for the outcome of this
         // one.
-        state.pass(1);
+        state.advance(1);
         store.storeProgress(0, firstTasksDone(5));
-        state.pass(1.5);
+        state.advance(1.5);
         store.storeProgress(0, firstTasksDone(7));
-        state.pass(20);
+        state.advance(20);
         assertEquals(7, storedTaskCount());
     }
 
@@ -137,7 +137,7 @@
         startFirstTerm(salt);
         storeProgressWithLateWrite(3);
         electLeader(2);
-        state.pass(20);
+        state.advance(20);
         assertNull(state.get(StateStoreKeys.pageKey(StateStoreKeys.PROGRESS_PREFIX, 0)));
         assertEquals(0, state.lateWrites());
     }
@@ -152,10 +152,10 @@
         state.faults().setLostResponsesPerTen(10);
         store.storeProgress(0, firstTasksDone(2));
         state.faults().setLostResponsesPerTen(0);
-        state.pass(5);
+        state.advance(5);
         assertEquals(2, storedTaskCount());
         store.storeProgress(0, firstTasksDone(4));
-        state.pass(5);
+        state.advance(5);
         assertEquals(4, storedTaskCount());
     }
 }
--- a/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
+++ b/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
@@ -13,17 +13,24 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Which writes share a transaction, and which wait for one that is open. */
+/** Tests which writes share a transaction and which wait for a transaction in flight. */
 class GroupCommitterTest {
     private final StateStoreSimulation loop = new StateStoreSimulation(1, 0);
+
+    /** The mutations of each transaction that was sent. */
     private final List<List<RecordMutation>> sent = new ArrayList<>();
-    private final List<Consumer<StateStoreResult<Long>>> open = new ArrayList<>();
+
+    /** The callback of each transaction that was sent. */
+    private final List<Consumer<StateStoreResult<Long>>> callbacks = new ArrayList<>();
+
+    /** Key and outcome of each write that has ended. */
     private final List<String> outcomes = new ArrayList<>();
+
     private final GroupCommitter committer =
             new GroupCommitter(
-                    (conditions, changes, handler) -> {
-                        sent.add(changes);
-                        open.add(handler);
+                    (conditions, mutations, callback) -> {
+                        sent.add(mutations);
+                        callbacks.add(callback);
                     },
                     loop,
                     100,
@@ -37,67 +44,68 @@
                         10,
                         100,
                         GroupCommitter.Urgency.URGENT,
-                        GroupCommitter.WhenUnavailable.GIVE_UP,
+                        GroupCommitter.WhenUnavailable.FAIL,
                         (outcome, revision) -> outcomes.add(key + " " + outcome)));
     }
 
-    private void answer(int number, StateStoreResult<Long> result) {
-        open.get(number).accept(result);
+    private void respond(int transactionIndex, StateStoreResult<Long> result) {
+        callbacks.get(transactionIndex).accept(result);
     }
 
     private static StateStoreResult<Long> stored(long revision) {
         return new StateStoreResult.Success<>(revision);
     }
 
-    /** Usually one transaction is open at a time: writes that wait meanwhile share the next. */
+    /** While a transaction is in flight, further writes wait, and share the next transaction. */
     @Test
     void waitingWritesShareATransaction() {
         write("a");
         write("b");
         write("c");
         assertEquals(1, sent.size());
-        loop.pass(0.05);
-        answer(0, stored(5));
+        loop.advance(0.05);
+        respond(0, stored(5));
         assertEquals(2, sent.size());
         assertEquals(2, sent.get(1).size());
-        answer(1, stored(6));
+        respond(1, stored(6));
         assertEquals(List.of("a STORED", "b STORED", "c STORED"), outcomes);
     }
 
     /**
-     * A transaction without response for longer than usual does not block others any more; a few
-     * may be open at a time.
+     * A transaction that has had no response for longer than 0.25 s no longer delays the next one,
+     * up to the maximum number of transactions in flight.
      */
     @Test
-    void unansweredTransactionDoesNotBlockOthers() {
+    void transactionWithoutResponseDoesNotBlockOthers() {
         write("a");
         write("b");
-        loop.pass(0.2);
+        loop.advance(0.2);
         assertEquals(1, sent.size());
-        loop.pass(0.1);
+        loop.advance(0.1);
         assertEquals(2, sent.size());
-        answer(1, stored(5));
+        respond(1, stored(5));
         assertEquals(List.of("b STORED"), outcomes);
-        // The first is still open: the next ones are sent at once.
+        // The newest transaction has a response, so "c" is sent at once, although the first
+        // transaction is still in flight.
         write("c");
         write("d");
         assertEquals(3, sent.size());
-        loop.pass(0.3);
+        loop.advance(0.3);
         assertEquals(4, sent.size());
         write("e");
-        loop.pass(2);
+        loop.advance(2);
         assertEquals(4, sent.size());
-        answer(0, new StateStoreResult.OutcomeUnknown<>());
+        respond(0, new StateStoreResult.OutcomeUnknown<>());
         assertEquals(5, sent.size());
         assertEquals(List.of("b STORED", "a UNKNOWN"), outcomes);
     }
 
     /**
-     * The queue is bounded: one more write is refused at once as not executed, and the others go
-     * on.
+     * The queue is bounded: a write to the full queue ends at once as not executed, and the queued
+     * writes are not affected.
      */
     @Test
-    void writeBeyondTheBoundIsRefusedAtOnce() {
+    void writeToAFullQueueEndsAtOnceAsNotExecuted() {
         write("first");
         for (int i = 0; i < GroupCommitter.MAX_QUEUED_WRITES; i++) {
             write("k" + i);
@@ -105,25 +113,26 @@
         assertEquals(List.of(), outcomes);
         write("one too many");
         assertEquals(List.of("one too many NOT_EXECUTED"), outcomes);
-        answer(0, stored(5));
+        respond(0, stored(5));
         assertEquals(List.of("one too many NOT_EXECUTED", "first STORED"), outcomes);
         write("again");
         assertEquals(2, outcomes.size());
     }
 
-    /** After a refusal nothing is sent for a moment, whatever else is open. */
+    /** After a transaction exceeded the store's rate limit, no other is sent for 0.15 s. */
     @Test
-    void pausesAfterARefusedTransaction() {
+    void pausesAfterARateLimitedTransaction() {
         write("a");
-        loop.pass(0.3);
+        loop.advance(0.3);
         write("b");
         assertEquals(2, sent.size());
-        answer(1, new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED));
+        respond(1, new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED));
         write("c");
         assertEquals(2, sent.size());
-        loop.pass(0.2);
+        loop.advance(0.2);
         assertEquals(3, sent.size());
         assertTrue(
-                sent.get(2).size() == 2, "the refused write is sent with the one that came since");
+                sent.get(2).size() == 2,
+                "the rejected write must be sent in one transaction with the later one");
     }
 }
--- a/src/test/java/io/kelphoist/statestore/RateLimitedReaderTest.java
+++ b/src/test/java/io/kelphoist/statestore/RateLimitedReaderTest.java
@@ -20,36 +20,36 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * However often users read: the rate of reads is limited, each read is answered, and none waits for
- * more than half a second.
+ * Guards against users' reads that exceed the rate limit, stay without a result or wait for more
+ * than half a second, when users send more reads than the limit allows.
  */
 class RateLimitedReaderTest {
     private static final double READS_PER_SECOND = 20;
 
-    /** A state store that responds to each read at once, and the event loop of its client. */
+    /** A state store that responds to each read at once, with a virtual clock and timers. */
     private static final class ImmediateStore implements StateStoreReader, EventLoop {
         final ScheduledEvents timers = new ScheduledEvents();
         final List<Double> sentAtSeconds = new ArrayList<>();
-        double now;
+        double nowSeconds;
 
         @Override
         public double nowSeconds() {
-            return now;
+            return nowSeconds;
         }
 
         @Override
         public void schedule(double seconds, Runnable task) {
-            timers.add(now + seconds, task);
+            timers.add(nowSeconds + seconds, task);
         }
 
         void advanceTo(double endSeconds) {
-            timers.runUntil(endSeconds, atSeconds -> now = Math.max(now, atSeconds));
-            now = endSeconds;
+            timers.runUntil(endSeconds, atSeconds -> nowSeconds = Math.max(nowSeconds, atSeconds));
+            nowSeconds = endSeconds;
         }
 
         @Override
         public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
-            sentAtSeconds.add(now);
+            sentAtSeconds.add(nowSeconds);
             handler.accept(new StateStoreResult.OutcomeUnknown<>());
         }
 
@@ -66,30 +66,32 @@
     }
 
     @Property(tries = 300, seed = "20261205")
-    void readsAreRateLimitedAndAnsweredSoon(
+    void readsAreRateLimitedAndEndWithinHalfASecond(
             @ForAll @Size(min = 10, max = 60) List<@IntRange(min = 0, max = 40) Integer> bursts,
             @ForAll @DoubleRange(min = 0.01, max = 0.4) double pause) {
         ImmediateStore store = new ImmediateStore();
         RateLimitedReader reader = new RateLimitedReader(store, store, READS_PER_SECOND);
-        int[] sent = {0};
-        int[] answered = {0};
+        int[] sentCount = {0};
+        int[] resultCount = {0};
         for (int burst : bursts) {
             for (int i = 0; i < burst; i++) {
-                sent[0]++;
-                double sentAtSeconds = store.now;
+                sentCount[0]++;
+                double sentAtSeconds = store.nowSeconds;
                 reader.get(
                         "j/job-1",
                         result -> {
-                            answered[0]++;
+                            resultCount[0]++;
                             assertTrue(
-                                    store.now - sentAtSeconds < 0.51,
-                                    "waited for " + (store.now - sentAtSeconds));
+                                    store.nowSeconds - sentAtSeconds < 0.51,
+                                    "a read must end within 0.5 s, but took "
+                                            + (store.nowSeconds - sentAtSeconds)
+                                            + " s");
                         });
             }
-            store.advanceTo(store.now + pause);
+            store.advanceTo(store.nowSeconds + pause);
         }
-        store.advanceTo(store.now + 1);
-        assertEquals(sent[0], answered[0], "each read is answered once");
+        store.advanceTo(store.nowSeconds + 1);
+        assertEquals(sentCount[0], resultCount[0], "each read must have exactly one result");
         for (int i = 0; i < store.sentAtSeconds.size(); i++) {
             double startSeconds = store.sentAtSeconds.get(i);
             long readsInASecond =
@@ -100,7 +102,8 @@
                                                     && atSeconds < startSeconds + 1)
                             .count();
             assertTrue(
-                    readsInASecond <= READS_PER_SECOND * 1.5 + 1, readsInASecond + " in a second");
+                    readsInASecond <= READS_PER_SECOND * 1.5 + 1,
+                    readsInASecond + " reads in one second");
         }
     }
 }
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -20,21 +20,25 @@
 import java.util.function.Consumer;
 
 /**
- * Simulates the state service in virtual time. A request is processed some time after it was sent,
- * and its response arrives some time after that. A transaction may get no response and be applied
- * at once or seconds later, after newer ones. All requests may be refused, or those of one
- * controller.
+ * Simulates the state store in virtual time. A request is processed some time after it was sent,
+ * and its response arrives some time after that. The response to a transaction may be lost; the
+ * transaction is then applied after the usual delay, or seconds later and after newer ones. The
+ * store may be unavailable to all controllers or to one of them.
  */
 public final class StateStoreSimulation implements StateStoreWatcher, StateStoreWriter, EventLoop {
     /** A key's value and the revision of its last change. */
     public record Item(String key, ObjectNode value, long revision) {}
 
-    private static final double TIMEOUT_SECONDS = 1.5;
-    private static final double CLIENT_TIMEOUT_SECONDS = 3;
+    /** The outcome of a transaction without response is unknown to its client after this time. */
+    private static final double REQUEST_TIMEOUT_SECONDS = 1.5;
+
+    /** A watch request times out this long after its hold time. */
+    private static final double WATCH_TIMEOUT_MARGIN_SECONDS = 3;
+
     private static final double WATCH_POLL_SECONDS = 0.05;
 
-    /** Longest time of a request on its way, and of its response. */
-    private static final double SLOWEST_SECONDS = 29 / 60.0;
+    /** Maximum delay of a request, and of its response. */
+    private static final double MAX_DELAY_SECONDS = 29 / 60.0;
 
     private final ScheduledEvents events = new ScheduledEvents();
     private final TreeMap<String, Item> stored = new TreeMap<>();
@@ -46,102 +50,109 @@
     private int lateWrites;
     private int lostResponses;
 
-    /** Admits a number of changes a second, with bursts of one second's worth. */
+    /** Limits the mutations per second, with bursts of the mutations of one second. */
     private TokenBucket writeRateLimit = new TokenBucket(1e9, 1);
 
     private int rateLimitedWrites;
-    private long oldestRevision;
+    private long compactedRevision;
 
-    private double now;
+    private double nowSeconds;
     private long revision = 10;
-    private int salt;
+    private int randomState;
 
-    public StateStoreSimulation(int salt, double startsAt) {
-        this.salt = salt;
-        this.now = startsAt;
+    /** Creates an empty store; the seed determines delays and which transactions have faults. */
+    public StateStoreSimulation(int seed, double startSeconds) {
+        this.randomState = seed;
+        this.nowSeconds = startSeconds;
     }
 
-    /** The kinds of all requests that were sent, oldest first. */
+    /** Returns the kinds of all read and watch requests that were sent, oldest first. */
     public List<String> requests() {
         return Collections.unmodifiableList(requests);
     }
 
-    /** Called with each change before any other reader can see it. */
+    /** Sets a listener that receives each change before any reader can. */
     public void setChangeListener(Consumer<Item> listener) {
         changeListener = listener;
     }
 
+    /** Returns the faults that affect all controllers, to be changed by the test. */
     public StateStoreFaults faults() {
         return faults;
     }
 
-    /** Transactions that were applied late, with their conditions met. */
+    /** Returns the number of transactions that were applied late, with their conditions met. */
     public int lateWrites() {
         return lateWrites;
     }
 
-    /** Transactions of which only the response was lost, with their conditions met. */
+    /** Returns the number of applied transactions whose response alone was lost. */
     public int lostResponses() {
         return lostResponses;
     }
 
-    /** Transactions that were refused by the limit of changes a second. */
+    /** Returns the number of transactions that exceeded the limit on mutations per second. */
     public int rateLimitedWrites() {
         return rateLimitedWrites;
     }
 
-    /** Changes up to this revision are compacted. */
-    public long oldestRevision() {
-        return oldestRevision;
+    /** Returns the revision up to which changes are compacted. */
+    public long compactedRevision() {
+        return compactedRevision;
     }
 
-    public void setOldestRevision(long oldest) {
-        oldestRevision = oldest;
+    /** Compacts the changes up to a revision. */
+    public void setCompactedRevision(long newRevision) {
+        compactedRevision = newRevision;
     }
 
     @Override
     public double nowSeconds() {
-        return now;
+        return nowSeconds;
     }
 
     @Override
     public void schedule(double seconds, Runnable task) {
-        events.add(now + seconds, task);
+        events.add(nowSeconds + seconds, task);
     }
 
-    public void pass(double seconds) {
-        double until = now + seconds;
-        events.runUntil(until, atSeconds -> now = Math.max(now, atSeconds));
-        now = until;
+    /** Advances the virtual time and runs all events that are due. */
+    public void advance(double seconds) {
+        double endSeconds = nowSeconds + seconds;
+        events.runUntil(endSeconds, atSeconds -> nowSeconds = Math.max(nowSeconds, atSeconds));
+        nowSeconds = endSeconds;
     }
 
+    /** Returns the revision of the last change. */
     public long revision() {
         return revision;
     }
 
-    public void limit(double writeRps) {
-        writeRateLimit = new TokenBucket(writeRps, 1);
+    /** Limits the mutations per second. */
+    public void limitWriteRate(double mutationsPerSecond) {
+        writeRateLimit = new TokenBucket(mutationsPerSecond, 1);
     }
 
-    /** Returns null for a key that is not stored. */
+    /** Returns what is stored under a key now, or null if the key is not stored. */
     public Item get(String key) {
         return stored.get(key);
     }
 
-    public List<Item> below(String prefix) {
+    /** Returns what is stored under all keys with a prefix now, ordered by key. */
+    public List<Item> withPrefix(String prefix) {
         return stored.tailMap(prefix).values().stream()
                 .takeWhile(item -> item.key().startsWith(prefix))
                 .toList();
     }
 
-    /** Changes below a prefix after a revision, oldest first. */
+    /** Returns the changes below a prefix after a revision, oldest first. */
     public List<Item> changes(String prefix, long after) {
         return changes.stream()
                 .filter(item -> item.revision() > after && item.key().startsWith(prefix))
                 .toList();
     }
 
-    /** Stores a value directly, whatever faults are active. */
+    /** Stores a value at once, independent of the faults, and returns the new revision. */
     public long put(String key, ObjectNode value) {
         Item item = new Item(key, value, ++revision);
         stored.put(key, item);
@@ -150,43 +161,43 @@
         return revision;
     }
 
-    private int draw(int bound) {
-        salt = (int) ((salt * 48271L + 11) % 2147483647L);
-        return Math.floorMod(salt, bound);
+    private int nextRandom(int bound) {
+        randomState = (int) ((randomState * 48271L + 11) % 2147483647L);
+        return Math.floorMod(randomState, bound);
     }
 
     private double delay() {
-        return draw(1000) / 1000.0 * SLOWEST_SECONDS;
+        return nextRandom(1000) / 1000.0 * MAX_DELAY_SECONDS;
     }
 
-    private <T> void answer(Consumer<T> handler, T result) {
+    private <T> void respond(Consumer<T> handler, T result) {
         schedule(delay(), () -> handler.accept(result));
     }
 
-    // ---- as a controller that is never refused alone ----
+    // ---- requests of a controller that is never unreachable alone ----
 
     @Override
     public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
-        seenBy(() -> false).get(key, handler);
+        viewFor(() -> false).get(key, handler);
     }
 
     @Override
     public void readAll(String prefix, Consumer<Optional<StateSnapshot>> handler) {
-        seenBy(() -> false).readAll(prefix, handler);
+        viewFor(() -> false).readAll(prefix, handler);
     }
 
     @Override
     public void changesSince(
             String prefix, long after, Consumer<StateStoreResult<StoredChanges>> handler) {
-        seenBy(() -> false).changesSince(prefix, after, handler);
+        viewFor(() -> false).changesSince(prefix, after, handler);
     }
 
     @Override
     public void commit(
             List<VersionCondition> conditions,
-            List<RecordMutation> puts,
+            List<RecordMutation> mutations,
             Consumer<StateStoreResult<Long>> handler) {
-        seenBy(() -> false).commit(conditions, puts, handler);
+        viewFor(() -> false).commit(conditions, mutations, handler);
     }
 
     @Override
@@ -195,43 +206,43 @@
             long after,
             int holdMillis,
             Consumer<StateStoreResult<StoredChanges>> handler) {
-        seenBy(() -> false).awaitChanges(prefix, after, holdMillis, handler);
+        viewFor(() -> false).awaitChanges(prefix, after, holdMillis, handler);
     }
 
-    /** The view of a controller that may be refused alone. */
-    public View seenBy(BooleanSupplier refused) {
-        return new View(refused);
+    /** Returns one controller's view; requests fail while {@code unreachable} returns true. */
+    public View viewFor(BooleanSupplier unreachable) {
+        return new View(unreachable);
     }
 
-    /** The state service as one controller sees it. */
+    /** The state store for one controller, to which it may be unavailable while others reach it. */
     public final class View implements StateStoreWatcher, StateStoreWriter {
-        private final BooleanSupplier refused;
+        private final BooleanSupplier unreachable;
 
-        private View(BooleanSupplier refused) {
-            this.refused = refused;
+        private View(BooleanSupplier unreachable) {
+            this.unreachable = unreachable;
         }
 
-        private boolean isRefusing() {
-            return faults.isDown() || refused.getAsBoolean();
+        private boolean isUnreachable() {
+            return faults.isDown() || unreachable.getAsBoolean();
         }
 
-        private void handle(Runnable request, Runnable onRefused) {
+        private void process(Runnable request, Runnable onUnreachable) {
             schedule(
                     delay(),
                     () -> {
-                        if (isRefusing()) {
-                            onRefused.run();
+                        if (isUnreachable()) {
+                            onUnreachable.run();
                         } else {
                             request.run();
                         }
                     });
         }
 
-        private <T> void handle(Consumer<StateStoreResult<T>> handler, Runnable request) {
-            handle(
+        private <T> void process(Consumer<StateStoreResult<T>> handler, Runnable request) {
+            process(
                     request,
                     () ->
-                            answer(
+                            respond(
                                     handler,
                                     new StateStoreResult.NotExecuted<>(
                                             NotExecutedCause.STORE_UNAVAILABLE)));
@@ -240,14 +251,14 @@
         @Override
         public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
             requests.add("get");
-            handle(
+            process(
                     handler,
                     () -> {
                         Item item = stored.get(key);
                         if (item == null) {
-                            answer(handler, rejected(StateStoreResult.Reason.NOT_FOUND));
+                            respond(handler, rejected(StateStoreResult.Reason.NOT_FOUND));
                         } else {
-                            answer(handler, new StateStoreResult.Success<>(record(item)));
+                            respond(handler, new StateStoreResult.Success<>(record(item)));
                         }
                     });
         }
@@ -255,31 +266,31 @@
         @Override
         public void readAll(String prefix, Consumer<Optional<StateSnapshot>> handler) {
             requests.add("range");
-            handle(
+            process(
                     () -> {
                         List<StoredRecord> records = new ArrayList<>();
-                        below(prefix).forEach(item -> records.add(record(item)));
-                        answer(handler, Optional.of(new StateSnapshot(records, revision)));
+                        withPrefix(prefix).forEach(item -> records.add(record(item)));
+                        respond(handler, Optional.of(new StateSnapshot(records, revision)));
                     },
-                    () -> answer(handler, Optional.empty()));
+                    () -> respond(handler, Optional.empty()));
         }
 
         @Override
         public void changesSince(
                 String prefix, long after, Consumer<StateStoreResult<StoredChanges>> handler) {
             requests.add("changes");
-            handle(handler, () -> answer(handler, changesAfter(prefix, after)));
+            process(handler, () -> respond(handler, changesAfter(prefix, after)));
         }
 
         private StateStoreResult<StoredChanges> changesAfter(String prefix, long after) {
-            if (after < oldestRevision) {
+            if (after < compactedRevision) {
                 return rejected(StateStoreResult.Reason.COMPACTED);
             }
-            List<RecordChange> found = new ArrayList<>();
+            List<RecordChange> recordChanges = new ArrayList<>();
             for (Item item : StateStoreSimulation.this.changes(prefix, after)) {
-                found.add(new RecordChange(record(item), false));
+                recordChanges.add(new RecordChange(record(item), false));
             }
-            return new StateStoreResult.Success<>(new StoredChanges(found, revision));
+            return new StateStoreResult.Success<>(new StoredChanges(recordChanges, revision));
         }
 
         @Override
@@ -289,25 +300,23 @@
                 int holdMillis,
                 Consumer<StateStoreResult<StoredChanges>> handler) {
             requests.add("watch");
-            handle(handler, () -> hold(prefix, after, now + holdMillis / 1000.0, handler));
+            process(handler, () -> hold(prefix, after, nowSeconds + holdMillis / 1000.0, handler));
         }
 
-        /**
-         * During an outage watches stay open; a client gives up some seconds after their timeout.
-         */
+        /** Holds a watch request; an outage keeps it open until the client times out. */
         private void hold(
                 String prefix,
                 long after,
                 double until,
                 Consumer<StateStoreResult<StoredChanges>> handler) {
-            boolean isUnavailable = isRefusing();
-            if (isUnavailable && now > until + CLIENT_TIMEOUT_SECONDS) {
+            boolean isUnavailable = isUnreachable();
+            if (isUnavailable && nowSeconds > until + WATCH_TIMEOUT_MARGIN_SECONDS) {
                 handler.accept(new StateStoreResult.OutcomeUnknown<>());
             } else if (!isUnavailable
-                    && (now >= until
-                            || after < oldestRevision
+                    && (nowSeconds >= until
+                            || after < compactedRevision
                             || !StateStoreSimulation.this.changes(prefix, after).isEmpty())) {
-                answer(handler, changesAfter(prefix, after));
+                respond(handler, changesAfter(prefix, after));
             } else {
                 StateStoreSimulation.this.schedule(
                         WATCH_POLL_SECONDS, () -> hold(prefix, after, until, handler));
@@ -317,35 +326,36 @@
         @Override
         public void commit(
                 List<VersionCondition> conditions,
-                List<RecordMutation> puts,
+                List<RecordMutation> mutations,
                 Consumer<StateStoreResult<Long>> handler) {
-            if (!isRefusing() && draw(10) < faults.lateWritesPerTen()) {
+            if (!isUnreachable() && nextRandom(10) < faults.lateWritesPerTen()) {
                 schedule(
-                        2 + draw(100) / 10.0,
-                        () -> lateWrites += apply(conditions, puts) > 0 ? 1 : 0);
+                        2 + nextRandom(100) / 10.0,
+                        () -> lateWrites += apply(conditions, mutations) > 0 ? 1 : 0);
                 timeOut(handler);
-            } else if (!isRefusing() && draw(10) < faults.lostResponsesPerTen()) {
-                schedule(delay(), () -> lostResponses += apply(conditions, puts) > 0 ? 1 : 0);
+            } else if (!isUnreachable() && nextRandom(10) < faults.lostResponsesPerTen()) {
+                schedule(delay(), () -> lostResponses += apply(conditions, mutations) > 0 ? 1 : 0);
                 timeOut(handler);
             } else {
-                handle(handler, () -> answer(handler, execute(conditions, puts)));
+                process(handler, () -> respond(handler, execute(conditions, mutations)));
             }
         }
 
         private void timeOut(Consumer<StateStoreResult<Long>> handler) {
             schedule(
-                    TIMEOUT_SECONDS, () -> handler.accept(new StateStoreResult.OutcomeUnknown<>()));
+                    REQUEST_TIMEOUT_SECONDS,
+                    () -> handler.accept(new StateStoreResult.OutcomeUnknown<>()));
         }
 
         private StateStoreResult<Long> execute(
-                List<VersionCondition> conditions, List<RecordMutation> puts) {
-            if (!writeRateLimit.tryAcquire(puts.size(), now)) {
+                List<VersionCondition> conditions, List<RecordMutation> mutations) {
+            if (!writeRateLimit.tryAcquire(mutations.size(), nowSeconds)) {
                 rateLimitedWrites++;
                 return new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED);
             }
-            long appliedAt = apply(conditions, puts);
-            if (appliedAt > 0) {
-                return new StateStoreResult.Success<>(appliedAt);
+            long appliedRevision = apply(conditions, mutations);
+            if (appliedRevision > 0) {
+                return new StateStoreResult.Success<>(appliedRevision);
             }
             List<String> failed =
                     conditions.stream()
@@ -373,13 +383,13 @@
         return version(condition.key()) == condition.version();
     }
 
-    /** Returns the new revision, or 0 if a condition does not hold. */
-    private long apply(List<VersionCondition> conditions, List<RecordMutation> puts) {
+    /** Applies a transaction. Returns the new revision, or 0 if a condition does not hold. */
+    private long apply(List<VersionCondition> conditions, List<RecordMutation> mutations) {
         if (!conditions.stream().allMatch(this::isMet)) {
             return 0;
         }
         revision++;
-        for (RecordMutation mutation : puts) {
+        for (RecordMutation mutation : mutations) {
             Item item = new Item(mutation.key(), mutation.value(), revision);
             stored.put(mutation.key(), item);
             changes.add(item);
--- a/src/test/java/io/kelphoist/wire/MessageCodecTest.java
+++ b/src/test/java/io/kelphoist/wire/MessageCodecTest.java
@@ -23,7 +23,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages from users and workers, well-formed and malformed. */
+/**
+ * Tests the decoding of valid and malformed messages from users and workers, and the encoding of
+ * commands.
+ */
 class MessageCodecTest {
     private static final String HEARTBEAT =
             """
@@ -33,7 +36,7 @@
                        {"frond":"job-000398/0","cast":1,"sway":"exited","wreck":"stopped","stored":true}]}""";
 
     @Test
-    void readsJob() throws MalformedMessageException {
+    void decodesJob() throws MalformedMessageException {
         JobSpec job = JobCodec.decodeJob(cbor(GANG_JOB));
         assertEquals(JobKind.GANG, job.kind());
         assertEquals(16, job.tasks());
@@ -86,7 +89,7 @@
                 "\"landfall_s\":-5",
                 "\"landfall_s\":\"soon\""
             })
-    void refusesInvalidFields(String field) throws MalformedMessageException {
+    void rejectsInvalidFields(String field) throws MalformedMessageException {
         ObjectNode message = cbor(GANG_JOB);
         ObjectNode invalid = cbor("{" + field + "}");
         message.setAll(invalid);
@@ -95,7 +98,7 @@
 
     @ParameterizedTest
     @ValueSource(doubles = {Double.NaN, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, -1})
-    void refusesInvalidAmounts(double amount) throws MalformedMessageException {
+    void rejectsInvalidAmounts(double amount) throws MalformedMessageException {
         ObjectNode message = cbor(GANG_JOB);
         message.put("accelerators", amount);
         byte[] sent = MessageEncoding.encodeCbor(message);
@@ -105,7 +108,7 @@
     }
 
     @Test
-    void refusesBodiesThatAreNotMaps() {
+    void rejectsBodiesThatAreNotMaps() {
         for (byte[] body :
                 new byte[][] {
                     {},
@@ -120,18 +123,21 @@
     }
 
     @Test
-    void refusesDeepNesting() {
+    void rejectsDeepNesting() {
         byte[] nested = new byte[50_000];
         java.util.Arrays.fill(nested, (byte) 0x81);
         assertThrows(MalformedMessageException.class, () -> MessageEncoding.decodeCbor(nested));
     }
 
-    /** Altered bytes end in MalformedMessageException or in a message, never in anything else. */
+    /**
+     * Corrupted bytes are either decoded or rejected with MalformedMessageException; no other
+     * exception is thrown.
+     */
     @Test
-    void refusesOrDecodesAlteredBytes() throws MalformedMessageException {
+    void rejectsOrDecodesAlteredBytes() throws MalformedMessageException {
         byte[] valid = MessageEncoding.encodeCbor(cbor(HEARTBEAT));
         Random random = new Random(7);
-        int refused = 0;
+        int rejected = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] altered = valid.clone();
             for (int changes = random.nextInt(4); changes >= 0; changes--) {
@@ -140,14 +146,16 @@
             try {
                 WorkerCodec.decodeHeartbeat(MessageEncoding.decodeCbor(altered));
             } catch (MalformedMessageException e) {
-                refused++;
+                rejected++;
             }
         }
-        assertTrue(refused > 5_000, "refused " + refused);
+        assertTrue(
+                rejected > 5_000,
+                "expected more than 5000 of 20000 messages to be rejected, was " + rejected);
     }
 
     @Test
-    void readsHeartbeat() throws MalformedMessageException {
+    void decodesHeartbeat() throws MalformedMessageException {
         Heartbeat heartbeat = WorkerCodec.decodeHeartbeat(cbor(HEARTBEAT));
         assertEquals(88, heartbeat.sequenceNumber());
         assertNull(heartbeat.terminationNoticeSeconds());
@@ -159,8 +167,8 @@
     }
 
     @Test
-    void writesCommands() throws MalformedMessageException {
-        ObjectNode answer =
+    void encodesCommands() throws MalformedMessageException {
+        ObjectNode response =
                 WorkerCodec.encodeHeartbeatResponse(
                         41,
                         List.of(
@@ -172,6 +180,7 @@
                         """
                 {"helm":41,"calls":[{"call":"start","frond":"job-1/4","cast":2},{"call":"halt","frond":"job-2/1","cast":1,"slack_s":10.0},
                  {"call":"clear","frond":"job-3/0","cast":1}]}""");
-        assertArrayEquals(MessageEncoding.encodeJson(expected), MessageEncoding.encodeJson(answer));
+        assertArrayEquals(
+                MessageEncoding.encodeJson(expected), MessageEncoding.encodeJson(response));
     }
 }
