--- a/src/main/java/io/kelphoist/config/OperatorSettings.java
+++ b/src/main/java/io/kelphoist/config/OperatorSettings.java
@@ -10,7 +10,7 @@
  *
  * @param leaderLeaseMillis time to live of the leader's lease at the state store
  * @param grantMillis how long a controller's grant lasts not to lead
- * @param offerSeconds how long an unanswered offer stands before it is rescinded
+ * @param machineHoldBackoffSeconds how long an unanswered offer stands before it is rescinded
  * @param localityWaitSeconds longest wait of an array task for a machine that caches its image
  * @param machineHoldSeconds how long a machine is held for a task that fits nowhere
  * @param gangHoldSeconds how long resources are held for a gang that is not yet complete
@@ -27,7 +27,7 @@
 public record OperatorSettings(
         int leaderLeaseMillis,
         int grantMillis,
-        double offerSeconds,
+        double machineHoldBackoffSeconds,
         double localityWaitSeconds,
         double machineHoldSeconds,
         double gangHoldSeconds,
@@ -42,7 +42,7 @@
             new OperatorSettings(
                     /* leaderLeaseMillis= */ 3000,
                     /* grantMillis= */ 1500,
-                    /* offerSeconds= */ 5,
+                    /* machineHoldBackoffSeconds= */ 5,
                     /* localityWaitSeconds= */ 3,
                     /* machineHoldSeconds= */ 20,
                     /* gangHoldSeconds= */ 15,
@@ -112,7 +112,7 @@
         return new OperatorSettings(
                 leaderLeaseMillis,
                 grantMillis,
-                offerSeconds,
+                machineHoldBackoffSeconds,
                 localityWaitSeconds,
                 machineHoldSeconds,
                 gangHoldSeconds,
@@ -134,7 +134,7 @@
                 settings.workers().heartbeatIntervalSeconds(),
                 settings.workers().leaseSeconds(),
                 settings.workers().gangPeerSeconds(),
-                offerSeconds,
+                machineHoldBackoffSeconds,
                 localityWaitSeconds,
                 machineHoldSeconds,
                 gangHoldSeconds,
--- a/src/main/java/io/kelphoist/controller/ControllerMetrics.java
+++ b/src/main/java/io/kelphoist/controller/ControllerMetrics.java
@@ -88,7 +88,7 @@
         registerCounter(
                 "kelphoist.orders.unanswered",
                 "Commands sent to workers that nobody answered",
-                ControllerCounters::unansweredCommands);
+                ControllerCounters::commandsWithUnknownOutcome);
         registerCounter(
                 "kelphoist.messages.bad",
                 "Messages and responses that could not be decoded",
@@ -233,7 +233,7 @@
         registerCounter(
                 "kelphoist.questions",
                 "Heartbeats that a new leader requested from machines",
-                ControllerCounters::heartbeatRequests);
+                ControllerCounters::statusRequests);
         for (PromotionCheck check : PromotionCheck.values()) {
             Gauge.builder(
                             "kelphoist.standby.check.seconds",
--- a/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
+++ b/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
@@ -58,7 +58,7 @@
      * the commands of earlier leaders.
      */
     void requestHeartbeat(Machine machine, long agentEpoch) {
-        context.counters().onHeartbeatRequested();
+        context.counters().onStatusRequested();
         send(
                 machine,
                 Math.max(MIN_AGENT_EPOCH, agentEpoch),
@@ -150,7 +150,7 @@
         }
         schedulerState.onCommandOutcome(machineName, outcome, heartbeat, context.nowSeconds());
         if (outcome == DeliveryOutcome.NO_RESPONSE) {
-            context.counters().onCommandsUnanswered();
+            context.counters().onCommandOutcomeUnknown();
         }
         context.requestTick().run();
     }
--- a/src/main/java/io/kelphoist/metrics/ControllerCounters.java
+++ b/src/main/java/io/kelphoist/metrics/ControllerCounters.java
@@ -13,8 +13,8 @@
     private volatile long delegatedRenewals;
     private volatile long withheldResponses;
     private volatile long commandsSent;
-    private volatile long unansweredCommands;
-    private volatile long heartbeatRequests;
+    private volatile long commandsWithUnknownOutcome;
+    private volatile long statusRequests;
     private volatile long reachabilityProbes;
     private volatile long malformedMessages;
     private volatile long unexpectedErrors;
@@ -51,13 +51,13 @@
     }
 
     /** Nobody knows whether commands that were sent reached their worker. */
-    public void onCommandsUnanswered() {
-        unansweredCommands++;
+    public void onCommandOutcomeUnknown() {
+        commandsWithUnknownOutcome++;
     }
 
     /** A new leader asks a machine for a heartbeat. */
-    public void onHeartbeatRequested() {
-        heartbeatRequests++;
+    public void onStatusRequested() {
+        statusRequests++;
     }
 
     /** The leader checks whether a machine can be reached. */
@@ -125,13 +125,13 @@
     }
 
     /** Commands whose delivery is unknown. */
-    public long unansweredCommands() {
-        return unansweredCommands;
+    public long commandsWithUnknownOutcome() {
+        return commandsWithUnknownOutcome;
     }
 
     /** Heartbeats requested by a new leader. */
-    public long heartbeatRequests() {
-        return heartbeatRequests;
+    public long statusRequests() {
+        return statusRequests;
     }
 
     /** Probes of whether a machine receives commands. */
