--- a/src/main/java/io/kelphoist/config/CursorKeyFile.java
+++ b/src/main/java/io/kelphoist/config/CursorKeyFile.java
@@ -8,11 +8,11 @@
 import java.util.List;
 
 /**
- * Reads the keys that sign cursors: a line for each, with its id and its secret in base64. Blank
- * lines and those that begin with # are comments.
+ * Reads the keys that sign cursors from a file. Each line has the id of a key and its secret in
+ * base64. Blank lines and lines that begin with # are ignored.
  */
 final class CursorKeyFile {
-    /** Shorter secrets could be guessed. */
+    /** A shorter secret could be guessed. */
     private static final int MIN_SECRET_BYTES = 16;
 
     private static final int MAX_KEY_ID = 255;
@@ -23,7 +23,8 @@
     /**
      * Reads a key file.
      *
-     * @param settingsFile the file that names the key file, for errors
+     * @param settingsFile the settings file that names the key file, for errors
+     * @throws InvalidSettingsException if a line is not a key, or there are too few or too many
      */
     static List<GrpcSettings.CursorKey> read(Path settingsFile, Path keyFile)
             throws InvalidSettingsException {
@@ -42,19 +43,24 @@
                     keyFile.getFileName()
                             + " line "
                             + lineNumber
-                            + " is not a number (0 to 255, each once) and a secret of "
+                            + " is not a cursor key: expected an id (0 to 255, each once) and a"
+                            + " secret of "
                             + MIN_SECRET_BYTES
                             + " bytes or more in base64");
         }
         if (keys.isEmpty() || keys.size() > MAX_KEYS) {
             throw invalid(
                     settingsFile,
-                    keyFile.getFileName() + " has " + keys.size() + " keys, 1 or 2 are needed");
+                    keyFile.getFileName() + " has " + keys.size() + " keys, expected 1 or 2");
         }
         return List.copyOf(keys);
     }
 
-    /** Throws an {@link IllegalArgumentException} if the line is no key, or its id is taken. */
+    /**
+     * Parses a line.
+     *
+     * @throws IllegalArgumentException if the line is not a key, or its id is that of another key
+     */
     private static GrpcSettings.CursorKey parse(String line, List<GrpcSettings.CursorKey> others) {
         String[] words = line.trim().split("\\s+", -1);
         int id = Integer.parseInt(words[0]);
@@ -63,7 +69,7 @@
                 || id > MAX_KEY_ID
                 || secret.length < MIN_SECRET_BYTES
                 || others.stream().anyMatch(key -> key.id() == id)) {
-            throw new IllegalArgumentException("not a cursor key");
+            throw new IllegalArgumentException("invalid id or secret of a cursor key");
         }
         return new GrpcSettings.CursorKey(id, secret);
     }
--- a/src/main/java/io/kelphoist/config/GrpcSettings.java
+++ b/src/main/java/io/kelphoist/config/GrpcSettings.java
@@ -7,20 +7,22 @@
 import java.util.Optional;
 
 /**
- * Settings of the gRPC server, which takes submissions and streams job events.
+ * Settings of the gRPC server, which accepts submissions and streams job events.
  *
- * @param listenAddress where the server listens
- * @param cursorKeys the first one signs cursors, all of them verify
- * @param tls empty: no TLS, which is allowed on loopback alone
+ * @param listenAddress host and port on which the server listens
+ * @param cursorKeys the first key signs cursors, and each of them verifies cursors
+ * @param tls empty: no TLS, which is allowed only on loopback
  * @param accessByClient teams that a client may act for, by the common name of its certificate;
- *     other clients may do nothing. Empty: every client may do everything
- * @param maxStreams event streams in all
- * @param maxStreamsPerClient event streams of one client
- * @param maxBufferedEvents events that wait for one stream; beyond that, only the latest event of
- *     each job is kept
- * @param maxRetainedEndedJobs ended jobs whose events are kept for clients that resume a stream
- * @param stallTimeoutSeconds a stream that has events to take and takes none for this long is ended
- * @param submissionsPerSecondPerTeam rate limit of submissions
+ *     other clients have no access. Empty: every client has access to everything
+ * @param maxStreams bound on the open event streams of a controller
+ * @param maxStreamsPerClient bound on the open event streams of one client
+ * @param maxBufferedEvents bound on the events that wait for one stream; above it, only the latest
+ *     event of each job is kept
+ * @param maxRetainedEndedJobs number of ended jobs whose events are kept for clients that resume a
+ *     stream
+ * @param stallTimeoutSeconds a stream with pending events is ended if its client receives none of
+ *     them for this long
+ * @param submissionsPerSecondPerTeam rate limit of each team's submissions
  */
 public record GrpcSettings(
         HostAndPort listenAddress,
@@ -33,12 +35,12 @@
         int maxRetainedEndedJobs,
         double stallTimeoutSeconds,
         double submissionsPerSecondPerTeam) {
-    /** Returns a builder of settings without TLS; the limits have to be set. */
+    /** Returns a builder of settings without TLS. All limits are 0 until they are set. */
     public static Builder builder(HostAndPort listenAddress, List<CursorKey> cursorKeys) {
         return new Builder(listenAddress, cursorKeys);
     }
 
-    /** Builds settings with a name for each value. */
+    /** Builds settings by a method for each value. */
     public static final class Builder {
         private final HostAndPort listenAddress;
         private final List<CursorKey> cursorKeys;
@@ -128,14 +130,14 @@
         /**
          * Creates a key.
          *
-         * @param id 0 to 255
+         * @param id number of the key, 0 to 255
          */
         public CursorKey(int id, byte[] secret) {
             this.id = id;
             this.secret = secret.clone();
         }
 
-        /** Returns the id by which a cursor names the key. */
+        /** Returns the id of the key, which a cursor contains. */
         public int id() {
             return id;
         }
@@ -147,8 +149,10 @@
     }
 
     /**
-     * Files in PEM format.
+     * Files in PEM format for TLS.
      *
+     * @param certificate the server's certificate
+     * @param key the private key of the certificate
      * @param clientCa authorities of client certificates; empty: clients need no certificate
      */
     public record Tls(Path certificate, Path key, Optional<Path> clientCa) {}
--- a/src/main/java/io/kelphoist/config/GrpcSettingsReader.java
+++ b/src/main/java/io/kelphoist/config/GrpcSettingsReader.java
@@ -21,13 +21,19 @@
     /**
      * Creates a reader.
      *
-     * @param file the settings file; files that it names are relative to its directory
+     * @param file the settings file; paths in it are relative to its directory
+     * @param grpc the parsed field {@code grpc} of the file
      */
     GrpcSettingsReader(Path file, Grpc grpc) {
         this.file = file;
         this.grpc = grpc;
     }
 
+    /**
+     * Checks the fields and returns the settings.
+     *
+     * @throws InvalidSettingsException if a field is invalid, or a file that it names can't be read
+     */
     GrpcSettings read() throws InvalidSettingsException {
         HostAndPort listenAddress = readListenAddress();
         Optional<GrpcSettings.Tls> tls = readTls(listenAddress);
@@ -81,7 +87,8 @@
         if (!isLoopback(host)) {
             throw invalid(
                     "grpc.tls",
-                    "is missing: without it only loopback is served, and " + host + " is not");
+                    "is missing: required because grpc.listen is not a loopback address but "
+                            + host);
         }
         return Optional.empty();
     }
@@ -101,10 +108,11 @@
             String path = "grpc.clients[" + accessByClient.size() + "]";
             String name = client.getName();
             if (name.isEmpty() || accessByClient.containsKey(name)) {
-                throw invalid(path + ".name", "'" + name + "' is empty or there twice");
+                throw invalid(
+                        path + ".name", "'" + name + "' is empty or the name of an earlier client");
             }
             if (client.getAllTeams() == (client.getTeamsCount() > 0)) {
-                throw invalid(path, "needs teams or all_teams, and not both");
+                throw invalid(path, "expected either teams or all_teams, found both or neither");
             }
             accessByClient.put(
                     name,
@@ -115,7 +123,7 @@
         if (!accessByClient.isEmpty() && tls.flatMap(GrpcSettings.Tls::clientCa).isEmpty()) {
             throw invalid(
                     "grpc.clients",
-                    "are known by their certificates: grpc.tls.client_ca is missing");
+                    "are identified by their certificates, but grpc.tls.client_ca is missing");
         }
         return accessByClient;
     }
@@ -126,7 +134,7 @@
         }
         Path path = file.toAbsolutePath().resolveSibling(name);
         if (!Files.isReadable(path)) {
-            throw invalid(field, "'" + name + "' can't be read");
+            throw invalid(field, "the file '" + path + "' can't be read");
         }
         return path;
     }
--- a/src/main/java/io/kelphoist/config/InvalidSettingsException.java
+++ b/src/main/java/io/kelphoist/config/InvalidSettingsException.java
@@ -1,6 +1,9 @@
 package io.kelphoist.config;
 
-/** A settings file or a command-line option that cannot be used. Its text is for the operator. */
+/**
+ * Thrown for a settings file or a command-line option that is invalid. The operator gets its
+ * message.
+ */
 public final class InvalidSettingsException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -8,8 +11,8 @@
      * Creates an exception.
      *
      * @param file the file or the option
-     * @param field path of the field that is wrong; empty if the file as a whole is
-     * @param reason what is wrong with the field
+     * @param field path of the invalid field; empty if the file as a whole is invalid
+     * @param reason what was found in the field and what was expected
      */
     public InvalidSettingsException(String file, String field, String reason) {
         super(file + ": " + (field.isEmpty() ? "" : field + ": ") + reason);
--- a/src/main/java/io/kelphoist/config/JsonSettings.java
+++ b/src/main/java/io/kelphoist/config/JsonSettings.java
@@ -11,53 +11,63 @@
 import java.util.List;
 
 /**
- * One object of a settings file in JSON. Knows its path, so that errors name the field that is
- * wrong. A field that is null counts as missing.
+ * One object of a settings file in JSON. It has its path in the file, so that errors name the
+ * invalid field. A field whose value is null is treated as missing.
  *
  * @param file the file, for errors
- * @param path path of this object with a dot at the end, empty for the file as a whole
+ * @param path path of this object with a dot at the end; empty for the file as a whole
  */
 record JsonSettings(String file, String path, JsonNode node) {
-    /** Reads a file that holds one object. */
+    /**
+     * Reads a file that contains one object.
+     *
+     * @throws InvalidSettingsException if the file can't be read or does not contain an object
+     */
     static JsonSettings read(Path file) throws InvalidSettingsException {
         JsonNode root;
         try {
             root = new ObjectMapper().readTree(Files.readAllBytes(file));
         } catch (JsonProcessingException e) {
-            String position = e.getLocation() == null ? "?" : "line " + e.getLocation().getLineNr();
+            String position =
+                    e.getLocation() == null
+                            ? "an unknown line"
+                            : "line " + e.getLocation().getLineNr();
             throw new InvalidSettingsException(file.toString(), "", "not JSON at " + position);
         } catch (IOException e) {
-            throw new InvalidSettingsException(file.toString(), "", "can't be read");
+            throw new InvalidSettingsException(file.toString(), "", "can't be read: " + e);
         }
         if (root == null || !root.isObject()) {
-            throw new InvalidSettingsException(file.toString(), "", "not a map");
+            throw new InvalidSettingsException(
+                    file.toString(), "", "not a map: expected a JSON object");
         }
         return new JsonSettings(file.toString(), "", root);
     }
 
+    /** Returns whether there is a field with this name. */
     boolean has(String name) {
         return node.hasNonNull(name);
     }
 
-    /** Returns whether there is an object with this name and a field in it. */
+    /** Returns whether there is an object with the first name, with a field of the second name. */
     boolean has(String objectName, String name) {
         return node.path(objectName).hasNonNull(name);
     }
 
-    /** Returns a text that may be missing, then as an empty one. */
+    /** Returns a text, or an empty one if the field is missing. */
     String textOrEmpty(String name) {
         return node.path(name).asText("");
     }
 
+    /** Returns a text, which must not be empty. */
     String text(String name) throws InvalidSettingsException {
         JsonNode value = require(name);
         if (!value.isTextual() || value.textValue().isEmpty()) {
-            throw invalid(name, "is not text");
+            throw invalid(name, "is not text: expected a non-empty string, found " + value);
         }
         return value.textValue();
     }
 
-    /** Returns a host and a port, as they are written. */
+    /** Returns an address of the form host:port, unchanged. */
     String address(String name) throws InvalidSettingsException {
         String value = text(name);
         if (!isAddress(value)) {
@@ -82,24 +92,27 @@
         JsonNode value = node.get(name);
         double number = value.isNumber() ? value.doubleValue() : Double.NaN;
         if (!Double.isFinite(number) || number < 0) {
-            throw invalid(name, "is not an amount");
+            throw invalid(
+                    name, "is not an amount: expected a number of at least 0, found " + value);
         }
         return number;
     }
 
+    /** Returns a finite number above zero. */
     double positive(String name) throws InvalidSettingsException {
         require(name);
         double number = nonNegative(name);
         if (number <= 0) {
-            throw invalid(name, "is not positive");
+            throw invalid(name, "is not positive: expected a number above 0, found " + number);
         }
         return number;
     }
 
+    /** Returns the object in a field. */
     JsonSettings object(String name) throws InvalidSettingsException {
         JsonNode value = require(name);
         if (!value.isObject()) {
-            throw invalid(name, "is not a map");
+            throw invalid(name, "is not a map: expected a JSON object, found " + value);
         }
         return new JsonSettings(file, path + name + ".", value);
     }
@@ -114,18 +127,23 @@
         return elements;
     }
 
+    /** Returns the elements of a list of texts. */
     List<String> texts(String name) throws InvalidSettingsException {
         JsonNode value = requireList(name);
         List<String> texts = new ArrayList<>(value.size());
         for (JsonNode element : value) {
             if (!element.isTextual()) {
-                throw invalid(name, "holds something that is not text");
+                throw invalid(
+                        name,
+                        "holds something that is not text: expected only strings, found "
+                                + element);
             }
             texts.add(element.textValue());
         }
         return texts;
     }
 
+    /** Returns the exception for an invalid field of this object. */
     InvalidSettingsException invalid(String name, String reason) {
         return new InvalidSettingsException(file, path + name, reason);
     }
@@ -133,7 +151,7 @@
     private JsonNode requireList(String name) throws InvalidSettingsException {
         JsonNode value = require(name);
         if (!value.isArray()) {
-            throw invalid(name, "is not a list");
+            throw invalid(name, "is not a list: expected a JSON array, found " + value);
         }
         return value;
     }
--- a/src/main/java/io/kelphoist/config/OperatorSettings.java
+++ b/src/main/java/io/kelphoist/config/OperatorSettings.java
@@ -6,23 +6,27 @@
 import java.util.Optional;
 
 /**
- * The operators' own settings. All of them are optional; {@link #DEFAULTS} holds without a file.
+ * The operators' settings of a controller. All of them are optional; {@link #DEFAULTS} are used
+ * without a settings file.
  *
- * @param leaderLeaseMillis time to live of the leader's lease at the state store
- * @param grantMillis how long a controller's grant lasts not to lead
- * @param machineHoldBackoffSeconds how long an unanswered offer stands before it is rescinded
+ * @param leaderLeaseMillis time to live of the leader lease at the state store
+ * @param grantMillis how long a grant lasts, a controller's promise not to lead
+ * @param machineHoldBackoffSeconds pause after an expired machine hold before a machine is held
+ *     again for the same job
  * @param localityWaitSeconds longest wait of an array task for a machine that caches its image
- * @param machineHoldSeconds how long a machine is held for a task that fits nowhere
- * @param gangHoldSeconds how long resources are held for a gang that is not yet complete
- * @param headroom free resources kept on on-demand machines, as a share of the machines in use
- * @param idleSeconds how long a machine may idle before it is terminated
- * @param leaseDelegation whether a controller in a partitioned zone goes on renewing the leases of
- *     the workers there
+ * @param machineHoldSeconds longest time for which a machine is held for a task that fits on no
+ *     machine yet
+ * @param gangHoldSeconds longest time for which resources are reserved for a gang before there are
+ *     enough for all its tasks
+ * @param headroom free resources to keep on on-demand machines, as a share of the machines in use
+ * @param idleSeconds how long a machine is idle before it is terminated
+ * @param leaseDelegation whether leaders delegate lease renewals, so that a controller in a
+ *     partitioned zone goes on renewing the leases of the workers there
  * @param standby whether the leader replicates the state of machines to the other controllers, and
- *     a new leader begins with it
+ *     a new leader starts with that state
  * @param grpc empty: gRPC is not served
- * @param traceCollector address of a collector that takes OTLP over HTTP; an empty text: traces are
- *     logged; no text: there are none
+ * @param traceCollector URL of a collector that receives OTLP over HTTP; an empty text: traces are
+ *     logged; no value: there are no traces
  */
 public record OperatorSettings(
         int leaderLeaseMillis,
@@ -37,7 +41,7 @@
         boolean standby,
         Optional<GrpcSettings> grpc,
         Optional<String> traceCollector) {
-    /** What holds without a settings file. */
+    /** The settings of a controller without a settings file. */
     public static final OperatorSettings DEFAULTS =
             new OperatorSettings(
                     /* leaderLeaseMillis= */ 3000,
@@ -57,26 +61,29 @@
     private static final String STANDBY_FEATURE = "standby";
 
     /**
-     * Features that can be enabled without a settings file, since reading one takes a third of the
-     * time to start.
+     * Features that can be enabled on the command line, without a settings file: reading one takes
+     * a third of the start-up time.
      */
     public static final List<String> FEATURES = List.of(LEASE_DELEGATION_FEATURE, STANDBY_FEATURE);
 
     private static final int BYTES_PER_KILOBYTE = 1024;
 
-    /** Kept free in each value at the state store. */
+    /** Part of the state store's limit on the size of a value that records do not use. */
     private static final int RESERVED_VALUE_BYTES = 128;
 
-    /** Share of the state store's write limit for pages of starts, which tasks wait for. */
+    /**
+     * Share of the state store's write limit for pages of start records. A task starts only after
+     * the page with its start is stored.
+     */
     private static final double STARTS_WRITE_SHARE = 1 / 3.0;
 
-    /** Share of the state store's write limit for pages of done tasks. */
+    /** Share of the state store's write limit for pages of progress records (done tasks). */
     private static final double PROGRESS_WRITE_SHARE = 1 / 15.0;
 
     /**
-     * Reads a settings file in protobuf's text format. Unknown fields are ignored.
+     * Reads a settings file in the protobuf text format. Unknown fields are ignored.
      *
-     * @throws InvalidSettingsException if the file cannot be read or a field is wrong
+     * @throws InvalidSettingsException if the file can't be read or a field is invalid
      */
     public static OperatorSettings read(Path file) throws InvalidSettingsException {
         return OperatorSettingsReader.read(file);
@@ -85,7 +92,7 @@
     /**
      * Returns these settings with features enabled.
      *
-     * @throws InvalidSettingsException if a name is none of {@link #FEATURES}
+     * @throws InvalidSettingsException if a name is not among {@link #FEATURES}
      */
     public OperatorSettings withFeatures(List<String> features) throws InvalidSettingsException {
         for (String feature : features) {
@@ -93,7 +100,7 @@
                 throw new InvalidSettingsException(
                         "--on",
                         feature,
-                        "there is no such part, only " + String.join(", ", FEATURES));
+                        "unknown feature, expected one of " + String.join(", ", FEATURES));
             }
         }
         return with(
@@ -124,7 +131,7 @@
                 traceCollector);
     }
 
-    /** Returns what the scheduler needs to know of these and the platform's settings. */
+    /** Returns the scheduler's policy, which follows from these and the platform's settings. */
     public SchedulingPolicy toPolicy(PlatformSettings settings) {
         PlatformSettings.StateLimits limits = settings.stateLimits();
         double valueBytes = limits.maxValueKilobytes() * BYTES_PER_KILOBYTE;
--- a/src/main/java/io/kelphoist/config/OperatorSettingsReader.java
+++ b/src/main/java/io/kelphoist/config/OperatorSettingsReader.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-/** Reads {@link OperatorSettings} from a file in protobuf's text format. */
+/** Reads {@link OperatorSettings} from a file in the protobuf text format. */
 final class OperatorSettingsReader {
     private final Path file;
 
@@ -15,6 +15,11 @@
         this.file = file;
     }
 
+    /**
+     * Reads a settings file. Unknown fields are ignored.
+     *
+     * @throws InvalidSettingsException if the file can't be read or a field is invalid
+     */
     static OperatorSettings read(Path file) throws InvalidSettingsException {
         OperatorSettingsReader reader = new OperatorSettingsReader(file);
         return reader.toSettings(reader.parse());
@@ -30,7 +35,7 @@
         } catch (TextFormat.ParseException e) {
             throw invalid("line " + e.getLine(), e.getMessage());
         } catch (IOException e) {
-            throw invalid("", "can't be read");
+            throw invalid("", "can't be read: " + e);
         }
         return builder.build();
     }
@@ -57,7 +62,9 @@
 
     private String collectorAddress(String otlp) throws InvalidSettingsException {
         if (!otlp.isEmpty() && !otlp.matches("https?://[^/\\s]+(/\\S*)?")) {
-            throw invalid("trace.otlp", "'" + otlp + "' is not an http address");
+            throw invalid(
+                    "trace.otlp",
+                    "'" + otlp + "' is not an HTTP URL such as http://host:4318/v1/traces");
         }
         return otlp;
     }
@@ -71,7 +78,11 @@
         return requireInRange(file, field, value, min, max);
     }
 
-    /** Returns a value if it is within bounds, both inclusive. */
+    /**
+     * Returns a value that is within bounds, both inclusive.
+     *
+     * @throws InvalidSettingsException if the value is out of bounds
+     */
     static double requireInRange(Path file, String field, double value, double min, double max)
             throws InvalidSettingsException {
         if (!(value >= min && value <= max)) {
--- a/src/main/java/io/kelphoist/config/PlatformSettings.java
+++ b/src/main/java/io/kelphoist/config/PlatformSettings.java
@@ -7,19 +7,22 @@
 import java.util.Map;
 
 /**
- * What the platform tells a controller about itself, its peers and the systems it depends on.
+ * The platform's settings of a controller: its addresses, its peers, and the systems that it
+ * depends on with their limits.
  *
  * @param node name of this controller
- * @param zone zone of this controller; empty if not known
- * @param listenAddress host and port for users and workers
- * @param peerListenAddress host and port for the other controllers
+ * @param zone zone of this controller; empty if unknown
+ * @param listenAddress host and port on which this controller listens for users and workers
+ * @param peerListenAddress host and port on which it listens for the other controllers
  * @param peers the other controllers
  * @param cloudAddress host and port of the cloud
  * @param stateAddress host and port of the state store
- * @param zones zones in which machines can be had
- * @param startObjectiveSeconds by job class: the time in which tasks are expected to start
- * @param socketLimit most sockets that this process may have open
- * @param clockErrorMillis how far the wall clocks of two controllers may be apart
+ * @param zones zones in which the cloud offers machines
+ * @param teams the teams that may submit jobs, with their quotas
+ * @param startObjectiveSeconds by job class, the time within which tasks should start
+ * @param socketLimit bound on the sockets that this process has open
+ * @param clockErrorMillis largest error of a controller's wall clock; the clocks of two controllers
+ *     may differ by twice as much
  */
 public record PlatformSettings(
         String node,
@@ -41,18 +44,20 @@
     /**
      * Another controller.
      *
-     * @param zone empty if not known
-     * @param address host and port
+     * @param node its name
+     * @param zone its zone; empty if unknown
+     * @param address host and port on which it listens for controllers
      */
     public record Peer(String node, String zone, String address) {}
 
     /**
-     * How workers behave.
+     * The intervals and timeouts of workers.
      *
+     * @param heartbeatIntervalSeconds time between two heartbeats of a worker
      * @param leaseSeconds a worker stops its tasks this long after the last renewal of its lease
-     * @param gangWaitSeconds how long a task of a gang waits for the others to start
-     * @param gangPeerSeconds how long the end of a gang's tasks may take once one of them is lost
-     * @param cancelSeconds time within which a cancellation must show
+     * @param gangWaitSeconds how long a task of a gang waits for the other tasks to start
+     * @param gangPeerSeconds how long after the loss of one task of a gang its other tasks may run
+     * @param cancelSeconds time from a cancellation until all tasks of the job must have ended
      */
     public record Workers(
             double heartbeatIntervalSeconds,
@@ -61,7 +66,10 @@
             double gangPeerSeconds,
             double cancelSeconds) {}
 
-    /** Limits of the state store that hold both now and after they have changed. */
+    /**
+     * Limits of the state store. Each is the smaller of the current limit and the announced next
+     * one, so that it can be kept to before and after the change.
+     */
     public record StateLimits(
             double requestsPerSecond,
             double writesPerSecond,
@@ -71,14 +79,14 @@
     /**
      * Limits of the cloud.
      *
-     * @param listLagSeconds how late the list of instances may be
+     * @param listLagSeconds how long the instance list may take to show a change
      */
     public record CloudLimits(double requestsPerSecond, double listLagSeconds) {}
 
     /**
      * Reads a settings file in JSON. Unknown fields are ignored.
      *
-     * @throws InvalidSettingsException if the file cannot be read or a field is wrong
+     * @throws InvalidSettingsException if the file can't be read or a field is invalid
      */
     public static PlatformSettings read(Path file) throws InvalidSettingsException {
         return PlatformSettingsReader.read(file);
@@ -91,7 +99,7 @@
         return zonesByNode;
     }
 
-    /** Returns the number of all controllers, with this one. */
+    /** Returns the number of controllers, including this one. */
     public int controllerCount() {
         return peers.size() + 1;
     }
--- a/src/main/java/io/kelphoist/config/PlatformSettingsReader.java
+++ b/src/main/java/io/kelphoist/config/PlatformSettingsReader.java
@@ -11,15 +11,20 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads {@link PlatformSettings} from a file in JSON. Field names of the file occur only here. */
+/** Reads {@link PlatformSettings} from a file in JSON. The file's field names occur only here. */
 final class PlatformSettingsReader {
     private static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
-    /** Assumed if the platform does not say how far the clocks of its nodes may be apart. */
+    /** The clock error that is assumed if the platform's settings do not have one. */
     private static final double DEFAULT_CLOCK_ERROR_MILLIS = 1000;
 
     private PlatformSettingsReader() {}
 
+    /**
+     * Reads a settings file. Unknown fields are ignored.
+     *
+     * @throws InvalidSettingsException if the file can't be read or a field is invalid
+     */
     static PlatformSettings read(Path file) throws InvalidSettingsException {
         return readSettings(JsonSettings.read(file));
     }
@@ -62,14 +67,15 @@
         }
         Set<String> nodes = new HashSet<>();
         nodes.add(node);
-        for (JsonSettings known : root.list("known")) {
+        for (JsonSettings peerSettings : root.list("known")) {
             PlatformSettings.Peer peer =
                     new PlatformSettings.Peer(
-                            known.text("label"),
-                            known.textOrEmpty("site"),
-                            known.address("peer_addr"));
+                            peerSettings.text("label"),
+                            peerSettings.textOrEmpty("site"),
+                            peerSettings.address("peer_addr"));
             if (!nodes.add(peer.node())) {
-                throw known.invalid("label", "'" + peer.node() + "' is there twice");
+                throw peerSettings.invalid(
+                        "label", "'" + peer.node() + "' is the label of another controller");
             }
             peers.add(peer);
         }
@@ -94,8 +100,9 @@
                         maxCpus == 0 ? UNLIMITED : maxCpus,
                         maxGpus == 0 ? UNLIMITED : maxGpus,
                         UNLIMITED);
-        // A team without a guarantee must not get one of everything: a resource that is neither
-        // guaranteed nor limited counts as guaranteed only to teams that have some guarantee.
+        // A resource with neither a guarantee nor a limit is guaranteed without bound, but only to
+        // a team with some other guarantee. A team without any guarantee is a guest team, to which
+        // nothing must be guaranteed.
         Resources guarantee =
                 cpus == 0 && gpus == 0
                         ? Resources.NONE
@@ -117,8 +124,9 @@
     }
 
     /**
-     * Reads the smaller of the present limits and those that will replace them. Nobody says when
-     * that will be, and what is written by then must not be too large to be written again.
+     * Reads, for each limit, the smaller of the current value and the one that will replace it. The
+     * time of the replacement is not announced, and a value that is written before it must not be
+     * too large to be written again after it.
      */
     private static PlatformSettings.StateLimits readStateLimits(JsonSettings state)
             throws InvalidSettingsException {
@@ -130,13 +138,13 @@
                 (int) Math.max(1, smallerOf(state, next, "txn_ops")));
     }
 
-    private static double smallerOf(JsonSettings present, JsonSettings next, String name)
+    private static double smallerOf(JsonSettings current, JsonSettings next, String name)
             throws InvalidSettingsException {
-        double limit = present.positive(name);
+        double limit = current.positive(name);
         return next.has(name) ? Math.min(limit, next.positive(name)) : limit;
     }
 
-    /** Reads the shortest time, by job class, in which tasks are expected to start. */
+    /** Reads the objectives for the start of tasks; of several for a job class, the shortest. */
     private static Map<String, Double> readStartObjectives(JsonSettings cluster)
             throws InvalidSettingsException {
         Map<String, Double> objectives = new HashMap<>();
--- a/src/main/java/io/kelphoist/config/TeamAccess.java
+++ b/src/main/java/io/kelphoist/config/TeamAccess.java
@@ -2,15 +2,15 @@
 
 import java.util.Set;
 
-/** The teams that a client of the gRPC server may act for. */
+/** The teams on whose behalf a client of the gRPC server may act. */
 public sealed interface TeamAccess {
-    /** All teams, and jobs without an owner on record. */
+    /** Access to the jobs of all teams, and to jobs whose stored record has no owner. */
     record AllTeams() implements TeamAccess {}
 
     /**
-     * Some teams.
+     * Access to the jobs of some teams.
      *
-     * @param teams their names; empty for a client that may do nothing
+     * @param teams names of the teams; empty for a client without access
      */
     record NamedTeams(Set<String> teams) implements TeamAccess {}
 }
--- a/src/main/java/io/kelphoist/config/package-info.java
+++ b/src/main/java/io/kelphoist/config/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Settings files: the one that the platform hands over ({@link
- * io.kelphoist.config.PlatformSettings}), and the operators' own ({@link
- * io.kelphoist.config.OperatorSettings}).
+ * Settings files: the platform's ({@link io.kelphoist.config.PlatformSettings}) and the operators'
+ * ({@link io.kelphoist.config.OperatorSettings}).
  *
- * <p>Settings are immutable values that are read once at start. Their readers name the field that
- * is wrong. Names of fields in the files are fixed; they occur in the readers alone. The package
- * depends on the model, and must not depend on any part of the controller.
+ * <p>Settings are immutable values that are read once at start. The errors of their readers name
+ * the invalid field. The names of fields in the files are fixed and occur only in the readers. The
+ * package depends on the model and on the socket budget, and must not depend on any other part of
+ * the controller.
  */
 package io.kelphoist.config;
--- a/src/main/java/io/kelphoist/controller/JobTraceRecorder.java
+++ b/src/main/java/io/kelphoist/controller/JobTraceRecorder.java
@@ -58,12 +58,12 @@
         return "later";
     }
 
-    /** Handles the start of a term that this controller leads. */
+    /** Starts to trace the jobs of a term that this controller leads. */
     void onElected(long term) {
         tracer.onElected(term);
     }
 
-    /** Handles the end of the term that this controller led. */
+    /** Ends all open spans, as the term led here ended. */
     void onTermEnded() {
         tracer.onTermEnded(wallClockMillis.getAsLong());
     }
--- a/src/test/java/io/kelphoist/config/PlatformSettingsTest.java
+++ b/src/test/java/io/kelphoist/config/PlatformSettingsTest.java
@@ -15,7 +15,11 @@
 import org.junit.jupiter.params.provider.Arguments;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** The platform's settings file, valid and invalid, and the operators' own file. */
+/**
+ * Reading of the platform's settings file, valid and invalid, and of the operators' file. Guards
+ * against errors that do not name the invalid field, and against a field that is read with another
+ * meaning.
+ */
 class PlatformSettingsTest {
     private static final String VALID =
             """
@@ -27,6 +31,7 @@
              "state":{"rps":100,"write_rps":100,"value_kb":4,"txn_ops":8},"cloud":{"rps":5,"list_lag_s":4}}}""";
     @TempDir private Path dir;
 
+    /** Writes a settings file. */
     private Path file(String text) throws IOException {
         return Files.writeString(dir.resolve("settings"), text);
     }
@@ -39,33 +44,43 @@
         assertEquals(Double.POSITIVE_INFINITY, settings.teams().get(0).limit().cpus());
     }
 
-    /** What is replaced in valid settings, by what, and how the message ends. */
+    /** A part of the valid settings, its invalid replacement, and the end of the error message. */
     static Stream<Arguments> invalidSettings() {
         return Stream.of(
-                Arguments.of("{\"label\":\"a\"", "{\"label\":3", "label: is not text"),
+                Arguments.of(
+                        "{\"label\":\"a\"",
+                        "{\"label\":3",
+                        "label: is not text: expected a non-empty string, found 3"),
                 Arguments.of(
                         "127.0.0.1:80\"", "127.0.0.1\"", "serve_on: '127.0.0.1' is not host:port"),
                 Arguments.of("\"lease_s\":9,", "", "cluster.workers.lease_s: is missing"),
                 Arguments.of(
-                        "\"gpus\":4", "\"gpus\":-4", "cluster.teams[0].gpus: is not an amount"),
+                        "\"gpus\":4",
+                        "\"gpus\":-4",
+                        "cluster.teams[0].gpus: is not an amount: expected a number of at least 0,"
+                                + " found -4"),
                 Arguments.of(
-                        "\"label\":\"b\"", "\"label\":\"a\"", "known[0].label: 'a' is there twice"),
+                        "\"label\":\"b\"",
+                        "\"label\":\"a\"",
+                        "known[0].label: 'a' is the label of another controller"),
                 Arguments.of(
                         "\"rps\":100,\"write",
                         "\"rps\":0,\"write",
-                        "cluster.state.rps: is not positive"),
+                        "cluster.state.rps: is not positive: expected a number above 0, found 0.0"),
                 Arguments.of(
                         "\"txn_ops\":8",
                         "\"txn_ops\":8,\"next\":3",
-                        "cluster.state.next: is not a map"),
+                        "cluster.state.next: is not a map: expected a JSON object, found 3"),
                 Arguments.of(
                         "\"txn_ops\":8",
                         "\"txn_ops\":8,\"next\":{\"value_kb\":0}",
-                        "cluster.state.next.value_kb: is not positive"),
+                        "cluster.state.next.value_kb: is not positive: expected a number above 0,"
+                                + " found 0.0"),
                 Arguments.of(
                         "\"txn_ops\":8",
                         "\"txn_ops\":8,\"next\":{\"write_rps\":\"x\"}",
-                        "cluster.state.next.write_rps: is not an amount"),
+                        "cluster.state.next.write_rps: is not an amount: expected a number of at"
+                                + " least 0, found \"x\""),
                 Arguments.of("{\"label\"", "{,\"label\"", "not JSON at line 1"));
     }
 
@@ -79,7 +94,8 @@
     }
 
     /**
-     * Zeros mean no guarantee and no limit; a guarantee without limit would be one of everything.
+     * A guarantee and a limit of 0 mean that there is none. Guards against a team without any
+     * guarantee that gets an unbounded one because it has no limit either.
      */
     @Test
     void teamWithoutGuaranteeIsAGuest() throws IOException, InvalidSettingsException {
@@ -88,18 +104,26 @@
                         file(
                                 VALID.replace(
                                         "\"gpus\":4,\"gpus_max\":8", "\"gpus\":0,\"gpus_max\":0")));
-        assertTrue(settings.teams().get(0).isGuest(), "no guarantee and no limit");
+        assertTrue(
+                settings.teams().get(0).isGuest(),
+                "a team with neither guarantee nor limit is a guest");
         assertEquals(Double.POSITIVE_INFINITY, settings.teams().get(0).limit().gpus());
-        assertFalse(PlatformSettings.read(file(VALID)).teams().get(0).isGuest(), "guarantee");
+        assertFalse(
+                PlatformSettings.read(file(VALID)).teams().get(0).isGuest(),
+                "a team with a guarantee is not a guest");
         PlatformSettings limited =
                 PlatformSettings.read(file(VALID.replace("\"gpus\":4", "\"gpus\":0")));
-        assertTrue(limited.teams().get(0).isGuest(), "a limit alone");
+        assertTrue(
+                limited.teams().get(0).isGuest(),
+                "a team with a limit and no guarantee is a guest");
         assertEquals(8, limited.teams().get(0).limit().gpus());
     }
 
-    /** Limits may change at any moment: the smaller ones hold from the start. */
+    /**
+     * The state store's limits may change at any time, so the smaller ones apply from the start.
+     */
     @Test
-    void appliesTheSmallerOfPresentAndNextLimits() throws IOException, InvalidSettingsException {
+    void appliesTheSmallerOfCurrentAndNextLimits() throws IOException, InvalidSettingsException {
         PlatformSettings settings =
                 PlatformSettings.read(
                         file(
@@ -112,7 +136,7 @@
     @Test
     void readsOperatorSettings() throws IOException, InvalidSettingsException {
         OperatorSettings settings =
-                OperatorSettings.read(file("# ours\nheadroom: 0.25 leader_lease_ms: 4000"));
+                OperatorSettings.read(file("# comment\nheadroom: 0.25 leader_lease_ms: 4000"));
         assertEquals(0.25, settings.headroom());
         assertEquals(4000, settings.leaderLeaseMillis());
         assertEquals(OperatorSettings.DEFAULTS.idleSeconds(), settings.idleSeconds());
