--- a/src/main/java/io/kelphoist/archive/ClassArchiveTraining.java
+++ b/src/main/java/io/kelphoist/archive/ClassArchiveTraining.java
@@ -25,7 +25,7 @@
 /**
  * Training run for the class archive: runs a controller on loopback for two terms, so that the
  * build can archive the classes that a start and a failover load. Without the archive, loading them
- * costs a controller with a fifth of a core a second of its workers' leases.
+ * takes a second on a controller with a fifth of a CPU core, in which no worker lease is renewed.
  */
 public final class ClassArchiveTraining {
     private static final String JOB_TEMPLATE =
@@ -41,7 +41,7 @@
 
     private ClassArchiveTraining() {}
 
-    /** Runs the training, which takes some seconds. */
+    /** Runs the training, which takes a few seconds. */
     public static void run() throws IOException {
         int emulatorPort = LoopbackPorts.nextFreePort();
         int servePort = LoopbackPorts.nextFreePort();
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Read from a file, so that the classes that read it are archived. */
+    /** Reads the settings from a file, so that the classes that read them are archived. */
     private static OperatorSettings operatorSettings()
             throws IOException, InvalidSettingsException {
         Path file = Files.createTempFile("kelphoist", ".textproto");
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Sends each heartbeat directly, and again as another controller would relay it. */
+    /** Sends each heartbeat as the worker does, and again as another controller would relay it. */
     private static void sendHeartbeats(
             String userAddress, String peerAddress, ClassArchiveTrainingServer trainingServer)
             throws IOException {
@@ -140,7 +140,7 @@
         }
     }
 
-    /** A grant request of another controller, which replicates a machine as a leader does. */
+    /** Returns a grant request as another controller sends it as leader, with a machine's state. */
     private static ObjectNode grantRequest(int round) {
         MachineStatePublisher publisher = new MachineStatePublisher();
         publisher.publish(
@@ -167,7 +167,7 @@
         return GrantCodec.encodeRequest(new GrantRequest(0, "b", true, state));
     }
 
-    /** Submits the job of a round, if any; later ones preempt earlier ones. */
+    /** Submits the job of a round, if it has one; later jobs preempt earlier ones. */
     private static void submitJob(String userAddress, int term, int round) throws IOException {
         String jobId = "job-" + (term == 1 && round == 0 ? "1" : "" + term + round);
         String job =
@@ -202,7 +202,10 @@
         }
     }
 
-    /** Sends a request; returns null if there is no response with a body. */
+    /**
+     * Sends a request and decodes the response. Returns null if the request or the response has no
+     * body, or the status is an error.
+     */
     private static ObjectNode call(String address, ObjectNode body, boolean isJson)
             throws IOException {
         HttpURLConnection connection =
--- a/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
+++ b/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Minimal emulator of everything around one controller (state store, cloud, another controller and
- * workers), as far as a start and a failover use it. Runs in the build only. It uses the
- * controller's own HTTP classes, so that the archive contains them; {@code emulator} is not used,
- * as its classes would get into the archive.
+ * Minimal emulator of the state store, the cloud, another controller and the workers, as far as a
+ * start and a failover of one controller use them. Runs only in the build. It uses the controller's
+ * HTTP classes, so that the archive contains them. The package {@code emulator} is not used,
+ * because its classes would get into the archive.
  *
- * <p>Owns the stored items and the machines; its methods are synchronized.
+ * <p>Owns the stored items and the machines. Methods that use them are synchronized.
  */
 final class ClassArchiveTrainingServer {
     private static final String MACHINE_TYPES =
@@ -119,7 +119,7 @@
         }
     }
 
-    /** Decodes a constant. */
+    /** Decodes a JSON text that is known to be valid, such as a constant. */
     static ObjectNode parseJson(String text) {
         try {
             return MessageEncoding.decodeJson(text.getBytes(StandardCharsets.UTF_8));
@@ -201,7 +201,7 @@
         return MessageEncoding.newObject().put("logbook", revision);
     }
 
-    /** The controller has stopped: the keys of its lease are deleted. */
+    /** Ends the lease of a controller that has stopped: deletes the keys attached to the lease. */
     synchronized void endLease() {
         items.values().removeIf(item -> item.leaseId != 0);
     }
@@ -219,7 +219,7 @@
         return response;
     }
 
-    /** A machine is represented by its worker's next heartbeat. */
+    /** Creates a machine, which is represented by the next heartbeat of its worker. */
     private ObjectNode newMachine(String name, ObjectNode request) {
         ObjectNode heartbeat =
                 MessageEncoding.newObject()
@@ -272,11 +272,12 @@
         }
     }
 
-    /** A worker got the response to its heartbeat. */
+    /** Executes the commands in the response to a worker's heartbeat. */
     synchronized void onResponse(ObjectNode heartbeat, ObjectNode response) {
         executeCommands(machines.get(heartbeat.path("buoy").asText()), response);
     }
 
+    /** Applies a message with commands to the machine that a heartbeat represents. */
     private static void executeCommands(ObjectNode heartbeat, ObjectNode message) {
         heartbeat
                 .put("helm", message.path("helm").asLong())
--- a/src/main/java/io/kelphoist/archive/package-info.java
+++ b/src/main/java/io/kelphoist/archive/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Training run for the class archive (application class-data sharing) that the build makes. Runs in
- * the build only; nothing else may depend on it, except for the command line's hidden option that
- * starts it.
+ * Training run for the class archive (application class-data sharing) that the build creates. It
+ * runs only in the build. No other package may depend on it, except the command line, whose hidden
+ * option starts it.
  */
 package io.kelphoist.archive;
--- a/src/main/java/io/kelphoist/cli/CancelCommand.java
+++ b/src/main/java/io/kelphoist/cli/CancelCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 
 /** Cancels a job and prints its state. */
-@Command(name = "cancel", description = "Cancels a job. One that has ended stays as it is.")
+@Command(name = "cancel", description = "Cancels a job. A job that has ended is not changed.")
 final class CancelCommand extends SingleJobCommand {
     CancelCommand(PrintStream out) {
         super(out);
--- a/src/main/java/io/kelphoist/cli/ClientCommand.java
+++ b/src/main/java/io/kelphoist/cli/ClientCommand.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Option;
 
-/** Base of the users' commands: the options that all of them have, and the client. */
+/** Base of the users' commands: their common options, and the creation of the client. */
 abstract class ClientCommand implements Callable<Integer> {
     private final PrintStream out;
 
@@ -24,33 +24,36 @@
             paramLabel = "HOST:PORT",
             split = ",",
             required = true,
-            description = "Where controllers serve gRPC.")
+            description = "Addresses of the controllers' gRPC servers.")
     private List<String> addresses;
 
     @Option(
             names = "--ca",
             paramLabel = "FILE",
-            description = "Authorities of the controllers' certificates (PEM); without it, plain.")
+            description = "Authorities of the controllers' certificates (PEM); without it, no TLS.")
     private Path caFile;
 
     @Option(names = "--cert", paramLabel = "FILE", description = "This client's certificate (PEM).")
     private Path certificateFile;
 
-    @Option(names = "--key", paramLabel = "FILE", description = "Its key (PEM).")
+    @Option(
+            names = "--key",
+            paramLabel = "FILE",
+            description = "The private key of this client's certificate (PEM).")
     private Path keyFile;
 
     @Option(
             names = "--output",
             paramLabel = "HOW",
             defaultValue = "table",
-            description = "table, or json: a line for each message.")
+            description = "Format of the output: table, or json with a line for each message.")
     private JobPrinter.Format format;
 
     @Option(
             names = "--tries",
             paramLabel = "N",
             defaultValue = "20",
-            description = "Tries of a call before giving up (${DEFAULT-VALUE}).")
+            description = "Attempts at a call before the command fails (${DEFAULT-VALUE}).")
     private int maxAttempts;
 
     @Option(
@@ -90,12 +93,14 @@
         return builder.build();
     }
 
-    /** The printer for the format that the options ask for. */
+    /** Returns a printer for the format in the options. */
     final JobPrinter printer() {
         return new JobPrinter(out, format);
     }
 
-    /** Watches jobs until all that the request names have ended, and returns the exit code. */
+    /**
+     * Prints the events of jobs until all jobs in the request have ended; returns the exit code.
+     */
     final int watchUntilEnded(KelphoistClient client, WatchRequest request, boolean withCursor)
             throws InterruptedException {
         JobPrinter printer = printer();
--- a/src/main/java/io/kelphoist/cli/GetCommand.java
+++ b/src/main/java/io/kelphoist/cli/GetCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Command;
 
 /** Prints the state of a job. */
-@Command(name = "get", description = "Shows how a job stands.")
+@Command(name = "get", description = "Shows the state of a job.")
 final class GetCommand extends SingleJobCommand {
     GetCommand(PrintStream out) {
         super(out);
--- a/src/main/java/io/kelphoist/cli/JobPrinter.java
+++ b/src/main/java/io/kelphoist/cli/JobPrinter.java
@@ -14,7 +14,7 @@
 import java.util.Base64;
 import java.util.Locale;
 
-/** Prints the service's messages, as a table or as one line of JSON each. */
+/** Prints messages of the gRPC service, as rows of a table or as one line of JSON each. */
 final class JobPrinter {
     /** Values of the option {@code --output}. */
     enum Format {
@@ -46,7 +46,7 @@
                 state.getRunning());
     }
 
-    /** Prints a message of a stream, with its cursor if asked for. */
+    /** Prints a message of a stream; in a table with its cursor if {@code withCursor}. */
     void printMessage(WatchResponse message, boolean withCursor)
             throws InvalidProtocolBufferException {
         if (format == Format.JSON) {
@@ -63,7 +63,7 @@
             String state =
                     message.getState().getCurrent()
                             ? "-- up to date"
-                            : "-- the state service can't be asked: what happens is told later";
+                            : "-- the state service can't be asked: events follow when it responds";
             out.println(state + cursor);
         } else {
             printEvent(message.getEvent(), cursor);
@@ -78,7 +78,7 @@
                 eventDetail(event),
                 event.getDone(),
                 event.getRunning(),
-                event.getPresent() ? " (as it stands)" : "",
+                event.getPresent() ? " (current state)" : "",
                 cursor);
     }
 
--- a/src/main/java/io/kelphoist/cli/LocalClusterCommand.java
+++ b/src/main/java/io/kelphoist/cli/LocalClusterCommand.java
@@ -19,14 +19,14 @@
 import picocli.CommandLine.Option;
 
 /**
- * Command that runs a local cluster: controllers that serve gRPC, with emulators of all external
- * systems, in one process on loopback. Nothing is stored.
+ * The command that runs a local cluster in one process on loopback: controllers that serve gRPC,
+ * and emulators of the state store, the cloud and the workers. All state is lost when it stops.
  */
 @Command(
         name = "lab",
         mixinStandardHelpOptions = true,
         description =
-                "Starts controllers with stand-ins for state service, cloud and workers on loopback, to try things.")
+                "Starts a local cluster for experiments: controllers, with emulators of the state store, the cloud and the workers, on loopback.")
 final class LocalClusterCommand implements Callable<Integer> {
     private static final int CURSOR_KEY_BYTES = 32;
     private static final double SECONDS_PER_NANO = 1e-9;
@@ -36,14 +36,15 @@
     @Option(
             names = "--controllers",
             defaultValue = "2",
-            description = "How many (${DEFAULT-VALUE}).")
+            description = "Number of controllers (${DEFAULT-VALUE}).")
     private int controllers;
 
     @Option(
             names = "--grpc",
             paramLabel = "PORT",
             defaultValue = "7443",
-            description = "The first one's port for gRPC (${DEFAULT-VALUE}); the others follow.")
+            description =
+                    "gRPC port of the first controller (${DEFAULT-VALUE}); the others use the ports after it.")
     private int firstGrpcPort;
 
     @Option(
@@ -51,14 +52,16 @@
             paramLabel = "<taskMs>",
             defaultValue = "3000",
             description =
-                    "How long tasks run (${DEFAULT-VALUE}); those of jobs named job-9... until they are stopped.")
+                    "How long a task runs, in ms (${DEFAULT-VALUE}); tasks of jobs named job-9... run until they are stopped.")
     private int taskMillis;
 
     private LocalClusterCommand(PrintStream out) {
         this.out = out;
     }
 
-    /** Runs the command; returns only if its arguments are wrong or it fails to start. */
+    /**
+     * Runs the command. Returns an exit code only if the arguments are invalid or it can't start.
+     */
     static int run(String[] args, PrintStream out) {
         return new CommandLine(new LocalClusterCommand(out)).execute(args);
     }
@@ -84,7 +87,7 @@
                     "team t, machines of 8 CPUs, 4 GPUs, 64 GB in zone z; HTTP on "
                             + String.join(",", cluster.userAddresses()));
             out.println("gRPC on " + String.join(",", grpcAddresses));
-            // Until the process is stopped.
+            // Waits forever: the cluster runs until the process is stopped.
             Thread.currentThread().join();
         }
         return 0;
--- a/src/main/java/io/kelphoist/cli/Main.java
+++ b/src/main/java/io/kelphoist/cli/Main.java
@@ -25,14 +25,14 @@
     private static final double SECONDS_PER_NANO = 1e-9;
     private static final double STARTED_AT_SECONDS = System.nanoTime() * SECONDS_PER_NANO;
 
-    /** In place of an exit code: the controller was started, and the process keeps running. */
+    /** Returned in place of an exit code: a controller was started, and the process runs on. */
     private static final int KEEP_RUNNING = -1;
 
     private static final int EXIT_OK = 0;
     private static final int EXIT_FAILED = 1;
     private static final int EXIT_USAGE = 2;
 
-    /** Starts a local cluster. */
+    /** The command that runs a local cluster. */
     private static final String LOCAL_CLUSTER_COMMAND = "lab";
 
     /** The users' commands; a controller never loads their classes. */
@@ -66,7 +66,7 @@
                 .footer(
                         "",
                         "Users' commands, over gRPC (each with --help): submit, watch, get, cancel",
-                        "To try things on this machine: lab",
+                        "A local cluster for experiments on this machine: lab",
                         "",
                         "Environment:",
                         "  LOG_LEVEL   error, info or debug (default: info); logs go to standard error",
@@ -81,7 +81,7 @@
     private static void addOptions(CommandSpec spec) {
         spec.addOption(fileOption("--config", "The platform's settings file (JSON)."));
         spec.addOption(
-                fileOption("--operator", "The operators' own settings (protobuf text format)."));
+                fileOption("--operator", "The operators' settings file (protobuf text format)."));
         spec.addOption(
                 OptionSpec.builder("--on")
                         .paramLabel("PART")
@@ -89,7 +89,7 @@
                         .auxiliaryTypes(String.class)
                         .splitRegex(",")
                         .description(
-                                "Switch a part on, as the operators' file can ("
+                                "Features to enable, as in the operators' settings ("
                                         + String.join(", ", OperatorSettings.FEATURES)
                                         + ").")
                         .build());
@@ -97,7 +97,7 @@
         spec.addOption(
                 flagOption(
                                 "--warm-up",
-                                "Touch what a start needs, for the class archive, and exit.")
+                                "Load the classes that a start uses, for the class archive, and exit.")
                         .hidden(true)
                         .build());
         spec.addOption(
@@ -126,7 +126,7 @@
 
     /**
      * Prevents the creation of the management bean server, which would take a quarter of the
-     * start-up time as soon as XNIO registers its first bean. No bean is used here, and XNIO works
+     * start-up time when XNIO registers its first bean. Kelphoist uses no beans, and XNIO works
      * without the server.
      */
     private static void disableManagementBeans() {
@@ -137,7 +137,7 @@
         String level = System.getenv("LOG_LEVEL");
         level = level == null ? "info" : level.toLowerCase(Locale.ROOT);
         boolean json = "json".equalsIgnoreCase(System.getenv("LOG_FORMAT"));
-        // Set explicitly, because there are two on the class path and searching takes time.
+        // Set explicitly, because there are two providers on the class path and a search is slow.
         System.setProperty(
                 "slf4j.provider",
                 json
@@ -190,7 +190,7 @@
     }
 
     private static int startController(
-            Path settingsFile, Path operatorFile, List<String> enabledParts, boolean checkOnly)
+            Path settingsFile, Path operatorFile, List<String> enabledFeatures, boolean checkOnly)
             throws IOException {
         if (settingsFile == null) {
             System.err.println("kelphoist: --config FILE is missing, see --help");
@@ -200,7 +200,7 @@
         OperatorSettings operatorSettings;
         try {
             settings = PlatformSettings.read(settingsFile);
-            operatorSettings = readOperatorSettings(operatorFile).withFeatures(enabledParts);
+            operatorSettings = readOperatorSettings(operatorFile).withFeatures(enabledFeatures);
         } catch (InvalidSettingsException e) {
             System.err.println("kelphoist: " + e.getMessage());
             return EXIT_USAGE;
@@ -211,8 +211,9 @@
         }
         ControllerProcess controller =
                 ControllerProcess.start(settings, operatorSettings, STARTED_AT_SECONDS);
-        // A leader hands over, streams end with a cursor to resume at, and pending spans are sent.
-        Runtime.getRuntime().addShutdownHook(new Thread(controller::shutDown, "leave"));
+        // A leader hands over, streams end with a cursor from which to resume, and pending spans
+        // are exported.
+        Runtime.getRuntime().addShutdownHook(new Thread(controller::shutDown, "shutdown"));
         return KEEP_RUNNING;
     }
 
@@ -234,7 +235,7 @@
                 + describe(settings.stateLimits());
     }
 
-    /** In this form since the first version; deployment scripts may read it. */
+    /** Deployment scripts may parse this format, which has not changed since the first version. */
     private static String describe(PlatformSettings.StateLimits limits) {
         return "StateLimits[rps="
                 + limits.requestsPerSecond()
--- a/src/main/java/io/kelphoist/cli/SingleJobCommand.java
+++ b/src/main/java/io/kelphoist/cli/SingleJobCommand.java
@@ -6,9 +6,9 @@
 import java.io.PrintStream;
 import picocli.CommandLine.Parameters;
 
-/** Base of the commands about one job, which print its state. */
+/** Base of the commands that call the service for one job and print the job's state. */
 abstract class SingleJobCommand extends ClientCommand {
-    @Parameters(paramLabel = "JOB", description = "The job.")
+    @Parameters(paramLabel = "JOB", description = "Id of the job.")
     private String job;
 
     SingleJobCommand(PrintStream out) {
@@ -21,6 +21,6 @@
         return ExitCodes.OK;
     }
 
-    /** Calls the service and returns the job's state. */
+    /** Calls the service for the job and returns the state in the response. */
     abstract JobState request(KelphoistClient client, String job) throws InterruptedException;
 }
--- a/src/main/java/io/kelphoist/cli/SubmitCommand.java
+++ b/src/main/java/io/kelphoist/cli/SubmitCommand.java
@@ -14,17 +14,18 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Submits a job, and watches it if asked to. */
+/** Submits a job, and with {@code --watch} prints its events until it has ended. */
 @Command(
         name = "submit",
-        description = "Submits a job described in JSON, by the fields of kelphoist.v1.Job.")
+        description = "Submits a job from a file in JSON with the fields of kelphoist.v1.Job.")
 final class SubmitCommand extends ClientCommand {
-    @Parameters(paramLabel = "FILE", description = "The description.")
+    @Parameters(paramLabel = "FILE", description = "The file with the job.")
     private Path file;
 
     @Option(
             names = "--watch",
-            description = "Follow it; the status is 0 if it gets done, 3 if it is cancelled.")
+            description =
+                    "Watch the job until it has ended; the exit code is 0 if it is done, 3 if it is cancelled.")
     private boolean watch;
 
     SubmitCommand(PrintStream out) {
--- a/src/main/java/io/kelphoist/cli/UserCommands.java
+++ b/src/main/java/io/kelphoist/cli/UserCommands.java
@@ -17,7 +17,7 @@
      * Runs a command.
      *
      * @param args name of the command and its arguments
-     * @return the exit code, see {@link ExitCodes}; 2 for wrong arguments
+     * @return the exit code, see {@link ExitCodes}; 2 for invalid arguments
      */
     public static int run(String[] args, PrintStream out, PrintStream err) {
         return newCommandLine(out, err).execute(args);
@@ -56,6 +56,6 @@
     @Command(
             name = "kelphoist",
             mixinStandardHelpOptions = true,
-            description = "Submits and follows jobs.")
+            description = "Submits, watches and cancels jobs.")
     private static final class RootCommand {}
 }
--- a/src/main/java/io/kelphoist/cli/WatchCommand.java
+++ b/src/main/java/io/kelphoist/cli/WatchCommand.java
@@ -11,13 +11,16 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Watches jobs and prints what happens to them. */
+/** Watches jobs and prints their events. */
 @Command(
         name = "watch",
         description =
-                "Follows jobs: those named, until all have ended, or all, or those of a team and class.")
+                "Shows the events of jobs: of the given jobs until all have ended, or of all jobs, or of those of a team and class.")
 final class WatchCommand extends ClientCommand {
-    @Parameters(paramLabel = "JOB", arity = "0..*", description = "Jobs; none: all.")
+    @Parameters(
+            paramLabel = "JOB",
+            arity = "0..*",
+            description = "Ids of the jobs; without any, all jobs.")
     private List<String> jobs = List.of();
 
     @Option(names = "--team", defaultValue = "", description = "Only jobs of this team.")
@@ -29,10 +32,10 @@
     @Option(
             names = "--cursor",
             paramLabel = "BASE64",
-            description = "Go on from here, with the same jobs, team and class.")
+            description = "Resume after this cursor, with the same jobs, team and class.")
     private String cursor;
 
-    @Option(names = "--cursors", description = "Show the cursor of each line.")
+    @Option(names = "--cursors", description = "Show the cursor of each message.")
     private boolean showCursors;
 
     WatchCommand(PrintStream out) {
@@ -47,7 +50,7 @@
             try {
                 request.setCursor(ByteString.copyFrom(Base64.getDecoder().decode(cursor)));
             } catch (IllegalArgumentException e) {
-                throw new IOException("--cursor is not base64", e);
+                throw new IOException("--cursor: expected base64, found '" + cursor + "'", e);
             }
         }
         return watchUntilEnded(client, request.build(), showCursors);
--- a/src/main/java/io/kelphoist/logs/JsonFieldsAppender.java
+++ b/src/main/java/io/kelphoist/logs/JsonFieldsAppender.java
@@ -8,13 +8,13 @@
 import org.slf4j.event.KeyValuePair;
 
 /**
- * Console appender that adds the arguments of a log event as key-value pairs, so that the JSON
- * encoder writes them as fields. A placeholder becomes a field if its template names it as {@code
- * job={}}, {@code task={}}, {@code attempt={}}, {@code machine={}} or {@code term={}}, or in prose
- * as "machine {}", "job {}", "term {}", "attempt {}" or "task {}/{}" (a job and its task, then "on
- * {}" for the machine). All other placeholders are part of the text only.
+ * Console appender that adds arguments of a log event as key-value pairs, so that the JSON encoder
+ * writes them as fields. An argument becomes a field if the log message has its placeholder as
+ * {@code job={}}, {@code task={}}, {@code attempt={}}, {@code machine={}} or {@code term={}}, or in
+ * prose as "machine {}", "job {}", "term {}", "attempt {}" or "task {}/{}" (a job and its task,
+ * which may be followed by "on {}" for the machine). All other arguments are only part of the text.
  *
- * <p>Stateless apart from its superclass; called by any logging thread.
+ * <p>Has no state besides that of its superclass. Called on any thread that logs.
  */
 public final class JsonFieldsAppender extends ConsoleAppender<ILoggingEvent> {
     private static final String PLACEHOLDER = "{}";
@@ -30,7 +30,7 @@
         super.append(event);
     }
 
-    /** Returns a field for each argument whose placeholder is named by the template. */
+    /** Returns a field for each argument whose placeholder has a name in the template. */
     static List<KeyValuePair> extractFields(String template, Object[] arguments) {
         List<KeyValuePair> fields = new ArrayList<>();
         int placeholderIndex = template.indexOf(PLACEHOLDER);
@@ -45,7 +45,11 @@
         return fields;
     }
 
-    /** Returns the name of the field at the end of {@code textBefore}; null if there is none. */
+    /**
+     * Returns the name of a placeholder's field; null if it has none.
+     *
+     * @param textBefore the template up to the placeholder
+     */
     private static String fieldName(String template, String textBefore) {
         if (textBefore.endsWith(TASK_FIELD + " ")) {
             return "job";
--- a/src/main/java/io/kelphoist/logs/package-info.java
+++ b/src/main/java/io/kelphoist/logs/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Formatting of log events for the operators. Named in {@code logback.xml}; depends on the logging
- * library alone and is called by any thread that logs.
+ * Formatting of log events for the operators. {@code logback.xml} names its appender. Depends only
+ * on the logging library, and is called on any thread that logs.
  */
 package io.kelphoist.logs;
--- a/src/main/java/io/kelphoist/metrics/ControllerCounters.java
+++ b/src/main/java/io/kelphoist/metrics/ControllerCounters.java
@@ -1,11 +1,11 @@
 package io.kelphoist.metrics;
 
 /**
- * Event counts of one controller since its process started.
+ * Counters of one controller since its process started.
  *
- * <p>All updates come from the event loop, so that each field has a single writer; the metrics read
- * from the same thread or, as the fields are volatile, from any other. Counting allocates nothing:
- * heartbeats and decisions pass here.
+ * <p>All updates are made on the event loop, so that each field has a single writer. The fields are
+ * volatile, so that the metrics may read them on any thread. An update allocates no memory, because
+ * it is part of handling each heartbeat and each scheduling decision.
  */
 public final class ControllerCounters {
     private volatile long heartbeats;
@@ -22,63 +22,66 @@
     private volatile double decisionSeconds;
     private volatile double heartbeatSeconds;
 
-    /** Not a metric, and used on the event loop only. */
+    /** Not a metric; used only on the event loop. */
     private double lastDirectHeartbeatAtSeconds;
 
-    /** A worker's heartbeat arrived at this controller, whichever controller leads. */
+    /** Counts a heartbeat that a worker sent to this controller, whichever controller leads. */
     public void onHeartbeat() {
         heartbeats++;
     }
 
-    /** A heartbeat is relayed to the leader. */
+    /** Counts a heartbeat that is relayed to the leader. */
     public void onHeartbeatRelayed() {
         relayedHeartbeats++;
     }
 
-    /** A worker's lease was renewed under a delegation, without a leader. */
+    /** Counts a renewal of a worker lease under a lease delegation, without a leader. */
     public void onDelegatedRenewal() {
         delegatedRenewals++;
     }
 
-    /** A renewal or a start was withheld since cancellations may be unknown here. */
+    /**
+     * Counts a lease renewal or a task start that the leader withheld, as its cancellation
+     * watermark was too old.
+     */
     public void onResponseWithheld() {
         withheldResponses++;
     }
 
-    /** Commands are sent to a worker outside a heartbeat response. */
+    /** Counts a delivery of commands to a worker outside of a heartbeat response. */
     public void onCommandsSent() {
         commandsSent++;
     }
 
-    /** Nobody knows whether commands that were sent reached their worker. */
+    /** Counts a delivery of commands without a response: the worker may have received them. */
     public void onCommandOutcomeUnknown() {
         commandsWithUnknownOutcome++;
     }
 
-    /** A new leader asks a machine for a heartbeat. */
+    /** Counts a status request that a new leader sends to a machine. */
     public void onStatusRequested() {
         statusRequests++;
     }
 
-    /** The leader checks whether a machine can be reached. */
+    /** Counts a reachability probe that the leader sends to a machine. */
     public void onReachabilityProbe() {
         reachabilityProbes++;
     }
 
-    /** A message or response could not be decoded. */
+    /** Counts a message or response that could not be decoded. */
     public void onMalformedMessage() {
         malformedMessages++;
     }
 
-    /** A task of the event loop failed with an exception that nothing handles. */
+    /** Counts a task of the event loop that failed with an unhandled exception. */
     public void onUnexpectedError() {
         unexpectedErrors++;
     }
 
     /**
-     * The leader made a scheduling decision.
+     * Counts a scheduling decision of the leader.
      *
-     * @param durationSeconds how long it kept the event loop busy
+     * @param durationSeconds how long it occupied the event loop
      */
     public void onDecision(double durationSeconds) {
         decisions++;
@@ -86,85 +89,85 @@
     }
 
     /**
-     * The leader handled a heartbeat.
+     * Adds the time in which the leader handled a heartbeat.
      *
-     * @param durationSeconds how long it kept the event loop busy
+     * @param durationSeconds how long it occupied the event loop
      */
     public void onHeartbeatHandled(double durationSeconds) {
         heartbeatSeconds += durationSeconds;
     }
 
-    /** A worker's heartbeat reached this controller directly while it led. */
+    /** Notes that a worker sent a heartbeat directly to this controller while it led. */
     public void onDirectHeartbeat(double nowSeconds) {
         lastDirectHeartbeatAtSeconds = nowSeconds;
     }
 
-    /** Heartbeats that arrived at this controller directly. */
+    /** Number of heartbeats that workers sent directly to this controller. */
     public long heartbeats() {
         return heartbeats;
     }
 
-    /** Heartbeats relayed to the leader. */
+    /** Number of heartbeats relayed to the leader. */
     public long relayedHeartbeats() {
         return relayedHeartbeats;
     }
 
-    /** Leases renewed under a delegation. */
+    /** Number of worker leases renewed under a lease delegation. */
     public long delegatedRenewals() {
         return delegatedRenewals;
     }
 
-    /** Renewals and starts that were withheld. */
+    /** Number of lease renewals and task starts that were withheld. */
     public long withheldResponses() {
         return withheldResponses;
     }
 
-    /** Commands sent outside of heartbeat responses. */
+    /** Number of deliveries of commands outside of heartbeat responses. */
     public long commandsSent() {
         return commandsSent;
     }
 
-    /** Commands whose delivery is unknown. */
+    /** Number of deliveries of commands whose outcome is unknown. */
     public long commandsWithUnknownOutcome() {
         return commandsWithUnknownOutcome;
     }
 
-    /** Heartbeats requested by a new leader. */
+    /** Number of status requests sent by a new leader. */
     public long statusRequests() {
         return statusRequests;
     }
 
-    /** Probes of whether a machine receives commands. */
+    /** Number of reachability probes. */
     public long reachabilityProbes() {
         return reachabilityProbes;
     }
 
-    /** Messages and responses that could not be decoded. */
+    /** Number of messages and responses that could not be decoded. */
     public long malformedMessages() {
         return malformedMessages;
     }
 
-    /** Failed tasks of the event loop. */
+    /** Number of tasks of the event loop that failed with an unhandled exception. */
     public long unexpectedErrors() {
         return unexpectedErrors;
     }
 
-    /** Scheduling decisions. */
+    /** Number of scheduling decisions. */
     public long decisions() {
         return decisions;
     }
 
-    /** Time that all decisions took together, in seconds. */
+    /** Total time of all scheduling decisions, in seconds. */
     public double decisionSeconds() {
         return decisionSeconds;
     }
 
-    /** Time that the leader spent on all heartbeats together, in seconds. */
+    /** Total time in which the leader handled heartbeats, in seconds. */
     public double heartbeatSeconds() {
         return heartbeatSeconds;
     }
 
-    /** When {@link #onDirectHeartbeat} was called last, on the event loop's clock; 0: never. */
+    /** Time of the last {@link #onDirectHeartbeat}, on the event loop's clock; 0 if none. */
     public double lastDirectHeartbeatAtSeconds() {
         return lastDirectHeartbeatAtSeconds;
     }
--- a/src/main/java/io/kelphoist/metrics/package-info.java
+++ b/src/main/java/io/kelphoist/metrics/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Counts of what a controller does, which it exports as metrics.
+ * Counters of a controller that are exported as metrics.
  *
- * <p>Owns {@link io.kelphoist.metrics.ControllerCounters} and nothing else; the export itself is
- * {@code controller.ControllerMetrics}. Depends on no other package of this project. Counts are
- * updated on the event loop.
+ * <p>Consists of {@link io.kelphoist.metrics.ControllerCounters} alone; {@code
+ * controller.ControllerMetrics} exports them. Depends on no other package of this project. The
+ * counters are updated on the event loop.
  */
 package io.kelphoist.metrics;
--- a/src/test/java/io/kelphoist/architecture/ArchitectureTest.java
+++ b/src/test/java/io/kelphoist/architecture/ArchitectureTest.java
@@ -24,11 +24,15 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Which packages may depend on which, and where the words of the wire may occur. */
+/**
+ * Dependencies between packages, and where the field names and encodings of messages may be used.
+ * Guards against cycles between packages, against I/O in packages whose logic must depend only on
+ * its inputs, and against encodings outside the codecs.
+ */
 class ArchitectureTest {
     private static final String ROOT = "io.kelphoist";
 
-    /** The pure part: decisions without input or output. */
+    /** Packages whose logic does no I/O and depends only on its inputs. */
     private static final String[] PURE_PACKAGES = {
         ROOT + ".model..",
         ROOT + ".election..",
@@ -44,8 +48,8 @@
     private static final String SCHEDULER = ROOT + ".scheduler";
 
     /**
-     * The packages below {@link #SCHEDULER}, lowest first: each may use those before it, none may
-     * use those after it or the scheduler's entry.
+     * The packages below {@link #SCHEDULER}, lowest first. Each may depend on those before it, and
+     * none on those after it or on the package {@link #SCHEDULER} itself.
      */
     private static final List<String> SCHEDULER_PACKAGES =
             List.of(
@@ -63,8 +67,8 @@
                     "heartbeats");
 
     /**
-     * What packages outside the scheduler may call of its state: they read it. Members that change
-     * it are public only for the scheduler's own packages.
+     * Members of the scheduler's state that packages outside the scheduler may use: these only read
+     * it. Members that change the state are public only for the scheduler's own packages.
      */
     private static final Set<String> SCHEDULER_STATE_READ_OUTSIDE =
             Set.of(
@@ -105,8 +109,8 @@
     private static final String JACKSON = "com.fasterxml.jackson..";
 
     /**
-     * Classes outside the codec packages that use Jackson. This list only gets shorter: move a
-     * class's encoding to a codec and take the class out; add none.
+     * Classes outside the codec packages that use Jackson. Add no class; to remove one, move its
+     * encoding to a codec.
      */
     private static final Set<String> USE_JACKSON_OUTSIDE_CODECS =
             Set.of(
@@ -147,8 +151,8 @@
                                                 "org.slf4j.."))
                                 .or(equivalentTo(Serializable.class)))
                 .because(
-                        "the scheduler's decisions depend on its inputs alone; do input and"
-                                + " output in the packages that call it")
+                        "the logic of these packages depends only on its inputs; move I/O to the"
+                                + " packages that call them")
                 .check(CLASSES);
     }
 
@@ -157,7 +161,7 @@
         slices().matching(ROOT + ".(*)..")
                 .should()
                 .beFreeOfCycles()
-                .because("a package in a cycle cannot be read or changed on its own")
+                .because("a package in a cycle can't be understood or changed on its own")
                 .check(CLASSES);
     }
 
@@ -174,7 +178,9 @@
                     .should()
                     .dependOnClassesThat()
                     .resideInAnyPackage(higher.toArray(String[]::new))
-                    .because("the scheduler's packages are read from the lowest to the entry")
+                    .because(
+                            "each package of the scheduler depends only on lower ones, see"
+                                    + " SCHEDULER_PACKAGES")
                     .check(CLASSES);
         }
     }
@@ -187,7 +193,10 @@
                 found.add(each.getPackageName().substring(SCHEDULER.length() + 1));
             }
         }
-        assertEquals(new TreeSet<>(SCHEDULER_PACKAGES), found);
+        assertEquals(
+                new TreeSet<>(SCHEDULER_PACKAGES),
+                found,
+                "SCHEDULER_PACKAGES lists all packages below " + SCHEDULER);
     }
 
     @Test
@@ -203,10 +212,13 @@
                 }
             }
         }
-        assertEquals(new TreeSet<>(SCHEDULER_STATE_READ_OUTSIDE), used);
+        assertEquals(
+                new TreeSet<>(SCHEDULER_STATE_READ_OUTSIDE),
+                used,
+                "members of the scheduler's state that other packages use");
     }
 
-    /** Whether a class is below the scheduler's entry, and neither of its interface nor an enum. */
+    /** Whether a class is in a package below the scheduler, except the interface and enums. */
     private static boolean isSchedulerState(JavaClass each) {
         return resideInAnyPackage(SCHEDULER + ".*..").test(each)
                 && !resideInAnyPackage(SCHEDULER + ".spi").test(each)
@@ -224,7 +236,7 @@
                 .haveRawType(String.class)
                 .should()
                 .notBePublic()
-                .because("other packages use the codecs, not the words on the wire")
+                .because("other packages use the codecs, not the field names of messages")
                 .check(CLASSES);
     }
 
@@ -238,24 +250,24 @@
         }
         Set<String> added = new TreeSet<>(users);
         added.removeAll(USE_JACKSON_OUTSIDE_CODECS);
-        Set<String> mended = new TreeSet<>(USE_JACKSON_OUTSIDE_CODECS);
-        mended.removeAll(users);
+        Set<String> obsolete = new TreeSet<>(USE_JACKSON_OUTSIDE_CODECS);
+        obsolete.removeAll(users);
         assertAll(
                 () ->
                         assertEquals(
                                 Set.of(),
                                 added,
-                                "use Jackson outside the codec packages; read and write their"
-                                        + " messages in a codec"),
+                                "classes outside the codec packages that newly use Jackson; encode"
+                                        + " and decode their messages in a codec"),
                 () ->
                         assertEquals(
                                 Set.of(),
-                                mended,
-                                "do not use Jackson (any more); take them out of"
+                                obsolete,
+                                "listed classes that do not use Jackson; remove them from"
                                         + " USE_JACKSON_OUTSIDE_CODECS"));
     }
 
-    /** Whether a class names a Jackson type, or calls what takes or returns one. */
+    /** Whether a class uses a Jackson type, or calls a method that accepts or returns one. */
     private static boolean usesJackson(JavaClass each) {
         return each.getDirectDependenciesFromSelf().stream()
                         .anyMatch(dependency -> isOfJackson(dependency.getTargetClass()))
--- a/src/test/java/io/kelphoist/architecture/WithdrawnWords.java
+++ b/src/test/java/io/kelphoist/architecture/WithdrawnWords.java
@@ -5,12 +5,17 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The list of withdrawn words, and a search for them in a source file. */
+/**
+ * The list of withdrawn words, which code, comments and texts must not use, and a search for them
+ * in a source file.
+ */
 final class WithdrawnWords {
     /**
      * A withdrawn word.
      *
-     * @param subpackage the package below io.kelphoist in which the word is withdrawn, or empty for
+     * @param word the word; with a capital it is the name of a type
+     * @param replacement the term to use instead
+     * @param subpackage the package below io.kelphoist in which the word is withdrawn; empty for
      *     all packages
      */
     record Entry(String word, String replacement, String subpackage) {
@@ -51,7 +56,7 @@
 
     private static final Pattern WORD_IN_PROSE = Pattern.compile("[A-Za-z][A-Za-z0-9]*");
 
-    /** Where a name in camel case or in capitals is split. */
+    /** A part of a name in camel case or in capitals. */
     private static final Pattern NAME_PART = Pattern.compile("[A-Z]+(?![a-z])|[A-Z]?[a-z]+|[0-9]+");
 
     private final List<Entry> entries;
@@ -61,10 +66,11 @@
     }
 
     /**
-     * Reads the list.
+     * Parses the list.
      *
-     * @throws IllegalArgumentException if a line is malformed or a word is listed twice, with the
-     *     file, the line and what to do
+     * @param file name of the list, for errors
+     * @throws IllegalArgumentException if a line is malformed or a word is listed twice; the
+     *     message names the file and the line, and says how to correct it
      */
     static WithdrawnWords parse(String file, List<String> lines) {
         List<Entry> entries = new ArrayList<>();
@@ -107,16 +113,17 @@
                         || isWithin(other.subpackage, one.subpackage));
     }
 
-    /** Whether a package is another one or below it. */
+    /** Whether a package is {@code outer} or below it. */
     static boolean isWithin(String packageName, String outer) {
         return packageName.equals(outer) || packageName.startsWith(outer + ".");
     }
 
+    /** Returns the entries in the order of the list. */
     List<Entry> entries() {
         return entries;
     }
 
-    /** Searches a source file; each finding says file, line, word and what to use instead. */
+    /** Searches a source file. Each finding names file, line, word and replacement. */
     List<String> find(String file, String packageName, String source) {
         List<Entry> applicable =
                 entries.stream().filter(entry -> entry.appliesTo(packageName)).toList();
@@ -152,7 +159,7 @@
         return findings;
     }
 
-    /** A string literal without a space is a name on the wire or of a setting. */
+    /** Whether a token is prose. A string without a space is a field name or a setting's name. */
     private static boolean isProse(Matcher token) {
         return token.group("comment") != null || token.group("text").strip().contains(" ");
     }
--- a/src/test/java/io/kelphoist/architecture/WithdrawnWordsTest.java
+++ b/src/test/java/io/kelphoist/architecture/WithdrawnWordsTest.java
@@ -14,7 +14,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Words that were withdrawn do not come back into the packages that are free of them. */
+/**
+ * Guards against withdrawn words that come back into packages that are free of them, and checks the
+ * parser of the list and the search.
+ */
 class WithdrawnWordsTest {
     private static final Path SOURCES = Path.of("src/main/java");
     private static final Path WORDS = Path.of("config/withdrawn-words.txt");
@@ -48,7 +51,7 @@
                                                                 + entry.subpackage())))
                         .map(entry -> entry.word() + " | " + entry.subpackage())
                         .toList();
-        assertEquals(List.of(), unknown, WORDS + ": no such package");
+        assertEquals(List.of(), unknown, WORDS + ": words with a package that does not exist");
     }
 
     @Test
@@ -151,11 +154,11 @@
             String place = PACKAGES + ":" + (i + 1) + ": ";
             assertTrue(
                     WithdrawnWords.isWithin(line, WithdrawnWords.ROOT),
-                    () -> place + line + "; write a package's full name");
+                    () -> place + line + " is not the full name of a package");
             assertTrue(
                     Files.isDirectory(directoryOf(line)),
                     () -> place + "there is no package " + line + " in " + SOURCES);
-            assertTrue(seen.add(line), () -> place + line + " is already listed; take it out");
+            assertTrue(seen.add(line), () -> place + line + " is already listed; remove it");
             packages.add(line);
         }
         return packages;
--- a/src/test/java/io/kelphoist/logs/JsonFieldsAppenderTest.java
+++ b/src/test/java/io/kelphoist/logs/JsonFieldsAppenderTest.java
@@ -9,7 +9,10 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** Log lines as JSON: fields from placeholders, and a line as another process writes it. */
+/**
+ * Log lines as JSON. Guards against log lines without the fields by which operators search: job,
+ * task, attempt, machine and term.
+ */
 class JsonFieldsAppenderTest {
     private static Map<String, Object> fields(String template, Object... arguments) {
         return JsonFieldsAppender.extractFields(template, arguments).stream()
@@ -45,7 +48,7 @@
         assertEquals(Map.of(), fields("machine list received: entries={}", 7));
     }
 
-    /** A line of the real logging backend, in a process of its own. */
+    /** A line that a separate process logs with logback.xml is valid JSON with these fields. */
     @Test
     void logLineIsJson() throws Exception {
         Process process =
@@ -66,7 +69,7 @@
                         .lines()
                         .toList();
         assertEquals(0, process.waitFor(), () -> "" + lines);
-        assertEquals(1, lines.size(), () -> "" + lines);
+        assertEquals(1, lines.size(), () -> "expected one line of JSON: " + lines);
         JsonNode line = new ObjectMapper().readTree(lines.get(0));
         assertEquals("vm-1", line.findValue("machine").asText());
         assertEquals("7", line.path("mdc").path("term").asText());
@@ -77,6 +80,7 @@
                         .replace("{}", "vm-1"));
     }
 
+    /** The process of {@link #logLineIsJson}. */
     public static void main(String[] args) {
         org.slf4j.MDC.put("term", "7");
         org.slf4j.LoggerFactory.getLogger("x").info("machine {} is up", "vm-1");
