--- a/src/main/java/io/kelphoist/controller/Controller.java
+++ b/src/main/java/io/kelphoist/controller/Controller.java
@@ -63,8 +63,8 @@
     }
 
     /**
-     * Whether users and workers should use this controller: it has the machine types, and it is not
-     * the only controller that can't reach the state store.
+     * Whether users and workers should use this controller: it has the machine types, and it does
+     * not seem to be the only controller without a connection to the state store.
      */
     boolean isHealthy() {
         return !cloudGateway.machineTypes().isEmpty() && !elector.isIsolatedFromState();
--- a/src/test/java/io/kelphoist/architecture/ArchitectureTest.java
+++ b/src/test/java/io/kelphoist/architecture/ArchitectureTest.java
@@ -179,8 +179,8 @@
                     .dependOnClassesThat()
                     .resideInAnyPackage(higher.toArray(String[]::new))
                     .because(
-                            "each package of the scheduler depends only on lower ones, see"
-                                    + " SCHEDULER_PACKAGES")
+                            "the scheduler's packages are read from the lowest up, so each depends"
+                                    + " only on lower ones")
                     .check(CLASSES);
         }
     }
@@ -188,9 +188,9 @@
     @Test
     void allSchedulerPackagesHaveTheirPlaceInTheOrder() {
         Set<String> found = new TreeSet<>();
-        for (JavaClass each : CLASSES) {
-            if (each.getPackageName().startsWith(SCHEDULER + ".")) {
-                found.add(each.getPackageName().substring(SCHEDULER.length() + 1));
+        for (JavaClass javaClass : CLASSES) {
+            if (javaClass.getPackageName().startsWith(SCHEDULER + ".")) {
+                found.add(javaClass.getPackageName().substring(SCHEDULER.length() + 1));
             }
         }
         assertEquals(
@@ -202,9 +202,9 @@
     @Test
     void otherPackagesOnlyReadTheStateOfTheScheduler() {
         Set<String> used = new TreeSet<>();
-        for (JavaClass each : CLASSES) {
-            if (!resideInAnyPackage(SCHEDULER + "..").test(each)) {
-                for (JavaAccess<?> access : each.getAccessesFromSelf()) {
+        for (JavaClass javaClass : CLASSES) {
+            if (!resideInAnyPackage(SCHEDULER + "..").test(javaClass)) {
+                for (JavaAccess<?> access : javaClass.getAccessesFromSelf()) {
                     JavaClass owner = access.getTargetOwner();
                     if (isSchedulerState(owner)) {
                         used.add(owner.getSimpleName() + "." + access.getTarget().getName());
@@ -219,10 +219,10 @@
     }
 
     /** Whether a class is in a package below the scheduler, except the interface and enums. */
-    private static boolean isSchedulerState(JavaClass each) {
-        return resideInAnyPackage(SCHEDULER + ".*..").test(each)
-                && !resideInAnyPackage(SCHEDULER + ".spi").test(each)
-                && !each.isEnum();
+    private static boolean isSchedulerState(JavaClass javaClass) {
+        return resideInAnyPackage(SCHEDULER + ".*..").test(javaClass)
+                && !resideInAnyPackage(SCHEDULER + ".spi").test(javaClass)
+                && !javaClass.isEnum();
     }
 
     @Test
@@ -243,9 +243,9 @@
     @Test
     void jacksonStaysInCodecs() {
         Set<String> users = new TreeSet<>();
-        for (JavaClass each : CLASSES) {
-            if (!resideInAnyPackage(CODEC_PACKAGES).test(each) && usesJackson(each)) {
-                users.add(outermost(each).getName().substring(ROOT.length() + 1));
+        for (JavaClass javaClass : CLASSES) {
+            if (!resideInAnyPackage(CODEC_PACKAGES).test(javaClass) && usesJackson(javaClass)) {
+                users.add(outermost(javaClass).getName().substring(ROOT.length() + 1));
             }
         }
         Set<String> added = new TreeSet<>(users);
@@ -268,10 +268,10 @@
     }
 
     /** Whether a class uses a Jackson type, or calls a method that accepts or returns one. */
-    private static boolean usesJackson(JavaClass each) {
-        return each.getDirectDependenciesFromSelf().stream()
+    private static boolean usesJackson(JavaClass javaClass) {
+        return javaClass.getDirectDependenciesFromSelf().stream()
                         .anyMatch(dependency -> isOfJackson(dependency.getTargetClass()))
-                || each.getCodeUnitCallsFromSelf().stream()
+                || javaClass.getCodeUnitCallsFromSelf().stream()
                         .map(JavaCall::getTarget)
                         .anyMatch(
                                 target ->
@@ -280,11 +280,11 @@
                                                         .anyMatch(ArchitectureTest::isOfJackson));
     }
 
-    private static boolean isOfJackson(JavaClass each) {
-        return resideInAnyPackage(JACKSON).test(each);
+    private static boolean isOfJackson(JavaClass javaClass) {
+        return resideInAnyPackage(JACKSON).test(javaClass);
     }
 
-    private static JavaClass outermost(JavaClass each) {
-        return each.getEnclosingClass().map(ArchitectureTest::outermost).orElse(each);
+    private static JavaClass outermost(JavaClass javaClass) {
+        return javaClass.getEnclosingClass().map(ArchitectureTest::outermost).orElse(javaClass);
     }
 }
--- a/src/test/java/io/kelphoist/architecture/WithdrawnWords.java
+++ b/src/test/java/io/kelphoist/architecture/WithdrawnWords.java
@@ -165,7 +165,12 @@
     }
 
     private static int lineAt(String text, int offset) {
-        return 1 + (int) text.substring(0, offset).chars().filter(each -> each == '\n').count();
+        return 1
+                + (int)
+                        text.substring(0, offset)
+                                .chars()
+                                .filter(character -> character == '\n')
+                                .count();
     }
 
     private static String finding(String file, int line, Entry entry, String name) {
--- a/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
@@ -55,7 +55,7 @@
                             afterEnd::add);
             assertEquals(List.of(), afterEnd.events);
         }
-        // Without a cursor a client counts as new and gets the final event.
+        // Without a cursor a client is treated as new and gets the final event.
         RecordedEvents withoutCursor = new RecordedEvents();
         client(0).watch(watchJobs("job-91"), withoutCursor::add);
         assertEquals(List.of("job-91 CANCELLED"), withoutCursor.events);
