--- a/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
+++ b/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
@@ -36,8 +36,19 @@
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int LEASE_ID = 7;
 
+    /**
+     * A stored value.
+     *
+     * @param version revision at which it was stored
+     * @param leaseId lease to which its key is attached; 0 if none
+     */
     private record Item(JsonNode value, long version, long leaseId) {}
 
+    /**
+     * A change of a stored value.
+     *
+     * @param eventNode the change as a watch returns it
+     */
     private record Change(long revision, ObjectNode eventNode) {}
 
     private final int port;
--- a/src/main/java/io/kelphoist/config/JsonSettings.java
+++ b/src/main/java/io/kelphoist/config/JsonSettings.java
@@ -48,7 +48,7 @@
         return node.hasNonNull(name);
     }
 
-    /** Returns whether there is an object with the first name, with a field of the second name. */
+    /** Returns whether the object in the field {@code objectName} has a field {@code name}. */
     boolean has(String objectName, String name) {
         return node.path(objectName).hasNonNull(name);
     }
--- a/src/main/java/io/kelphoist/controller/Controller.java
+++ b/src/main/java/io/kelphoist/controller/Controller.java
@@ -58,6 +58,7 @@
         cloudGateway.readStoredTypes();
     }
 
+    /** The components that this controller drives. */
     ControllerComponents components() {
         return components;
     }
--- a/src/test/java/io/kelphoist/controller/GrpcFixture.java
+++ b/src/test/java/io/kelphoist/controller/GrpcFixture.java
@@ -55,10 +55,12 @@
         return "127.0.0.1:" + port;
     }
 
+    /** Returns a stub without retries, connected to a controller by its index. */
     SchedulerGrpc.SchedulerBlockingStub stub(int controller) {
         return SchedulerGrpc.newBlockingStub(channel(controller));
     }
 
+    /** Opens a channel to a controller by its index; it is closed after the test. */
     ManagedChannel channel(int controller) {
         ManagedChannel channel =
                 Grpc.newChannelBuilder(grpcAddress(controller), InsecureChannelCredentials.create())
@@ -78,10 +80,12 @@
         return client;
     }
 
+    /** Returns a job of team t. */
     static Job job(String id, Kind kind, int tasks) {
         return job(id, "t", kind, tasks);
     }
 
+    /** Returns a request to watch jobs by their ids, without a cursor. */
     static WatchRequest watchJobs(String... jobs) {
         return WatchRequest.newBuilder().addAllJobs(List.of(jobs)).build();
     }
--- a/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
@@ -62,8 +62,8 @@
     }
 
     /**
-     * The end of a job is stored while all controllers are stopped, so that none of them has sent
-     * its event. A client that resumes after the restart gets the event once.
+     * The end of a job is stored while all controllers are stopped, as if all had stopped after
+     * storing it and before sending its event. A client that resumes gets the event once.
      */
     @Test
     void sendsFinalEventAfterRestartOfAllControllers() throws Exception {
--- a/src/test/java/io/kelphoist/controller/GrpcWatchTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcWatchTest.java
@@ -21,7 +21,7 @@
 
 /**
  * Many concurrent watch streams at two controllers. Guards against final events that a stream sends
- * twice, out of order or never, also while another client does not read.
+ * twice or never, and against events after the final one, also while another client does not read.
  */
 @Timeout(40)
 class GrpcWatchTest extends GrpcFixture {
--- a/src/test/java/io/kelphoist/controller/JobTraceRecorderTest.java
+++ b/src/test/java/io/kelphoist/controller/JobTraceRecorderTest.java
@@ -5,7 +5,7 @@
 import io.kelphoist.admission.AdmissionResult;
 import org.junit.jupiter.api.Test;
 
-/** The attribute of submission spans that tells the result of the submission. */
+/** The attribute of submission spans that holds the result of the submission. */
 class JobTraceRecorderTest {
     /** Operators search traces by these values, so a rename of a type must not change them. */
     @Test
--- a/src/test/java/io/kelphoist/controller/LocalClusterFixture.java
+++ b/src/test/java/io/kelphoist/controller/LocalClusterFixture.java
@@ -75,6 +75,7 @@
         return SHORT_TIMEOUTS;
     }
 
+    /** Starts a controller process for each of the settings. */
     void startAll() throws IOException {
         for (PlatformSettings controllerSettings : settings) {
             controllers.add(
@@ -89,6 +90,12 @@
         cluster.close();
     }
 
+    /**
+     * Sends a request once.
+     *
+     * @param node host and port of a controller
+     * @param body null for a request without a body
+     */
     HttpResponse<byte[]> call(String node, String method, String path, byte[] body)
             throws IOException, InterruptedException {
         return httpClient.send(
@@ -176,6 +183,7 @@
         return storedLeader().equals("a") ? 0 : 1;
     }
 
+    /** Returns the newest term that the state store has. */
     long storedTerm() throws InterruptedException {
         return stateStore.awaitValue("k/term", value -> true).path("term").asLong();
     }
