--- a/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
+++ b/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
@@ -19,12 +19,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Minimal emulator of everything around one controller (state store, cloud, another controller and
- * workers), as far as a start and a failover use it. Runs in the build only. It uses the
- * controller's own HTTP classes, so that the archive contains them; {@code emulator} is not used,
- * as its classes would get into the archive.
+ * Minimal emulator of the state store, the cloud, another controller and the workers, as far as a
+ * start and a failover of one controller use them. Runs only in the build. It uses the controller's
+ * HTTP classes, so that the archive contains them. The package {@code emulator} is not used,
+ * because its classes would get into the archive.
  *
- * <p>Owns the stored items and the machines; its methods are synchronized.
+ * <p>Owns the stored items and the machines. Methods that use them are synchronized.
  */
 final class ClassArchiveTrainingServer {
     private static final String MACHINE_TYPES =
@@ -36,8 +36,19 @@
     private static final int MAX_BODY_BYTES = 1 << 20;
     private static final int LEASE_ID = 7;
 
+    /**
+     * A stored value.
+     *
+     * @param version revision at which it was stored
+     * @param leaseId lease to which its key is attached; 0 if none
+     */
     private record Item(JsonNode value, long version, long leaseId) {}
 
+    /**
+     * A change of a stored value.
+     *
+     * @param eventNode the change as a watch returns it
+     */
     private record Change(long revision, ObjectNode eventNode) {}
 
     private final int port;
@@ -119,7 +130,7 @@
         }
     }
 
-    /** Decodes a constant. */
+    /** Decodes a JSON text that is known to be valid, such as a constant. */
     static ObjectNode parseJson(String text) {
         try {
             return MessageEncoding.decodeJson(text.getBytes(StandardCharsets.UTF_8));
@@ -201,7 +212,7 @@
         return MessageEncoding.newObject().put("logbook", revision);
     }
 
-    /** The controller has stopped: the keys of its lease are deleted. */
+    /** Ends the lease of a controller that has stopped: deletes the keys attached to the lease. */
     synchronized void endLease() {
         items.values().removeIf(item -> item.leaseId != 0);
     }
@@ -219,7 +230,7 @@
         return response;
     }
 
-    /** A machine is represented by its worker's next heartbeat. */
+    /** Creates a machine, which is represented by the next heartbeat of its worker. */
     private ObjectNode newMachine(String name, ObjectNode request) {
         ObjectNode heartbeat =
                 MessageEncoding.newObject()
@@ -272,11 +283,12 @@
         }
     }
 
-    /** A worker got the response to its heartbeat. */
+    /** Executes the commands in the response to a worker's heartbeat. */
     synchronized void onResponse(ObjectNode heartbeat, ObjectNode response) {
         executeCommands(machines.get(heartbeat.path("buoy").asText()), response);
     }
 
+    /** Applies a message with commands to the machine that a heartbeat represents. */
     private static void executeCommands(ObjectNode heartbeat, ObjectNode message) {
         heartbeat
                 .put("helm", message.path("helm").asLong())
@@ -291,7 +303,7 @@
                                 .put("cast", command.path("cast").asLong())
                                 .put("sway", "pulling");
                 case "halt" -> stopTask(tasks, taskName);
-                default -> forgetTask(tasks, taskName);
+                default -> removeTask(tasks, taskName);
             }
         }
     }
@@ -304,7 +316,7 @@
         }
     }
 
-    private static void forgetTask(ArrayNode tasks, String taskName) {
+    private static void removeTask(ArrayNode tasks, String taskName) {
         for (Iterator<JsonNode> iterator = tasks.iterator(); iterator.hasNext(); ) {
             if (iterator.next().path("frond").asText().equals(taskName)) {
                 iterator.remove();
--- a/src/main/java/io/kelphoist/controller/AdmissionKnowledge.java
+++ b/src/main/java/io/kelphoist/controller/AdmissionClusterView.java
@@ -8,8 +8,8 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** What admission needs to know besides what the state store holds. */
-record AdmissionKnowledge(
+/** The controller's machine types, task counts and load, which admission uses besides records. */
+record AdmissionClusterView(
         CloudGateway cloudGateway, TaskCountReplication taskCounts, TickScheduler tickScheduler)
         implements Admission.ClusterView {
     @Override
--- a/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
+++ b/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
@@ -62,7 +62,7 @@
      * leaders.
      */
     void requestStatus(Machine machine, long agentEpoch) {
-        context.counters().onHeartbeatRequested();
+        context.counters().onStatusRequested();
         send(
                 machine,
                 Math.max(MIN_AGENT_EPOCH, agentEpoch),
@@ -158,7 +158,7 @@
         }
         schedulerState.onCommandOutcome(machineName, outcome, heartbeat, context.nowSeconds());
         if (outcome == DeliveryOutcome.NO_RESPONSE) {
-            context.counters().onCommandsUnanswered();
+            context.counters().onCommandOutcomeUnknown();
         }
         context.requestTick().run();
     }
--- a/src/test/java/io/kelphoist/controller/GrpcFixture.java
+++ b/src/test/java/io/kelphoist/controller/GrpcFixture.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.Executors;
 import org.junit.jupiter.api.AfterEach;
 
-/** A local cluster whose controllers also serve gRPC, without TLS, and clients for it. */
+/** A local cluster whose controllers also serve gRPC, without TLS, and clients of its service. */
 abstract class GrpcFixture extends LocalClusterFixture {
     private static final GrpcSettings GRPC_SETTINGS =
             GrpcSettings.builder(
@@ -38,8 +38,8 @@
     private final List<KelphoistClient> clients = new ArrayList<>();
 
     @Override
-    OperatorSettings operator() {
-        return QUICK.withGrpc(GRPC_SETTINGS);
+    OperatorSettings operatorSettings() {
+        return SHORT_TIMEOUTS.withGrpc(GRPC_SETTINGS);
     }
 
     @AfterEach
@@ -51,14 +51,16 @@
 
     private String grpcAddress(int controller) {
         int port = controllers.get(controller).grpcPort();
-        assertNotEquals(0, port, "a started controller knows the port of its gRPC server");
+        assertNotEquals(0, port, "the started controller serves gRPC");
         return "127.0.0.1:" + port;
     }
 
+    /** Returns a stub without retries, connected to a controller by its index. */
     SchedulerGrpc.SchedulerBlockingStub stub(int controller) {
         return SchedulerGrpc.newBlockingStub(channel(controller));
     }
 
+    /** Opens a channel to a controller by its index; it is closed after the test. */
     ManagedChannel channel(int controller) {
         ManagedChannel channel =
                 Grpc.newChannelBuilder(grpcAddress(controller), InsecureChannelCredentials.create())
@@ -67,7 +69,7 @@
         return channel;
     }
 
-    /** A client that tries the controllers in this order. */
+    /** Returns a client that tries the controllers in the given order. */
     KelphoistClient client(int... controllerIndexes) {
         List<String> addresses = new ArrayList<>();
         for (int index : controllerIndexes) {
@@ -78,17 +80,19 @@
         return client;
     }
 
+    /** Returns a job of team t. */
     static Job job(String id, Kind kind, int tasks) {
         return job(id, "t", kind, tasks);
     }
 
+    /** Returns a request to watch jobs by their ids, without a cursor. */
     static WatchRequest watchJobs(String... jobs) {
         return WatchRequest.newBuilder().addAllJobs(List.of(jobs)).build();
     }
 
-    /** Stores the end of job-91 without any controller taking part. */
+    /** Stores the end of job-91 directly, not through a controller. */
     void storeJobEnd() {
-        state.put(
+        stateStore.put(
                 "j/job-91",
                 MessageEncoding.newObject()
                         .put("status", "done")
--- a/src/test/java/io/kelphoist/controller/GrpcSubmissionTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcSubmissionTest.java
@@ -17,48 +17,51 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The cases of submissions.txt get the same answers over HTTP and over gRPC. */
+/**
+ * The cases of submissions.txt get the same result over HTTP and over gRPC. Guards against a
+ * validation or a status that only one of the two APIs has.
+ */
 @Timeout(40)
 class GrpcSubmissionTest extends GrpcFixture {
     private static final int HTTP = 0;
     private static final int GRPC = 1;
 
     @Test
-    void answersAlikeOverHttpAndGrpc() throws Exception {
-        callWithRetry(serving.get(0), "POST", "/work", job("job-1", "batch", 1));
-        callWithRetry(serving.get(1), "POST", "/work", job("job-1", "batch", 1));
+    void httpAndGrpcGiveTheSameResults() throws Exception {
+        callWithRetry(userAddresses.get(0), "POST", "/work", job("job-1", "batch", 1));
+        callWithRetry(userAddresses.get(1), "POST", "/work", job("job-1", "batch", 1));
         SchedulerGrpc.SchedulerBlockingStub stub = stub(1);
         Map<String, String> jobIds = new HashMap<>();
         String lastCreated = null;
         for (SubmissionCase submission : SubmissionCase.readAll()) {
-            String[] answers = new String[2];
+            String[] results = new String[2];
             for (int api : new int[] {HTTP, GRPC}) {
                 JobSpec spec = submission.toJobSpec(api, lastCreated, jobIds);
                 jobIds.put(submission.name() + api, spec.id());
-                state.setUnavailable(submission.isStateStoreDown());
-                answers[api] = api == HTTP ? submitOverHttp(spec) : submitOverGrpc(stub, spec);
-                assertExpected(submission, answers[api]);
+                stateStore.setUnavailable(submission.isStateStoreDown());
+                results[api] = api == HTTP ? submitOverHttp(spec) : submitOverGrpc(stub, spec);
+                assertExpected(submission, results[api]);
             }
-            assertAlike(submission, answers, jobIds);
-            state.setUnavailable(false);
+            assertSameResult(submission, results, jobIds);
+            stateStore.setUnavailable(false);
             if (!submission.isResubmission() && submission.expected().equals("created")) {
                 lastCreated = submission.name();
             }
         }
     }
 
-    private static void assertExpected(SubmissionCase submission, String answer) {
+    private static void assertExpected(SubmissionCase submission, String result) {
         assertTrue(
-                answer.startsWith(submission.expected()), () -> submission.name() + ": " + answer);
-        assertTrue(answer.contains(submission.reason()), () -> submission.name() + ": " + answer);
+                result.startsWith(submission.expected()), () -> submission.name() + ": " + result);
+        assertTrue(result.contains(submission.reason()), () -> submission.name() + ": " + result);
     }
 
-    /** Compares the answers but for the ids of jobs, which differ between the APIs. */
-    private static void assertAlike(
-            SubmissionCase submission, String[] answers, Map<String, String> jobIds) {
+    /** Compares the results after replacing the ids of jobs, which differ between the APIs. */
+    private static void assertSameResult(
+            SubmissionCase submission, String[] results, Map<String, String> jobIds) {
         assertEquals(
-                answers[HTTP],
-                answers[GRPC]
+                results[HTTP],
+                results[GRPC]
                         .replace(submission.newJobId(GRPC), submission.newJobId(HTTP))
                         .replace(
                                 jobIds.getOrDefault("service" + GRPC, "-"),
@@ -66,9 +69,10 @@
                 submission.name());
     }
 
+    /** Submits a job over HTTP and returns the result in the terms of submissions.txt. */
     private String submitOverHttp(JobSpec spec) throws Exception {
         byte[] body = MessageEncoding.encodeCbor(JobCodec.encodeJob(spec));
-        HttpResponse<byte[]> response = call(serving.get(0), "POST", "/work", body);
+        HttpResponse<byte[]> response = call(userAddresses.get(0), "POST", "/work", body);
         String reason =
                 response.body().length == 0
                         ? ""
@@ -86,6 +90,7 @@
         };
     }
 
+    /** Submits a job over gRPC and returns the result in the terms of submissions.txt. */
     private static String submitOverGrpc(SchedulerGrpc.SchedulerBlockingStub stub, JobSpec spec) {
         SubmitRequest request = SubmitRequest.newBuilder().setJob(toMessage(spec)).build();
         try {
--- a/src/test/java/io/kelphoist/controller/ImmediateRestartTest.java
+++ b/src/test/java/io/kelphoist/controller/ImmediateRestartTest.java
@@ -9,17 +9,18 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A leader on loopback that is killed and restarts before any controller notices. The lease of its
- * earlier process would last longer than the test may.
+ * A leader on loopback that is killed and restarts before another controller notices. Guards
+ * against a restarted leader that waits until the lease of its previous process expires: that lease
+ * lasts longer than the timeout of the test.
  */
 @Timeout(45)
 class ImmediateRestartTest extends LocalClusterFixture {
-    private static final int LEASE_MILLIS = 60_000;
+    private static final int LEADER_LEASE_MILLIS = 60_000;
 
     @Override
-    OperatorSettings operator() {
+    OperatorSettings operatorSettings() {
         return new OperatorSettings(
-                LEASE_MILLIS,
+                LEADER_LEASE_MILLIS,
                 500,
                 5,
                 1,
@@ -35,7 +36,7 @@
 
     @Test
     void acquiresLeadershipWithoutWaitingForItsOldLease() throws Exception {
-        assertSubmissionStatus(201, serving.get(0), job("job-96", "standing", 1));
+        assertSubmissionStatus(201, userAddresses.get(0), job("job-96", "standing", 1));
         taskLog.awaitRunning("job-96/0", true);
         int leader = leaderIndex();
         long term = storedTerm();
@@ -43,9 +44,9 @@
         controllers.set(
                 leader,
                 ControllerProcess.start(
-                        settings.get(leader), operator(), System.nanoTime() * 1e-9));
-        state.awaitValue("k/term", value -> value.path("term").asLong() == term + 1);
-        assertSubmissionStatus(201, serving.get(leader), job("job-97", "standing", 1));
+                        settings.get(leader), operatorSettings(), System.nanoTime() * 1e-9));
+        stateStore.awaitValue("k/term", value -> value.path("term").asLong() == term + 1);
+        assertSubmissionStatus(201, userAddresses.get(leader), job("job-97", "standing", 1));
         taskLog.awaitRunning("job-97/0", true);
         assertEquals(1, taskLog.startCount("job-96/0"));
         assertNull(taskLog.violation());
--- a/src/test/java/io/kelphoist/controller/JobTraceRecorderTest.java
+++ b/src/test/java/io/kelphoist/controller/JobTraceRecorderTest.java
@@ -5,22 +5,22 @@
 import io.kelphoist.admission.AdmissionResult;
 import org.junit.jupiter.api.Test;
 
-/** Values of answers in traces, by which operators search. */
+/** The attribute of submission spans that holds the result of the submission. */
 class JobTraceRecorderTest {
-    /** Operators search traces by these values: they do not follow the names of types. */
+    /** Operators search traces by these values, so a rename of a type must not change them. */
     @Test
-    void answersInTracesKeepTheirValues() {
+    void traceAttributeValuesAreStable() {
         assertEquals(
-                "accepted", JobTraceRecorder.answerAttribute(new AdmissionResult.Accepted(null)));
-        assertEquals("known", JobTraceRecorder.answerAttribute(new AdmissionResult.Found(null)));
-        assertEquals("absent", JobTraceRecorder.answerAttribute(new AdmissionResult.NotFound()));
+                "accepted", JobTraceRecorder.resultAttribute(new AdmissionResult.Accepted(null)));
+        assertEquals("known", JobTraceRecorder.resultAttribute(new AdmissionResult.Found(null)));
+        assertEquals("absent", JobTraceRecorder.resultAttribute(new AdmissionResult.NotFound()));
         assertEquals(
                 "refused",
-                JobTraceRecorder.answerAttribute(
+                JobTraceRecorder.resultAttribute(
                         new AdmissionResult.Rejected(null, "no such team")));
         assertEquals(
                 "later",
-                JobTraceRecorder.answerAttribute(
+                JobTraceRecorder.resultAttribute(
                         new AdmissionResult.RetryLater(AdmissionResult.DeferralReason.BUSY, 1)));
     }
 }
