--- a/src/main/java/io/kelphoist/events/EventBroker.java
+++ b/src/main/java/io/kelphoist/events/EventBroker.java
@@ -98,8 +98,8 @@
     }
 
     /** Returns the revision up to which all records are known; negative if none were read yet. */
-    public long knownRevision() {
-        return jobs.knownRevision();
+    public long appliedRevision() {
+        return jobs.appliedRevision();
     }
 
     // ---- stored records ----
@@ -113,10 +113,10 @@
         changes.forEach(change -> applyRecord(change.withoutSpec()));
         jobs.advanceTo(revision);
         Set<Subscription> toDeliver = new LinkedHashSet<>(subscriptions.byOwner());
-        changes.forEach(change -> toDeliver.addAll(subscriptions.naming(change.id())));
+        changes.forEach(change -> toDeliver.addAll(subscriptions.byJobId(change.id())));
         for (Subscription subscription : subscriptions.all()) {
-            startIfAwaiting(subscription, nowSeconds);
-            if (subscription.isAheadAfterUpdate(jobs.knownRevision())) {
+            startIfAwaitingStore(subscription, nowSeconds);
+            if (subscription.isCursorAheadAfterUpdate(jobs.appliedRevision())) {
                 delivery.end(subscription, Subscriber.EndReason.CURSOR_AHEAD);
             }
         }
@@ -137,7 +137,7 @@
     private void applyRecord(JobRecord record) {
         if (jobs.applyRecord(record)) {
             subscriptions
-                    .naming(record.id())
+                    .byJobId(record.id())
                     .forEach(subscription -> subscription.addNamedJob(record));
         }
     }
@@ -170,7 +170,7 @@
 
     private void offer(JobRecord record, TransientEvent event, Set<Subscription> toDeliver) {
         subscriptions
-                .naming(event.jobId())
+                .byJobId(event.jobId())
                 .forEach(subscription -> offer(subscription, record, event, toDeliver));
         for (Subscription subscription : subscriptions.byOwner()) {
             if (subscription.filter().matches(record.id(), record.owner())) {
@@ -228,7 +228,7 @@
         if (filter instanceof SubscriptionFilter.ByJobIds byJobIds) {
             addNamedJobs(subscription, byJobIds, namedJobs);
         }
-        startIfAwaiting(subscription, nowSeconds);
+        startIfAwaitingStore(subscription, nowSeconds);
         delivery.deliver(subscription, nowSeconds);
         return subscription;
     }
@@ -247,16 +247,16 @@
     }
 
     /** Starts a subscription once records were read from the store. */
-    private void startIfAwaiting(Subscription subscription, double nowSeconds) {
+    private void startIfAwaitingStore(Subscription subscription, double nowSeconds) {
         if (subscription.state() != Subscription.State.AWAITING_STORE || !jobs.hasRecords()) {
             return;
         }
         if (subscription.isResumed()) {
             subscription.startResync();
         } else if (subscription.filter() instanceof SubscriptionFilter.ByOwner) {
-            subscription.startAt(jobs.knownRevision());
+            subscription.startAt(jobs.appliedRevision());
         }
-        if (subscription.mayHaveMissedEnds(jobs.jobLog().evictedUpTo())) {
+        if (subscription.mayHaveMissedFinalEvents(jobs.jobLog().evictedUpTo())) {
             loadSnapshot(subscription, nowSeconds);
         } else {
             subscription.transitionTo(Subscription.State.DELIVERING);
@@ -265,10 +265,11 @@
 
     private void loadSnapshot(Subscription subscription, double nowSeconds) {
         subscription.transitionTo(Subscription.State.LOADING_SNAPSHOT);
-        snapshotSource.readAllJobs(snapshot -> onLoaded(subscription, snapshot, nowSeconds));
+        snapshotSource.readAllJobs(
+                snapshot -> onSnapshotLoaded(subscription, snapshot, nowSeconds));
     }
 
-    private void onLoaded(Subscription subscription, Snapshot snapshot, double nowSeconds) {
+    private void onSnapshotLoaded(Subscription subscription, Snapshot snapshot, double nowSeconds) {
         if (subscription.state() != Subscription.State.LOADING_SNAPSHOT) {
             return;
         }
--- a/src/main/java/io/kelphoist/events/EventDelivery.java
+++ b/src/main/java/io/kelphoist/events/EventDelivery.java
@@ -52,7 +52,7 @@
                 scheduleNextTurn(subscription, nowSeconds);
                 return;
             }
-            if (subscription.mayHaveMissedEnds(jobs.jobLog().evictedUpTo())) {
+            if (subscription.mayHaveMissedFinalEvents(jobs.jobLog().evictedUpTo())) {
                 end(subscription, Subscriber.EndReason.SLOW);
             } else if (!deliverNext(subscription)) {
                 if (subscription.isComplete()) {
@@ -95,7 +95,7 @@
     }
 
     private boolean deliverNextRecord(Subscription subscription) {
-        JobRecord record = subscription.nextRecord(jobs.jobLog(), jobs.knownRevision());
+        JobRecord record = subscription.nextRecord(jobs.jobLog(), jobs.appliedRevision());
         if (record == null) {
             return false;
         }
@@ -144,7 +144,7 @@
         if (!subscription.reportStoreReachable(storeReachable)) {
             return false;
         }
-        subscription.subscriber().onReachabilityChanged(storeReachable, subscription.cursor());
+        subscription.subscriber().onStoreReachabilityChanged(storeReachable, subscription.cursor());
         return true;
     }
 
--- a/src/main/java/io/kelphoist/events/JobEventState.java
+++ b/src/main/java/io/kelphoist/events/JobEventState.java
@@ -16,7 +16,7 @@
     private final CompactedJobLog jobLog;
     private final int maxEndedJobs;
     private final Map<String, TransientEvent> latestTransientEvents = new HashMap<>();
-    private long knownRevision = NOTHING_READ;
+    private long appliedRevision = NOTHING_READ;
     private boolean storeReachable = true;
 
     JobEventState(int maxEndedJobs) {
@@ -29,18 +29,18 @@
     }
 
     /** Returns the revision up to which the log is complete; negative if nothing was read yet. */
-    long knownRevision() {
-        return knownRevision;
+    long appliedRevision() {
+        return appliedRevision;
     }
 
     /** Whether records were read from the store at all. */
     boolean hasRecords() {
-        return knownRevision >= 0;
+        return appliedRevision >= 0;
     }
 
     /** The log is complete up to this revision. */
     void advanceTo(long revision) {
-        knownRevision = Math.max(knownRevision, revision);
+        appliedRevision = Math.max(appliedRevision, revision);
     }
 
     boolean storeReachable() {
--- a/src/main/java/io/kelphoist/events/JobEventType.java
+++ b/src/main/java/io/kelphoist/events/JobEventType.java
@@ -13,7 +13,7 @@
     record WaitingForDependencies() implements JobEventType {}
 
     /** Room is reserved for the job on this many machines, which is not enough yet. */
-    record CapacityHeld(int machineCount) implements JobEventType {}
+    record CapacityReserved(int machineCount) implements JobEventType {}
 
     /** A task began to run. */
     record Started(int task, String machine) implements JobEventType {}
--- a/src/main/java/io/kelphoist/events/RecordWalk.java
+++ b/src/main/java/io/kelphoist/events/RecordIterator.java
@@ -17,7 +17,7 @@
  * the named jobs' records, which the walk keeps itself; otherwise from the log of all jobs; and
  * from a backlog if the log does not reach back to the position.
  */
-final class RecordWalk {
+final class RecordIterator {
     private final SubscriptionFilter filter;
     private LogPosition position;
 
@@ -35,7 +35,7 @@
 
     private long backlogRevision;
 
-    RecordWalk(SubscriptionFilter filter, LogPosition position, long startRevision) {
+    RecordIterator(SubscriptionFilter filter, LogPosition position, long startRevision) {
         this.filter = filter;
         this.position = position;
         this.startRevision = startRevision;
@@ -70,7 +70,7 @@
     /**
      * Whether the walk may have missed ends, as the log has evicted ended jobs after its position.
      */
-    boolean mayHaveMissedEnds(LogPosition evictedUpTo) {
+    boolean mayHaveMissedFinalEvents(LogPosition evictedUpTo) {
         LogPosition knownUpTo = backlog == null ? position : LogPosition.endOf(backlogRevision);
         return filter instanceof SubscriptionFilter.ByOwner
                 && knownUpTo.isBefore(evictedUpTo)
@@ -111,12 +111,12 @@
     /**
      * Returns the next record and moves past it.
      *
-     * @param knownRevision the revision up to which the log is complete; no record after it is
+     * @param appliedRevision the revision up to which the log is complete; no record after it is
      *     returned
      * @return null if there is none
      */
-    JobRecord next(CompactedJobLog log, long knownRevision) {
-        JobRecord record = findNext(log, knownRevision);
+    JobRecord next(CompactedJobLog log, long appliedRevision) {
+        JobRecord record = findNext(log, appliedRevision);
         if (record == null) {
             return null;
         }
@@ -132,7 +132,7 @@
     }
 
     /** Returns the next record without moving to it, or null if there is none yet. */
-    private JobRecord findNext(CompactedJobLog log, long knownRevision) {
+    private JobRecord findNext(CompactedJobLog log, long appliedRevision) {
         if (backlog != null) {
             if (!backlog.isEmpty()) {
                 return backlog.firstEntry().getValue();
@@ -140,8 +140,8 @@
             finishBacklog();
         }
         return filter instanceof SubscriptionFilter.ByJobIds
-                ? findNextNamed(knownRevision)
-                : findNextInLog(log, knownRevision);
+                ? findNextNamed(appliedRevision)
+                : findNextInLog(log, appliedRevision);
     }
 
     private void finishBacklog() {
@@ -151,30 +151,30 @@
     }
 
     /** Returns the first named job's record after the position, or null if there is none. */
-    private JobRecord findNextNamed(long knownRevision) {
+    private JobRecord findNextNamed(long appliedRevision) {
         JobRecord first = null;
         for (JobRecord record : namedJobs.values()) {
-            if (record.version() <= knownRevision) {
+            if (record.version() <= appliedRevision) {
                 first = firstAfter(position, first, record);
             }
         }
         return first;
     }
 
-    private JobRecord findNextInLog(CompactedJobLog log, long knownRevision) {
+    private JobRecord findNextInLog(CompactedJobLog log, long appliedRevision) {
         LogPosition startPosition = LogPosition.endOf(startRevision);
         while (true) {
             boolean beforeStart = position.isBefore(startPosition);
             JobRecord record =
                     beforeStart ? log.firstUnfinishedAfter(position) : log.firstAfter(position);
             if (beforeStart && (record == null || record.version() > startRevision)) {
-                if (startRevision > knownRevision) {
+                if (startRevision > appliedRevision) {
                     // The subscription began at a controller that knew more; what it delivered as
                     // unfinished is not known here yet.
                     return null;
                 }
                 position = startPosition;
-            } else if (record == null || record.version() > knownRevision) {
+            } else if (record == null || record.version() > appliedRevision) {
                 return null;
             } else if (filter.matches(record.id(), record.owner())) {
                 return record;
--- a/src/main/java/io/kelphoist/events/Subscriber.java
+++ b/src/main/java/io/kelphoist/events/Subscriber.java
@@ -20,7 +20,7 @@
      *
      * @param cursor resumes after the last event
      */
-    void onReachabilityChanged(boolean storeReachable, Cursor cursor);
+    void onStoreReachabilityChanged(boolean storeReachable, Cursor cursor);
 
     /**
      * The subscription has ended, nothing follows.
--- a/src/main/java/io/kelphoist/events/Subscription.java
+++ b/src/main/java/io/kelphoist/events/Subscription.java
@@ -8,8 +8,8 @@
 import java.util.Optional;
 
 /**
- * One client's subscription. Stored records are walked ({@link RecordWalk}); only transient events
- * are buffered, a bounded number of them.
+ * One client's subscription. Stored records are walked ({@link RecordIterator}); only transient
+ * events are buffered, a bounded number of them.
  *
  * <p>Owns its state, its buffered events and the progress of its resynchronization. Confined to the
  * events' thread.
@@ -35,7 +35,7 @@
     private final String clientName;
     private final Subscriber subscriber;
     private final boolean resumed;
-    private final RecordWalk walk;
+    private final RecordIterator recordIterator;
     private State state = State.AWAITING_STORE;
     private int updatesBehindCursor;
 
@@ -61,8 +61,8 @@
         this.clientName = clientName;
         this.subscriber = subscriber;
         this.resumed = cursor.isPresent();
-        this.walk =
-                new RecordWalk(
+        this.recordIterator =
+                new RecordIterator(
                         filter,
                         cursor.map(Cursor::position).orElse(LogPosition.START),
                         cursor.map(Cursor::startRevision).orElse(0L));
@@ -81,7 +81,7 @@
         state = next;
         if (next == State.ENDED) {
             transientEvents.clear();
-            walk.clear();
+            recordIterator.clear();
         }
         return true;
     }
@@ -105,7 +105,7 @@
 
     /** Returns the cursor to resume after all that was delivered. */
     Cursor cursor() {
-        return new Cursor(fingerprint, walk.startRevision(), walk.position());
+        return new Cursor(fingerprint, recordIterator.startRevision(), recordIterator.position());
     }
 
     // ---- progress of its subscriber ----
@@ -150,12 +150,12 @@
 
     /** Returns the revision at which the subscription began. */
     long startRevision() {
-        return walk.startRevision();
+        return recordIterator.startRevision();
     }
 
     /** Leaves out jobs that had ended by this revision. */
     void startAt(long revision) {
-        walk.startAt(revision);
+        recordIterator.startAt(revision);
     }
 
     /**
@@ -163,9 +163,10 @@
      *
      * @return whether the cursor was ahead of the store for too many updates
      */
-    boolean isAheadAfterUpdate(long knownRevision) {
-        long cursorRevision = Math.max(walk.position().revision(), walk.startRevision());
-        if (cursorRevision <= knownRevision) {
+    boolean isCursorAheadAfterUpdate(long appliedRevision) {
+        long cursorRevision =
+                Math.max(recordIterator.position().revision(), records.startRevision());
+        if (cursorRevision <= appliedRevision) {
             return false;
         }
         updatesBehindCursor++;
@@ -174,27 +175,27 @@
 
     /** Takes the record of a job that the filter names, whatever its age. */
     void addNamedJob(JobRecord record) {
-        walk.addNamedJob(record);
+        recordIterator.addNamedJob(record);
     }
 
     /** Whether it may have missed ends that the log has evicted. */
-    boolean mayHaveMissedEnds(LogPosition evictedUpTo) {
-        return walk.mayHaveMissedEnds(evictedUpTo);
+    boolean mayHaveMissedFinalEvents(LogPosition evictedUpTo) {
+        return recordIterator.mayHaveMissedFinalEvents(evictedUpTo);
     }
 
     /** Takes all records as they were stored at a revision, to be delivered before the log's. */
     void loadBacklog(long revision, Collection<JobRecord> records) {
-        walk.loadBacklog(revision, records);
+        recordIterator.loadBacklog(revision, records);
     }
 
-    /** Returns the next record and moves past it, see {@link RecordWalk#next}. */
-    JobRecord nextRecord(CompactedJobLog log, long knownRevision) {
-        return walk.next(log, knownRevision);
+    /** Returns the next record and moves past it, see {@link RecordIterator#next}. */
+    JobRecord nextRecord(CompactedJobLog log, long appliedRevision) {
+        return recordIterator.next(log, appliedRevision);
     }
 
     /** Whether all jobs that it names have ended, and their ends were delivered. */
     boolean isComplete() {
-        return walk.isComplete();
+        return recordIterator.isComplete();
     }
 
     // ---- transient events ----
@@ -206,13 +207,13 @@
     void startResync() {
         transientEvents.clear();
         resyncPosition = LogPosition.START;
-        resyncEnd = walk.position();
+        resyncEnd = recordIterator.position();
     }
 
     /** Returns the next unfinished job to be delivered again, or null if there is none. */
     JobRecord nextResyncRecord(CompactedJobLog log) {
         while (resyncPosition != null) {
-            JobRecord record = walk.firstUnfinishedAfter(resyncPosition, log);
+            JobRecord record = recordIterator.firstUnfinishedAfter(resyncPosition, log);
             if (record == null || CompactedJobLog.positionOf(record).isAfter(resyncEnd)) {
                 resyncPosition = null;
                 return null;
@@ -232,7 +233,7 @@
                 resyncPosition != null
                         && recordPosition.isAfter(resyncPosition)
                         && !recordPosition.isAfter(resyncEnd);
-        return !recordPosition.isAfter(walk.position()) && !awaitsResync;
+        return !recordPosition.isAfter(recordIterator.position()) && !awaitsResync;
     }
 
     /**
--- a/src/main/java/io/kelphoist/events/SubscriptionRegistry.java
+++ b/src/main/java/io/kelphoist/events/SubscriptionRegistry.java
@@ -15,7 +15,7 @@
     private final EventBrokerLimits limits;
     private final Set<Subscription> subscriptions = new LinkedHashSet<>();
     private final Set<Subscription> byOwner = new LinkedHashSet<>();
-    private final Map<String, Set<Subscription>> byJob = new HashMap<>();
+    private final Map<String, Set<Subscription>> subscriptionsByJobId = new HashMap<>();
     private final Map<String, Integer> countByClient = new HashMap<>();
     private boolean closed;
 
@@ -52,7 +52,9 @@
         countByClient.merge(subscription.clientName(), 1, Integer::sum);
         if (subscription.filter() instanceof SubscriptionFilter.ByJobIds byJobIds) {
             for (String jobId : byJobIds.jobIds()) {
-                byJob.computeIfAbsent(jobId, key -> new LinkedHashSet<>()).add(subscription);
+                subscriptionsByJobId
+                        .computeIfAbsent(jobId, key -> new LinkedHashSet<>())
+                        .add(subscription);
             }
         } else {
             byOwner.add(subscription);
@@ -71,9 +73,9 @@
     }
 
     private void removeFromJob(String jobId, Subscription subscription) {
-        Set<Subscription> naming = byJob.get(jobId);
+        Set<Subscription> naming = subscriptionsByJobId.get(jobId);
         if (naming != null && naming.remove(subscription) && naming.isEmpty()) {
-            byJob.remove(jobId);
+            subscriptionsByJobId.remove(jobId);
         }
     }
 
@@ -88,7 +90,7 @@
     }
 
     /** Returns the open subscriptions that name a job. */
-    Set<Subscription> naming(String jobId) {
-        return byJob.getOrDefault(jobId, Set.of());
+    Set<Subscription> byJobId(String jobId) {
+        return subscriptionsByJobId.getOrDefault(jobId, Set.of());
     }
 }
--- a/src/main/java/io/kelphoist/events/TaskEventLog.java
+++ b/src/main/java/io/kelphoist/events/TaskEventLog.java
@@ -64,7 +64,7 @@
         }
         JobHistory history = historyByJob.computeIfAbsent(jobId, key -> new JobHistory());
         JobEventType type = toJobEventType(taskEvent, history);
-        if (type instanceof JobEventType.CapacityHeld
+        if (type instanceof JobEventType.CapacityReserved
                 && history.lastEvent != null
                 && type.equals(history.lastEvent.type())) {
             return Optional.empty();
@@ -86,7 +86,7 @@
                     stopped.taskIndex(), stopped.machineName(), causeText(stopped.cause()));
         }
         if (taskEvent instanceof TaskEvent.RoomReserved reserved) {
-            return new JobEventType.CapacityHeld(reserved.machineCount());
+            return new JobEventType.CapacityReserved(reserved.machineCount());
         }
         return taskEvent instanceof TaskEvent.WaitingForDependencies
                 ? new JobEventType.WaitingForDependencies()
--- a/src/main/java/io/kelphoist/grpc/GrpcMessageCodec.java
+++ b/src/main/java/io/kelphoist/grpc/GrpcMessageCodec.java
@@ -143,7 +143,7 @@
             message.setAccepted(Accepted.getDefaultInstance());
         } else if (type instanceof JobEventType.WaitingForDependencies) {
             message.setWaiting(Waiting.getDefaultInstance());
-        } else if (type instanceof JobEventType.CapacityHeld held) {
+        } else if (type instanceof JobEventType.CapacityReserved held) {
             message.setHeld(Held.newBuilder().setMachines(held.machineCount()));
         } else if (type instanceof JobEventType.Started started) {
             message.setStarted(
--- a/src/main/java/io/kelphoist/grpc/WatchStream.java
+++ b/src/main/java/io/kelphoist/grpc/WatchStream.java
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public void onReachabilityChanged(boolean storeReachable, Cursor cursor) {
+    public void onStoreReachabilityChanged(boolean storeReachable, Cursor cursor) {
         responseObserver.onNext(
                 GrpcMessageCodec.toStreamStateResponse(storeReachable, encode(cursor)));
     }
--- a/src/main/java/io/kelphoist/peer/TaskEventCodec.java
+++ b/src/main/java/io/kelphoist/peer/TaskEventCodec.java
@@ -104,7 +104,7 @@
     private static void encodeType(JobEventType type, ObjectNode node) {
         if (type instanceof JobEventType.WaitingForDependencies) {
             node.put("what", "waiting");
-        } else if (type instanceof JobEventType.CapacityHeld held) {
+        } else if (type instanceof JobEventType.CapacityReserved held) {
             node.put("what", "held").put("machines", held.machineCount());
         } else if (type instanceof JobEventType.Started started) {
             node.put("what", "started")
@@ -146,7 +146,7 @@
         String cause = node.path("cause").asText();
         return switch (node.path("what").asText()) {
             case "waiting" -> new JobEventType.WaitingForDependencies();
-            case "held" -> new JobEventType.CapacityHeld(node.path("machines").asInt());
+            case "held" -> new JobEventType.CapacityReserved(node.path("machines").asInt());
             case "started" -> new JobEventType.Started(task, machine);
             case "moved" ->
                     new JobEventType.Moved(task, node.path("from").asText(), machine, cause);
--- a/src/test/java/io/kelphoist/contract/ControllerMessagesContractTest.java
+++ b/src/test/java/io/kelphoist/contract/ControllerMessagesContractTest.java
@@ -288,7 +288,7 @@
                                 0,
                                 0,
                                 1_790_000_000_123L),
-                        new TransientEvent("job-2", new JobEventType.CapacityHeld(3), 0, 0, 2),
+                        new TransientEvent("job-2", new JobEventType.CapacityReserved(3), 0, 0, 2),
                         new TransientEvent("job-3", new JobEventType.Started(4, "vm-1"), 1, 2, 3),
                         new TransientEvent(
                                 "job-4",
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -122,7 +122,7 @@
         }
 
         @Override
-        public void onReachabilityChanged(boolean current, Cursor next) {
+        public void onStoreReachabilityChanged(boolean current, Cursor next) {
             cursor = signer.encode(next);
         }
 
--- a/src/test/java/io/kelphoist/events/EventBrokerTest.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerTest.java
@@ -44,7 +44,7 @@
         }
 
         @Override
-        public void onReachabilityChanged(boolean current, Cursor cursor) {}
+        public void onStoreReachabilityChanged(boolean current, Cursor cursor) {}
 
         @Override
         public void onEnded(EndReason reason, Cursor cursor) {
