--- a/src/main/java/io/kelphoist/events/CompactedJobLog.java
+++ b/src/main/java/io/kelphoist/events/CompactedJobLog.java
@@ -6,10 +6,10 @@
 import java.util.TreeMap;
 
 /**
- * The stored records of jobs in the order of their positions, compacted: each job stands once, at
- * the position of its last change. The record of an end replaces that of the acceptance, so a
- * subscription that has not reached the acceptance gets the end alone. All unfinished jobs are
- * kept, and a bounded number of those that ended last.
+ * The stored job records in the order of their positions, compacted: each job has one entry, at the
+ * position of its last change. The final record of a job replaces the record of its acceptance, so
+ * a subscription that has not reached the acceptance receives only the final event. All unfinished
+ * jobs are kept, and a bounded number of the jobs that ended last.
  */
 final class CompactedJobLog {
     private final int maxEndedJobs;
@@ -27,7 +27,12 @@
         return new LogPosition(record.version(), record.id());
     }
 
-    /** Adds a record and returns true, or returns false if the log has as new a one of its job. */
+    /**
+     * Adds a record, which replaces the job's previous one.
+     *
+     * @return false if the log already has the job's final record, or one of at least the same
+     *     version
+     */
     boolean put(JobRecord record) {
         JobRecord previous = jobs.get(record.id());
         if (previous != null) {
@@ -58,8 +63,8 @@
     }
 
     /**
-     * Returns the position up to which ended jobs may have been evicted. A subscription that is not
-     * past it can't be served from the log alone.
+     * Returns the position up to which ended jobs may have been evicted. A subscription whose
+     * position is before it can't be served from the log alone.
      */
     LogPosition evictedUpTo() {
         return evictedUpTo;
@@ -78,7 +83,7 @@
         return nextEnded.getValue();
     }
 
-    /** Returns the first record of an unfinished job after a position, or null if none. */
+    /** Returns the first record of an unfinished job after a position, or null if there is none. */
     JobRecord firstUnfinishedAfter(LogPosition position) {
         return valueOf(unfinished.higherEntry(position));
     }
--- a/src/main/java/io/kelphoist/events/Cursor.java
+++ b/src/main/java/io/kelphoist/events/Cursor.java
@@ -1,11 +1,12 @@
 package io.kelphoist.events;
 
 /**
- * How far a subscription was delivered: all stored records up to a position. A client resumes with
- * it, at any controller.
+ * The progress of a subscription: all stored records up to a position have been delivered. A client
+ * can resume from it at any controller.
  *
- * @param filterFingerprint {@link SubscriptionFilter#fingerprint} of the subscription
- * @param startRevision the store's revision at which the subscription began; jobs that had ended by
- *     then are not delivered
+ * @param filterFingerprint {@link SubscriptionFilter#fingerprint} of the subscription's filter
+ * @param startRevision the state store's revision at which the subscription started; jobs that had
+ *     ended by this revision are not delivered
+ * @param position the position up to which stored records have been delivered
  */
 public record Cursor(long filterFingerprint, long startRevision, LogPosition position) {}
--- a/src/main/java/io/kelphoist/events/CursorSigner.java
+++ b/src/main/java/io/kelphoist/events/CursorSigner.java
@@ -13,9 +13,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Encodes cursors as small opaque byte strings with a message authentication code, and decodes
- * them: cursors that were damaged or forged are rejected. The first key signs and all keys verify,
- * so that keys can be rotated while cursors are in use.
+ * Encodes cursors as small opaque byte strings with a message authentication code (MAC), and
+ * decodes them, rejecting cursors that were damaged or forged. The first key signs and all keys
+ * verify, so that keys can be rotated while cursors are in use.
  *
  * <p>Layout: version (1 byte), key id (1), filter fingerprint (8), start revision (8), position's
  * revision (8), position's job id (modified UTF-8 with its length), truncated MAC (16).
@@ -29,13 +29,14 @@
     private static final int USUAL_CURSOR_BYTES = 80;
 
     /**
-     * A secret and the id by which cursors name it; the id's lowest 8 bits count. Keys are not
-     * compared, and the array is not changed.
+     * A secret key and the id by which cursors refer to it. Only the lowest 8 bits of the id are
+     * used. An array component is safe here, as keys are never compared and the array is never
+     * changed.
      */
     @SuppressWarnings("ArrayRecordComponent")
     public record Key(int id, byte[] secret) {}
 
-    /** A cursor was rejected; the message says why, in words for the client. */
+    /** Thrown if a cursor is rejected; the message is sent to the client as the reason. */
     public static final class InvalidCursorException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -51,12 +52,15 @@
     private final List<Key> keys;
 
     /**
-     * @param keys the first one signs, all of them verify
-     * @throws IllegalArgumentException if there are none
+     * Creates a signer.
+     *
+     * @param keys the first key signs, all keys verify
+     * @throws IllegalArgumentException if the list is empty
      */
     public CursorSigner(List<Key> keys) {
         if (keys.isEmpty()) {
-            throw new IllegalArgumentException("no key");
+            throw new IllegalArgumentException(
+                    "keys is empty, expected at least one key to sign cursors with");
         }
         this.keys = List.copyOf(keys);
     }
@@ -82,9 +86,10 @@
     /**
      * Verifies and decodes a cursor.
      *
-     * @param filter the filter that the client asks for now; the cursor must be for the same one
-     * @throws InvalidCursorException if the cursor was not issued with one of the keys, or for
-     *     another filter
+     * @param filter the filter of the client's current request; the cursor must have been issued
+     *     for the same filter
+     * @throws InvalidCursorException if the cursor was not signed with one of the keys, or was
+     *     issued for another filter
      */
     public Cursor decode(byte[] encoded, SubscriptionFilter filter) throws InvalidCursorException {
         Cursor cursor = decodePayload(verify(encoded));
@@ -94,7 +99,7 @@
         return cursor;
     }
 
-    /** Checks the MAC and returns what it covers. */
+    /** Checks the version, the key id and the MAC; returns the bytes that the MAC covers. */
     private byte[] verify(byte[] encoded) throws InvalidCursorException {
         if (encoded.length <= MAC_BYTES + HEADER_BYTES || encoded.length > MAX_CURSOR_BYTES) {
             throw InvalidCursorException.damaged();
--- a/src/main/java/io/kelphoist/events/EventBroker.java
+++ b/src/main/java/io/kelphoist/events/EventBroker.java
@@ -9,37 +9,42 @@
 import java.util.function.Consumer;
 
 /**
- * Delivers job events to subscriptions: each job's events in order, and its end exactly once per
- * subscription, also if the client resumes it at another controller. Stored records arrive in the
- * order of the store's revisions, which all controllers share; transient events are passed on as
- * the leader publishes them.
+ * Delivers job events to subscriptions: each job's events in order, and its final event exactly
+ * once per subscription, even if the client resumes the subscription at another controller. Stored
+ * records are delivered in the order of the state store's revisions, which is the same at all
+ * controllers; transient events are passed on as the leader publishes them.
  *
- * <p>No I/O, no clock and no threads: all methods but the counters are for the events' thread.
- * Times are in seconds of the monotonic clock.
+ * <p>Has no I/O, no clock and no threads of its own. All methods except the counters must be called
+ * on the event thread. Times are in seconds of a monotonic clock.
  */
 public final class EventBroker {
     /**
-     * All stored jobs.
+     * All stored jobs, as read from the state store.
      *
-     * @param revision the revision of the read; records newer than it may be missing
+     * @param revision the store's revision up to which the jobs are complete; changes after it may
+     *     be included or missing
      */
     public record Snapshot(long revision, Collection<JobRecord> jobs) {}
 
-    /** Reads all stored jobs. */
+    /** A source of snapshots of all stored jobs. */
     public interface SnapshotSource {
-        /** The callback is called on the events' thread, after this method has returned. */
+        /**
+         * Reads all stored jobs.
+         *
+         * @param callback called on the event thread, after this method has returned
+         */
         void readAllJobs(Consumer<Snapshot> callback);
     }
 
-    /** The limit that a subscription would exceed. */
+    /** The limit that a new subscription would exceed. */
     public enum StreamLimit {
-        /** On the subscriptions of this controller. */
+        /** The limit on the number of subscriptions at this controller. */
         TOTAL,
-        /** On the subscriptions of one client. */
+        /** The limit on the number of subscriptions of one client. */
         PER_CLIENT
     }
 
-    /** A subscription was rejected since there are too many. */
+    /** Thrown if a new subscription would exceed a limit on the number of subscriptions. */
     public static final class TooManyStreamsException extends Exception {
         private static final long serialVersionUID = 1;
         private final StreamLimit limit;
@@ -52,7 +57,7 @@
             this.limit = limit;
         }
 
-        /** Returns the limit that was reached. */
+        /** Returns the limit that the subscription would exceed. */
         public StreamLimit limit() {
             return limit;
         }
@@ -65,7 +70,9 @@
     private final EventDelivery delivery;
 
     /**
-     * @param executor runs tasks on the events' thread, after what it runs now
+     * Creates a broker without subscriptions.
+     *
+     * @param executor runs tasks on the event thread, after the currently running task
      */
     public EventBroker(EventBrokerLimits limits, SnapshotSource snapshotSource, Executor executor) {
         this.limits = limits;
@@ -75,29 +82,31 @@
         this.delivery = new EventDelivery(jobs, subscriptions, executor);
     }
 
-    // ---- counters, for any thread ----
+    // ---- counters, may be read on any thread ----
 
     /** Returns the number of open subscriptions. */
     public int streamCount() {
         return subscriptions.count();
     }
 
-    /** Returns the number of events delivered since the start. */
+    /** Returns the number of events delivered since the broker was created. */
     public long deliveredEvents() {
         return delivery.deliveredEvents();
     }
 
-    /** Returns the number of delivered events that reported a state in place of other events. */
+    /** Returns the number of delivered events that reported a job's state, not a single change. */
     public long mergedEvents() {
         return delivery.mergedEvents();
     }
 
-    /** Returns the number of subscriptions that were ended as they were read too slowly. */
+    /** Returns the number of subscriptions that were ended because the client read too slowly. */
     public long slowStreams() {
         return delivery.slowStreams();
     }
 
-    /** Returns the revision up to which all records are known; negative if none were read yet. */
+    /**
+     * Returns the revision up to which all records were applied; negative before the first read.
+     */
     public long appliedRevision() {
         return jobs.appliedRevision();
     }
@@ -105,7 +114,7 @@
     // ---- stored records ----
 
     /**
-     * Takes the records of all jobs that were changed since the last update.
+     * Applies the records of all jobs that have changed since the last update.
      *
      * @param revision the store's revision up to which the changes are complete
      */
@@ -123,9 +132,10 @@
         toDeliver.forEach(subscription -> delivery.deliver(subscription, nowSeconds));
     }
 
-    /** Takes all stored jobs, at first and whenever changes may have been missed. */
+    /** Applies all stored jobs, at the start and whenever changes may have been missed. */
     public void onSnapshot(Snapshot snapshot, double nowSeconds) {
-        // Newer records come with the changes after the revision, in order.
+        // Records newer than the snapshot's revision are left out: they arrive in order, with the
+        // changes after that revision.
         onRecordsChanged(
                 snapshot.revision(),
                 snapshot.jobs().stream()
@@ -142,7 +152,7 @@
         }
     }
 
-    /** Takes whether the state store is reachable; subscriptions stay open without it. */
+    /** Sets whether the state store is reachable; subscriptions stay open while it is not. */
     public void setStoreReachable(boolean isReachable, double nowSeconds) {
         if (jobs.setStoreReachable(isReachable)) {
             deliverAll(nowSeconds);
@@ -155,7 +165,7 @@
 
     // ---- transient events ----
 
-    /** Takes the leader's next transient events. */
+    /** Applies the next transient events of the leader. */
     public void onTransientEvents(Collection<TransientEvent> events, double nowSeconds) {
         Set<Subscription> toDeliver = new LinkedHashSet<>();
         for (TransientEvent event : events) {
@@ -164,7 +174,7 @@
                 offer(record, event, toDeliver);
             }
         }
-        jobs.dropEventsOfUnknownJobs();
+        jobs.dropEventsWithoutRecord();
         toDeliver.forEach(subscription -> delivery.deliver(subscription, nowSeconds));
     }
 
@@ -195,7 +205,10 @@
         }
     }
 
-    /** Takes the latest transient events of all jobs, as earlier ones may have been missed. */
+    /**
+     * Replaces all transient events by the latest of each job, because events may have been missed.
+     * Every subscription then delivers the current state of its unfinished jobs again.
+     */
     public void resetTransientEvents(Collection<TransientEvent> events, double nowSeconds) {
         jobs.resetTransientEvents(events);
         for (Subscription subscription : subscriptions.all()) {
@@ -207,11 +220,11 @@
     // ---- subscriptions ----
 
     /**
-     * Opens a subscription and delivers what its subscriber takes.
+     * Opens a subscription and delivers events while its subscriber is ready.
      *
-     * @param cursor empty to begin now, with the present state of the selected jobs
-     * @param namedJobs the records of the jobs that the filter names, as just read: they may have
-     *     ended too long ago to be in the log
+     * @param cursor empty to start now, with the current state of the selected jobs
+     * @param namedJobs the records of the jobs that the filter names, read just before this call:
+     *     jobs that ended long ago may have been evicted from the log
      * @throws TooManyStreamsException if a limit is reached, or after {@link #drain}
      */
     public Subscription subscribe(
@@ -246,7 +259,7 @@
         namedJobs.forEach(record -> subscription.addNamedJob(record.withoutSpec()));
     }
 
-    /** Starts a subscription once records were read from the store. */
+    /** Starts a subscription that awaits the first read of the state store, if that was read. */
     private void startIfAwaitingStore(Subscription subscription, double nowSeconds) {
         if (subscription.state() != Subscription.State.AWAITING_STORE || !jobs.hasRecords()) {
             return;
@@ -275,7 +288,7 @@
         }
         LogPosition readUpTo = LogPosition.endOf(snapshot.revision());
         if (readUpTo.isBefore(jobs.jobLog().evictedUpTo())) {
-            // The log has evicted more since the read.
+            // The log has evicted records newer than the snapshot since it was read.
             loadSnapshot(subscription, nowSeconds);
             return;
         }
@@ -284,19 +297,22 @@
         delivery.deliver(subscription, nowSeconds);
     }
 
-    /** To be called when a subscription's subscriber has become ready. */
+    /** Must be called when the subscriber of a subscription has become ready again. */
     public void onReady(Subscription subscription, double nowSeconds) {
         delivery.deliver(subscription, nowSeconds);
     }
 
-    /** To be called when a subscription's client has gone; its subscriber is not called again. */
+    /**
+     * Must be called when the client of a subscription has disconnected or cancelled the call. The
+     * subscriber is not called again.
+     */
     public void onClosed(Subscription subscription) {
         if (subscription.transitionTo(Subscription.State.ENDED)) {
             subscriptions.remove(subscription);
         }
     }
 
-    /** Ends stalled subscriptions; to be called about every second. */
+    /** Ends stalled subscriptions. Must be called about once a second. */
     public void tick(double nowSeconds) {
         for (Subscription subscription : subscriptions.all()) {
             if (subscription.isStalled(nowSeconds, limits.stallTimeoutSeconds())) {
@@ -305,7 +321,10 @@
         }
     }
 
-    /** Ends all subscriptions, each with a cursor to resume elsewhere, and accepts no more. */
+    /**
+     * Ends all subscriptions, each with a cursor to resume from at another controller, and rejects
+     * new ones.
+     */
     public void drain() {
         subscriptions.close();
         subscriptions
--- a/src/main/java/io/kelphoist/events/EventBrokerLimits.java
+++ b/src/main/java/io/kelphoist/events/EventBrokerLimits.java
@@ -1,15 +1,15 @@
 package io.kelphoist.events;
 
 /**
- * Bounds of an {@link EventBroker}'s memory.
+ * Limits that bound the memory of an {@link EventBroker}.
  *
- * @param maxStreams subscriptions in all
- * @param maxStreamsPerClient subscriptions of one client
- * @param maxBufferedEvents transient events that wait for one subscription; beyond it only the
- *     latest of each job is kept
- * @param maxEndedJobs ended jobs that are kept for subscriptions that resume
- * @param stallTimeoutSeconds a subscription with pending events whose subscriber is not ready for
- *     this long is ended
+ * @param maxStreams number of open subscriptions in total
+ * @param maxStreamsPerClient number of open subscriptions of one client
+ * @param maxBufferedEvents number of transient events buffered for one subscription; if there are
+ *     more, only the latest event of each job is kept
+ * @param maxEndedJobs number of ended jobs that are retained for subscriptions that resume
+ * @param stallTimeoutSeconds time after which a subscription with pending events is ended if its
+ *     subscriber is not ready
  */
 public record EventBrokerLimits(
         int maxStreams,
@@ -17,7 +17,7 @@
         int maxBufferedEvents,
         int maxEndedJobs,
         double stallTimeoutSeconds) {
-    /** Limits for tests and benchmarks; a controller's come from its settings. */
+    /** Limits for tests and benchmarks. A controller takes its limits from its settings. */
     public static final EventBrokerLimits DEFAULT =
             new EventBrokerLimits(
                     /* maxStreams= */ 2000,
--- a/src/main/java/io/kelphoist/events/EventDelivery.java
+++ b/src/main/java/io/kelphoist/events/EventDelivery.java
@@ -6,19 +6,21 @@
 
 /**
  * Delivers events to the subscribers of open subscriptions, and ends subscriptions. Stored records
- * come before transient events, so that no event of a job precedes its acceptance.
+ * are delivered before transient events, so that no event of a job precedes its acceptance.
  *
- * <p>Owns the counters of deliveries. Confined to the events' thread, apart from the counters.
+ * <p>Delivery takes turns: after a bounded number of events, a subscription schedules its next turn
+ * on the event thread, so that the other subscriptions are served in between.
+ *
+ * <p>Owns the counters of deliveries. Confined to the event thread, except for the counters.
  */
 final class EventDelivery {
-    /** After this many events in a row, other subscriptions have their turn. */
     private static final int MAX_EVENTS_PER_TURN = 128;
 
     private final JobEventState jobs;
     private final SubscriptionRegistry subscriptions;
     private final Executor executor;
 
-    /** Counters are written by the events' thread and read by the metrics'. */
+    /** Like the other counters, written by the event thread and read by the metrics thread. */
     private volatile long deliveredEvents;
 
     private volatile long mergedEvents;
@@ -42,7 +44,7 @@
         return slowStreams;
     }
 
-    /** Delivers as many events as the subscriber takes and one turn allows. */
+    /** Delivers events while the subscriber is ready, for at most one turn. */
     void deliver(Subscription subscription, double nowSeconds) {
         for (int sent = 0; subscription.state() == Subscription.State.DELIVERING; sent++) {
             if (!subscription.checkReady(nowSeconds)) {
@@ -86,12 +88,12 @@
         subscription.subscriber().onEnded(reason, cursor);
     }
 
-    /** Delivers one event; false if there is none. */
+    /** Delivers one event; returns false if there is none. */
     private boolean deliverNext(Subscription subscription) {
         return deliverNextRecord(subscription)
                 || deliverNextResyncRecord(subscription)
                 || deliverNextTransientEvent(subscription)
-                || deliverReachability(subscription);
+                || deliverStoreReachability(subscription);
     }
 
     private boolean deliverNextRecord(Subscription subscription) {
@@ -128,7 +130,8 @@
     private boolean deliverNextTransientEvent(Subscription subscription) {
         JobEvent event = subscription.nextTransientEvent();
         while (event != null) {
-            // The job may have ended since the event was buffered; its end has been delivered then.
+            // The job may have ended since the event was buffered. Its final event has then been
+            // delivered, and no other event may follow.
             JobRecord record = jobs.jobLog().get(event.jobId());
             if (record != null && record.status() == JobStatus.ACTIVE) {
                 send(subscription, event);
@@ -139,7 +142,7 @@
         return false;
     }
 
-    private boolean deliverReachability(Subscription subscription) {
+    private boolean deliverStoreReachability(Subscription subscription) {
         boolean storeReachable = jobs.storeReachable();
         if (!subscription.reportStoreReachable(storeReachable)) {
             return false;
--- a/src/main/java/io/kelphoist/events/JobEvent.java
+++ b/src/main/java/io/kelphoist/events/JobEvent.java
@@ -7,11 +7,11 @@
 /**
  * One event of a job as it is delivered to a subscriber.
  *
- * @param owner null if the job's record does not have it
- * @param isSnapshot whether it reports the job's present state in place of events that were merged
- *     or may have been missed
- * @param doneTasks tasks that were done at the time of the event, 0 if not known
- * @param runningTasks tasks that ran at the time of the event, 0 if not known
+ * @param owner null if the job's record has no owner
+ * @param isSnapshot whether the event reports the job's current state in place of events that were
+ *     merged or may have been missed
+ * @param doneTasks number of the job's tasks that were done at the time of the event, 0 if unknown
+ * @param runningTasks number of the job's tasks that ran at the time of the event, 0 if unknown
  * @param atMillis time of the event in ms since the epoch
  */
 public record JobEvent(
@@ -23,7 +23,7 @@
         int runningTasks,
         long atMillis) {
 
-    /** The event of a job's end. */
+    /** Returns the final event of a job that is done or cancelled. */
     static JobEvent ended(JobRecord record) {
         JobEventType type =
                 record.status() == JobStatus.DONE
@@ -40,7 +40,7 @@
     }
 
     /**
-     * The event of a job's acceptance.
+     * Returns the event of a job's acceptance.
      *
      * @param latest the job's latest transient event, null if there is none
      */
@@ -55,7 +55,7 @@
                 record.timestampMillis());
     }
 
-    /** A transient event of a job whose record is known. */
+    /** Returns a transient event together with the owner from the job's record. */
     static JobEvent of(JobRecord record, TransientEvent event) {
         return new JobEvent(
                 event.jobId(),
@@ -67,7 +67,7 @@
                 event.atMillis());
     }
 
-    /** This event, as the state that replaces the job's earlier events. */
+    /** Returns this event marked as the state that replaces the job's earlier events. */
     JobEvent asSnapshot() {
         return new JobEvent(
                 jobId, owner, type, /* isSnapshot= */ true, doneTasks, runningTasks, atMillis);
--- a/src/main/java/io/kelphoist/events/JobEventState.java
+++ b/src/main/java/io/kelphoist/events/JobEventState.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Owns what a controller knows of jobs for its subscriptions: the log of stored records, the
- * revision up to which it is complete, whether the state store is reachable, and the latest
- * transient event of each unfinished job. Confined to the events' thread.
+ * The job state that a controller's subscriptions are served from. Owns the log of stored records,
+ * the revision up to which the log is complete, whether the state store is reachable, and the
+ * latest transient event of each unfinished job. Confined to the event thread.
  */
 final class JobEventState {
     private static final long NOTHING_READ = -1;
@@ -28,17 +28,17 @@
         return jobLog;
     }
 
-    /** Returns the revision up to which the log is complete; negative if nothing was read yet. */
+    /** Returns the revision up to which the log is complete; negative before the first read. */
     long appliedRevision() {
         return appliedRevision;
     }
 
-    /** Whether records were read from the store at all. */
+    /** Whether records have been read from the state store at least once. */
     boolean hasRecords() {
         return appliedRevision >= 0;
     }
 
-    /** The log is complete up to this revision. */
+    /** Records that the log is complete up to a revision; a lower revision has no effect. */
     void advanceTo(long revision) {
         appliedRevision = Math.max(appliedRevision, revision);
     }
@@ -47,14 +47,19 @@
         return storeReachable;
     }
 
-    /** Changes whether the store is reachable; false if that is known already. */
+    /** Sets whether the state store is reachable; returns false if the value did not change. */
     boolean setStoreReachable(boolean isReachable) {
         boolean changed = storeReachable != isReachable;
         storeReachable = isReachable;
         return changed;
     }
 
-    /** Adds a record to the log; false if the log has as new a one of its job. */
+    /**
+     * Adds a record to the log.
+     *
+     * @return false if the log already has the final record of the job, or one of at least the same
+     *     version
+     */
     boolean applyRecord(JobRecord record) {
         if (!jobLog.put(record)) {
             return false;
@@ -65,7 +70,7 @@
         return true;
     }
 
-    /** Takes a transient event; false if its job has ended. */
+    /** Sets the job's latest transient event; returns false if the job has ended. */
     boolean applyTransientEvent(TransientEvent event) {
         JobRecord record = jobLog.get(event.jobId());
         if (record != null && record.status().isFinal()) {
@@ -81,16 +86,16 @@
         events.forEach(this::applyTransientEvent);
     }
 
-    /** Returns a job's latest transient event, or null if there is none. */
+    /** Returns a job's latest transient event, or null if it has none. */
     TransientEvent latestTransientEvent(String jobId) {
         return latestTransientEvents.get(jobId);
     }
 
     /**
-     * Drops events of jobs without a record once there are many: the record may never come, as the
-     * job may have ended and been evicted.
+     * Drops the events of jobs that have no record in the log, once there are many events. Such a
+     * record may never arrive, because the job may have ended and been evicted from the log.
      */
-    void dropEventsOfUnknownJobs() {
+    void dropEventsWithoutRecord() {
         if (latestTransientEvents.size() > 2 * jobLog.size() + maxEndedJobs) {
             latestTransientEvents.keySet().removeIf(jobId -> jobLog.get(jobId) == null);
         }
--- a/src/main/java/io/kelphoist/events/JobEventType.java
+++ b/src/main/java/io/kelphoist/events/JobEventType.java
@@ -1,31 +1,32 @@
 package io.kelphoist.events;
 
 /**
- * What happened to a job. {@link Accepted}, {@link Done} and {@link Cancelled} are stored and
- * delivered in the order of the state store's revisions. The others are transient: known to the
- * leader only, lost with its term, and replaced by the job's present state.
+ * The type of a job event, with its details. {@link Accepted}, {@link Done} and {@link Cancelled}
+ * are stored and delivered in the order of the state store's revisions. The others are transient:
+ * only the leader has them, they are lost when its term ends, and subscribers then receive the
+ * job's current state instead.
  */
 public sealed interface JobEventType {
-    /** The job is stored. */
+    /** The job was stored in the state store. */
     record Accepted() implements JobEventType {}
 
-    /** The job waits for jobs that it depends on. */
+    /** The job waits for its dependencies to be done. */
     record WaitingForDependencies() implements JobEventType {}
 
-    /** Room is reserved for the job on this many machines, which is not enough yet. */
+    /** Capacity on this many machines is reserved for the job; it needs more before it starts. */
     record CapacityReserved(int machineCount) implements JobEventType {}
 
-    /** A task began to run. */
+    /** A task started to run for the first time in this term. */
     record Started(int task, String machine) implements JobEventType {}
 
-    /** A task runs again, after it stopped on another machine for the given cause. */
+    /** A task runs again, maybe on the same machine, after it stopped for the given cause. */
     record Moved(int task, String fromMachine, String toMachine, String cause)
             implements JobEventType {}
 
-    /** A task stopped and is not done. */
+    /** A task stopped before it was done. */
     record Stopped(int task, String machine, String cause) implements JobEventType {}
 
-    /** The counts of the job's tasks have changed. */
+    /** The number of the job's done or running tasks has changed. */
     record Progress() implements JobEventType {}
 
     /** All tasks of the job are done. */
@@ -34,7 +35,7 @@
     /** The job was cancelled. */
     record Cancelled() implements JobEventType {}
 
-    /** Whether no event of the job can follow. */
+    /** Whether this is the job's last event. */
     default boolean isFinal() {
         return this instanceof Done || this instanceof Cancelled;
     }
--- a/src/main/java/io/kelphoist/events/LogPosition.java
+++ b/src/main/java/io/kelphoist/events/LogPosition.java
@@ -3,17 +3,18 @@
 import java.util.Comparator;
 
 /**
- * A position in the total order of stored records: the state store's revision, and the job within
- * it, as one transaction may change several jobs. A record is at the position of its last change.
+ * A position in the total order of stored job records: first by the state store's revision, then by
+ * the job's id, because one transaction may change several jobs. A record is at the position of its
+ * last change.
  */
 public record LogPosition(long revision, String jobId) implements Comparable<LogPosition> {
     private static final Comparator<LogPosition> ORDER =
             Comparator.comparingLong(LogPosition::revision).thenComparing(LogPosition::jobId);
 
-    /** Sorts after every job id. */
+    /** A string that sorts after every job id. */
     private static final String AFTER_ALL_JOBS = "\uffff";
 
-    /** Before all records. */
+    /** The position before all records. */
     public static final LogPosition START = new LogPosition(0, "");
 
     /** Returns the position after all records that were stored up to a revision. */
--- a/src/main/java/io/kelphoist/events/RecordIterator.java
+++ b/src/main/java/io/kelphoist/events/RecordIterator.java
@@ -9,13 +9,14 @@
 import java.util.TreeMap;
 
 /**
- * Walks the stored records that match a subscription's filter, in the order of their positions. No
- * record is queued: the walk looks for the next one whenever its subscriber takes more, so that
- * none is lost or delivered twice.
+ * Iterates over the stored records that match a subscription's filter, in the order of their
+ * positions. No record is queued: the iterator looks up the next one whenever the subscriber is
+ * ready, so that none is lost or delivered twice.
  *
- * <p>Owns the subscription's position. Records come from three places: for a filter by job ids from
- * the named jobs' records, which the walk keeps itself; otherwise from the log of all jobs; and
- * from a backlog if the log does not reach back to the position.
+ * <p>Owns the subscription's position. Records come from three sources: for a filter by job ids,
+ * from the records of the named jobs, which the iterator keeps itself; otherwise from the log of
+ * all jobs; and before that from a backlog, if the log no longer has all records after the
+ * position.
  */
 final class RecordIterator {
     private final SubscriptionFilter filter;
@@ -24,15 +25,16 @@
     /** Jobs that had ended by this revision are not delivered. */
     private long startRevision;
 
-    /** By id: the records of the jobs that the filter names, without those whose end was passed. */
+    /** By job id: the records of the named jobs whose final record was not returned yet. */
     private final Map<String, JobRecord> namedJobs = new HashMap<>();
 
-    /** Ids of the named jobs whose end was passed. */
+    /** Ids of the named jobs whose final record is at or before the position. */
     private final Set<String> endedJobs = new HashSet<>();
 
-    /** Records read for this walk alone, up to {@link #backlogRevision}; null if there are none. */
+    /** Records read from the state store for this iterator; null if it needs none. */
     private TreeMap<LogPosition, JobRecord> backlog;
 
+    /** The revision up to which the backlog is complete. */
     private long backlogRevision;
 
     RecordIterator(SubscriptionFilter filter, LogPosition position, long startRevision) {
@@ -41,22 +43,22 @@
         this.startRevision = startRevision;
     }
 
-    /** Returns the position of the last record that was passed. */
+    /** Returns the position up to which all selected records were returned. */
     LogPosition position() {
         return position;
     }
 
-    /** Returns the revision at which the subscription began. */
+    /** Returns the revision at which the subscription started. */
     long startRevision() {
         return startRevision;
     }
 
-    /** Leaves out jobs that had ended by this revision. */
+    /** Sets the start revision; jobs that had ended by then are not delivered. */
     void startAt(long revision) {
         startRevision = revision;
     }
 
-    /** Takes the record of a job that the filter names, whatever its age. */
+    /** Adds the record of a job that the filter names, even if the log has evicted it. */
     void addNamedJob(JobRecord record) {
         JobRecord previous = namedJobs.get(record.id());
         if (previous == null || previous.version() < record.version()) {
@@ -68,16 +70,23 @@
     }
 
     /**
-     * Whether the walk may have missed ends, as the log has evicted ended jobs after its position.
+     * Whether final records may be missing, because the log has evicted ended jobs after the
+     * position and the backlog does not include them. For a filter by job ids none can be missing,
+     * as the iterator holds the records itself.
      */
     boolean mayHaveMissedFinalEvents(LogPosition evictedUpTo) {
-        LogPosition knownUpTo = backlog == null ? position : LogPosition.endOf(backlogRevision);
+        LogPosition completeUpTo = backlog == null ? position : LogPosition.endOf(backlogRevision);
         return filter instanceof SubscriptionFilter.ByOwner
-                && knownUpTo.isBefore(evictedUpTo)
+                && completeUpTo.isBefore(evictedUpTo)
                 && startRevision < evictedUpTo.revision();
     }
 
-    /** Takes all records as they were stored at a revision, to be walked before the log. */
+    /**
+     * Sets the backlog, which is returned before the records of the log.
+     *
+     * @param revision the revision up to which the records are complete
+     * @param records all stored records; those newer than the revision are ignored
+     */
     void loadBacklog(long revision, Iterable<JobRecord> records) {
         backlog = new TreeMap<>();
         backlogRevision = revision;
@@ -96,24 +105,24 @@
         return filter.matches(record.id(), record.owner()) && !endedBeforeStart;
     }
 
-    /** Drops the records that are kept; the position stays. */
+    /** Drops all records that the iterator holds; the position does not change. */
     void clear() {
         backlog = null;
         namedJobs.clear();
     }
 
-    /** Whether the filter names jobs and the ends of all of them were passed. */
+    /** Whether the filter names jobs, and the final records of all of them were returned. */
     boolean isComplete() {
         return filter instanceof SubscriptionFilter.ByJobIds byJobIds
                 && endedJobs.containsAll(byJobIds.jobIds());
     }
 
     /**
-     * Returns the next record and moves past it.
+     * Returns the next record and advances the position to it.
      *
      * @param appliedRevision the revision up to which the log is complete; no record after it is
      *     returned
-     * @return null if there is none
+     * @return null if there is no such record yet
      */
     JobRecord next(CompactedJobLog log, long appliedRevision) {
         JobRecord record = findNext(log, appliedRevision);
@@ -131,7 +140,10 @@
         return record;
     }
 
-    /** Returns the next record without moving to it, or null if there is none yet. */
+    /**
+     * Returns the next record, or null if there is none yet. May advance the position past records
+     * that are not selected, but not to the returned one.
+     */
     private JobRecord findNext(CompactedJobLog log, long appliedRevision) {
         if (backlog != null) {
             if (!backlog.isEmpty()) {
@@ -150,7 +162,7 @@
         backlog = null;
     }
 
-    /** Returns the first named job's record after the position, or null if there is none. */
+    /** Returns the first record of a named job after the position, or null if there is none. */
     private JobRecord findNextNamed(long appliedRevision) {
         JobRecord first = null;
         for (JobRecord record : namedJobs.values()) {
@@ -169,8 +181,9 @@
                     beforeStart ? log.firstUnfinishedAfter(position) : log.firstAfter(position);
             if (beforeStart && (record == null || record.version() > startRevision)) {
                 if (startRevision > appliedRevision) {
-                    // The subscription began at a controller that knew more; what it delivered as
-                    // unfinished is not known here yet.
+                    // The subscription started at a controller that had applied a later revision.
+                    // This log does not have all jobs yet that were unfinished at that revision and
+                    // that the other controller may have delivered.
                     return null;
                 }
                 position = startPosition;
@@ -185,8 +198,8 @@
     }
 
     /**
-     * Returns the first record of an unfinished job after a position, of the jobs that the filter
-     * selects or, for a filter by owner, of all jobs.
+     * Returns the first record of an unfinished job after a position: for a filter by job ids, of
+     * the named jobs; for a filter by owner, of all jobs, including those that it does not select.
      *
      * @return null if there is none
      */
@@ -203,7 +216,10 @@
         return first;
     }
 
-    /** Returns the candidate if it is after the lower bound and before {@code first}. */
+    /**
+     * Returns the candidate if it is after the lower bound and before {@code first}, otherwise
+     * {@code first}.
+     */
     private static JobRecord firstAfter(
             LogPosition lowerBound, JobRecord first, JobRecord candidate) {
         LogPosition candidatePosition = CompactedJobLog.positionOf(candidate);
--- a/src/main/java/io/kelphoist/events/Subscription.java
+++ b/src/main/java/io/kelphoist/events/Subscription.java
@@ -8,26 +8,33 @@
 import java.util.Optional;
 
 /**
- * One client's subscription. Stored records are walked ({@link RecordIterator}); only transient
- * events are buffered, a bounded number of them.
+ * One client's subscription. Stored records are read one at a time through a {@link
+ * RecordIterator}; only transient events are buffered, and their number is bounded.
+ *
+ * <p>A resynchronization delivers the current state of the unfinished jobs again, after transient
+ * events may have been missed.
  *
  * <p>Owns its state, its buffered events and the progress of its resynchronization. Confined to the
- * events' thread.
+ * event thread.
  */
 public final class Subscription {
-    /** The states of a subscription; {@link #transitionTo} is the one place where they change. */
+    /** The states of a subscription. Only {@link #transitionTo} changes the state. */
     public enum State {
-        /** Nothing was read from the state store yet. */
+        /** The broker has not read any records from the state store yet. */
         AWAITING_STORE,
-        /** Records that the log has evicted are being read. */
+        /** All jobs are being read, because the log has evicted records that may be needed. */
         LOADING_SNAPSHOT,
         /** Events are delivered. */
         DELIVERING,
-        /** Nothing is delivered any more. */
+        /** No more events are delivered. */
         ENDED
     }
 
-    /** The store's updates that may arrive before a cursor ahead of them ends the subscription. */
+    /**
+     * The number of updates from the state store with a lower revision than the cursor that are
+     * tolerated, as this controller may lag behind the one that issued the cursor. One more ends
+     * the subscription.
+     */
     private static final int MAX_UPDATES_BEHIND_CURSOR = 3;
 
     private final SubscriptionFilter filter;
@@ -39,16 +46,17 @@
     private State state = State.AWAITING_STORE;
     private int updatesBehindCursor;
 
-    /** When the subscriber was first found not ready, NaN if it is ready. */
+    /** The time since which the subscriber has not been ready; NaN while it is ready. */
     private double stalledSinceSeconds = Double.NaN;
 
     private boolean turnScheduled;
     private boolean reportedStoreReachable = true;
     private ArrayDeque<JobEvent> transientEvents = new ArrayDeque<>();
 
-    /** The progress of a resynchronization up to {@link #resyncEnd}; null if there is none. */
+    /** The progress of a resynchronization; null if none is in progress. */
     private LogPosition resyncPosition;
 
+    /** The position up to which the resynchronization delivers jobs again. */
     private LogPosition resyncEnd;
 
     Subscription(
@@ -68,12 +76,12 @@
                         cursor.map(Cursor::startRevision).orElse(0L));
     }
 
-    /** Returns the present state. */
+    /** Returns the current state. */
     public State state() {
         return state;
     }
 
-    /** Changes the state; false if it is that state already, or has ended. */
+    /** Changes the state; returns false if it is already that state, or {@code ENDED}. */
     boolean transitionTo(State next) {
         if (state == State.ENDED || state == next) {
             return false;
@@ -98,19 +106,19 @@
         return subscriber;
     }
 
-    /** Whether the client came with a cursor. */
+    /** Whether the client resumed from a cursor. */
     boolean isResumed() {
         return resumed;
     }
 
-    /** Returns the cursor to resume after all that was delivered. */
+    /** Returns the cursor to resume from after the records delivered so far. */
     Cursor cursor() {
         return new Cursor(fingerprint, recordIterator.startRevision(), recordIterator.position());
     }
 
-    // ---- progress of its subscriber ----
+    // ---- readiness of the subscriber ----
 
-    /** Whether the subscriber is ready; notes since when it is not. */
+    /** Whether the subscriber is ready; if it is not, records since when. */
     boolean checkReady(double nowSeconds) {
         if (subscriber.isReady()) {
             stalledSinceSeconds = Double.NaN;
@@ -127,19 +135,27 @@
         return nowSeconds - stalledSinceSeconds > timeoutSeconds;
     }
 
-    /** Reserves the next turn of delivery; false if that has been done already. */
+    /**
+     * Marks the next turn of delivery, see {@link EventDelivery}, as scheduled.
+     *
+     * @return false if one was scheduled already
+     */
     boolean reserveTurn() {
         boolean reserved = !turnScheduled;
         turnScheduled = true;
         return reserved;
     }
 
-    /** The reserved turn begins. */
+    /** Marks the scheduled turn as started, so that another one can be scheduled. */
     void beginTurn() {
         turnScheduled = false;
     }
 
-    /** Notes what is about to be reported of the store; false if that was reported before. */
+    /**
+     * Records the store's reachability that is about to be reported to the subscriber.
+     *
+     * @return false if it is the same as last reported, so that it need not be reported
+     */
     boolean reportStoreReachable(boolean storeReachable) {
         boolean changed = reportedStoreReachable != storeReachable;
         reportedStoreReachable = storeReachable;
@@ -148,24 +164,25 @@
 
     // ---- stored records ----
 
-    /** Returns the revision at which the subscription began. */
+    /** Returns the revision at which the subscription started. */
     long startRevision() {
         return recordIterator.startRevision();
     }
 
-    /** Leaves out jobs that had ended by this revision. */
+    /** Sets the start revision; jobs that had ended by then are not delivered. */
     void startAt(long revision) {
         recordIterator.startAt(revision);
     }
 
     /**
-     * Notes an update of the stored records.
+     * Counts an update of the stored records if the cursor is ahead of it.
      *
-     * @return whether the cursor was ahead of the store for too many updates
+     * @param appliedRevision the revision up to which records were applied by the update
+     * @return whether the cursor was ahead of more than {@link #MAX_UPDATES_BEHIND_CURSOR} updates
      */
     boolean isCursorAheadAfterUpdate(long appliedRevision) {
         long cursorRevision =
-                Math.max(recordIterator.position().revision(), records.startRevision());
+                Math.max(recordIterator.position().revision(), recordIterator.startRevision());
         if (cursorRevision <= appliedRevision) {
             return false;
         }
@@ -173,27 +190,27 @@
         return updatesBehindCursor > MAX_UPDATES_BEHIND_CURSOR;
     }
 
-    /** Takes the record of a job that the filter names, whatever its age. */
+    /** Adds the record of a job that the filter names, see {@link RecordIterator#addNamedJob}. */
     void addNamedJob(JobRecord record) {
         recordIterator.addNamedJob(record);
     }
 
-    /** Whether it may have missed ends that the log has evicted. */
+    /** Whether the log may have evicted final records that the subscription has not delivered. */
     boolean mayHaveMissedFinalEvents(LogPosition evictedUpTo) {
         return recordIterator.mayHaveMissedFinalEvents(evictedUpTo);
     }
 
-    /** Takes all records as they were stored at a revision, to be delivered before the log's. */
+    /** Sets the records of a snapshot, which are delivered before those of the log. */
     void loadBacklog(long revision, Collection<JobRecord> records) {
         recordIterator.loadBacklog(revision, records);
     }
 
-    /** Returns the next record and moves past it, see {@link RecordIterator#next}. */
+    /** Returns the next record and advances past it, see {@link RecordIterator#next}. */
     JobRecord nextRecord(CompactedJobLog log, long appliedRevision) {
         return recordIterator.next(log, appliedRevision);
     }
 
-    /** Whether all jobs that it names have ended, and their ends were delivered. */
+    /** Whether the filter names jobs, and the final events of all of them were delivered. */
     boolean isComplete() {
         return recordIterator.isComplete();
     }
@@ -201,8 +218,9 @@
     // ---- transient events ----
 
     /**
-     * Starts the delivery of the present state of all unfinished jobs that were delivered, as
-     * transient events may have been missed.
+     * Starts a resynchronization: discards the buffered events and delivers the current state of
+     * all unfinished jobs again whose acceptance was delivered, because transient events may have
+     * been missed.
      */
     void startResync() {
         transientEvents.clear();
@@ -210,7 +228,7 @@
         resyncEnd = recordIterator.position();
     }
 
-    /** Returns the next unfinished job to be delivered again, or null if there is none. */
+    /** Returns the next unfinished job of the resynchronization, or null if it is complete. */
     JobRecord nextResyncRecord(CompactedJobLog log) {
         while (resyncPosition != null) {
             JobRecord record = recordIterator.firstUnfinishedAfter(resyncPosition, log);
@@ -226,7 +244,7 @@
         return null;
     }
 
-    /** Whether the job's record was delivered and its state is not about to be delivered again. */
+    /** Whether the job's record was delivered and no resynchronization is about to repeat it. */
     private boolean isDelivered(JobRecord record) {
         LogPosition recordPosition = CompactedJobLog.positionOf(record);
         boolean awaitsResync =
@@ -237,10 +255,10 @@
     }
 
     /**
-     * Buffers a transient event of a job whose record was delivered. Beyond {@code maxEvents} only
-     * the latest event of each job is kept.
+     * Buffers a transient event of a job whose record was delivered; ignores the event if it was
+     * not. If there are more than {@code maxEvents}, only the latest event of each job is kept.
      *
-     * @return false if the buffer is too full even then
+     * @return false if more than half of {@code maxEvents} are left even then
      */
     boolean offer(JobRecord record, JobEvent event, int maxEvents) {
         if (!isDelivered(record)) {
--- a/src/main/java/io/kelphoist/events/SubscriptionFilter.java
+++ b/src/main/java/io/kelphoist/events/SubscriptionFilter.java
@@ -9,13 +9,13 @@
 /** Selects the jobs of a subscription. */
 public sealed interface SubscriptionFilter {
     /**
-     * Whether a job is selected.
+     * Whether the filter selects a job.
      *
-     * @param owner null if the job's record does not have it
+     * @param owner null if the job's record has no owner
      */
     boolean matches(String jobId, JobOwner owner);
 
-    /** Returns a hash by which a cursor is bound to the filter that it was issued for. */
+    /** Returns a hash of the filter, which binds a cursor to the filter that it was issued for. */
     long fingerprint();
 
     /** Selects the named jobs. The subscription is complete once all of them have ended. */
@@ -35,10 +35,10 @@
     }
 
     /**
-     * Selects all jobs of some teams and one class.
+     * Selects the jobs of the given teams and of one job class.
      *
-     * @param teams null selects those of any team, and those without an owner on record
-     * @param jobClass null selects those of any class
+     * @param teams null selects the jobs of all teams, and jobs whose record has no owner
+     * @param jobClass null selects the jobs of all classes
      */
     record ByOwner(ImmutableSortedSet<String> teams, String jobClass)
             implements SubscriptionFilter {
--- a/src/main/java/io/kelphoist/events/SubscriptionRegistry.java
+++ b/src/main/java/io/kelphoist/events/SubscriptionRegistry.java
@@ -9,7 +9,7 @@
 
 /**
  * Owns the set of open subscriptions, indexed by the jobs that they name, and enforces the limits
- * on their number. Confined to the events' thread, apart from {@link #count}.
+ * on their number. Confined to the event thread, except for {@link #count}.
  */
 final class SubscriptionRegistry {
     private final EventBrokerLimits limits;
@@ -19,24 +19,24 @@
     private final Map<String, Integer> countByClient = new HashMap<>();
     private boolean closed;
 
-    /** Written by the events' thread, read by the metrics'. */
+    /** Written by the event thread, read by the metrics thread. */
     private volatile int count;
 
     SubscriptionRegistry(EventBrokerLimits limits) {
         this.limits = limits;
     }
 
-    /** Returns the number of open subscriptions; for any thread. */
+    /** Returns the number of open subscriptions. May be called on any thread. */
     int count() {
         return count;
     }
 
-    /** Accepts no more subscriptions. */
+    /** From now on, {@link #checkLimits} rejects every new subscription. */
     void close() {
         closed = true;
     }
 
-    /** Checks whether a client may open one more subscription. */
+    /** Throws if the registry is closed, or a new subscription of the client exceeds a limit. */
     void checkLimits(String clientName) throws EventBroker.TooManyStreamsException {
         if (closed || subscriptions.size() >= limits.maxStreams()) {
             throw new EventBroker.TooManyStreamsException(EventBroker.StreamLimit.TOTAL);
@@ -68,18 +68,20 @@
         countByClient.computeIfPresent(
                 subscription.clientName(), (name, open) -> open == 1 ? null : open - 1);
         if (subscription.filter() instanceof SubscriptionFilter.ByJobIds byJobIds) {
-            byJobIds.jobIds().forEach(jobId -> removeFromJob(jobId, subscription));
+            byJobIds.jobIds().forEach(jobId -> removeFromIndex(jobId, subscription));
         }
     }
 
-    private void removeFromJob(String jobId, Subscription subscription) {
-        Set<Subscription> naming = subscriptionsByJobId.get(jobId);
-        if (naming != null && naming.remove(subscription) && naming.isEmpty()) {
+    private void removeFromIndex(String jobId, Subscription subscription) {
+        Set<Subscription> namingSubscriptions = subscriptionsByJobId.get(jobId);
+        if (namingSubscriptions != null
+                && namingSubscriptions.remove(subscription)
+                && namingSubscriptions.isEmpty()) {
             subscriptionsByJobId.remove(jobId);
         }
     }
 
-    /** Returns all open subscriptions in a list that later changes don't affect. */
+    /** Returns a copy of the set of open subscriptions, so that it can change during iteration. */
     List<Subscription> all() {
         return new ArrayList<>(subscriptions);
     }
--- a/src/main/java/io/kelphoist/events/TaskEventLog.java
+++ b/src/main/java/io/kelphoist/events/TaskEventLog.java
@@ -10,28 +10,31 @@
 import java.util.Optional;
 
 /**
- * The leader's log of transient job events, for one term: turns task events into job events,
- * numbers them and keeps the last ones for the other controllers, which poll for what is new.
+ * The leader's log of transient job events for one term. Converts task events into job events,
+ * assigns them sequence numbers and retains the latest ones for the other controllers, which poll
+ * for new events.
  *
- * <p>Owns what is remembered of unfinished jobs. Runs on the event loop.
+ * <p>Owns the history of unfinished jobs from which the job events are derived. Confined to the
+ * event loop.
  */
 public final class TaskEventLog {
     /**
-     * What is new since a sequence number.
+     * The events since a sequence number.
      *
-     * @param nextSequence the number to ask with next
-     * @param isSnapshot whether the events are the latest ones of all unfinished jobs, as not all
-     *     events since the number are kept
+     * @param nextSequence the sequence number for the next request
+     * @param isSnapshot whether {@code events} has the latest event of each unfinished job instead,
+     *     because some events since the sequence number are no longer retained
      */
     public record Update(long nextSequence, boolean isSnapshot, List<TransientEvent> events) {}
 
     private record StoppedTask(String machine, TaskEvent.Cause cause) {}
 
-    /** What is remembered of an unfinished job. */
+    /** The history of an unfinished job that is needed to derive its next events. */
     private static final class JobHistory {
+        /** By task index: tasks that stopped and have not run again since. */
         private final Map<Integer, StoppedTask> stoppedTasks = new HashMap<>();
 
-        /** Null until there was one. */
+        /** Null before the first event. */
         private TransientEvent lastEvent;
     }
 
@@ -41,24 +44,27 @@
     private long nextSequence;
 
     /**
-     * @param maxEvents the number of events that are kept for other controllers
+     * Creates an empty log.
+     *
+     * @param maxEvents the number of events that are retained for other controllers
      */
     public TaskEventLog(int maxEvents) {
         this.maxEvents = maxEvents;
     }
 
     /**
-     * Appends the job event that follows from a task event.
+     * Converts a task event into a job event and appends it.
      *
-     * @param doneTasks tasks of the job that are done after the event
-     * @param runningTasks tasks of the job that run after the event
+     * @param doneTasks number of the job's tasks that are done after the event
+     * @param runningTasks number of the job's tasks that run after the event
      * @param atMillis time of the event in ms since the epoch
-     * @return the job event, or empty if there is none to be published
+     * @return the job event, or empty if the task event is not published: the job has ended, or the
+     *     event repeats the last reservation of capacity
      */
     public Optional<TransientEvent> append(
             String jobId, TaskEvent taskEvent, int doneTasks, int runningTasks, long atMillis) {
         if (taskEvent instanceof TaskEvent.JobEnded) {
-            // The job's end is published from its stored record.
+            // The job's final event is derived from its stored record.
             historyByJob.remove(jobId);
             return Optional.empty();
         }
@@ -71,7 +77,7 @@
         }
         TransientEvent event = new TransientEvent(jobId, type, doneTasks, runningTasks, atMillis);
         history.lastEvent = event;
-        keep(event);
+        retain(event);
         return Optional.of(event);
     }
 
@@ -94,7 +100,9 @@
     }
 
     /**
-     * @param previousStop null if the task has not run before
+     * Returns the event of a task that has started to run.
+     *
+     * @param previousStop null if the task has not stopped before in this term
      */
     private static JobEventType startedOrMoved(
             TaskEvent.TaskRunning running, StoppedTask previousStop) {
@@ -107,7 +115,7 @@
                         causeText(previousStop.cause()));
     }
 
-    private void keep(TransientEvent event) {
+    private void retain(TransientEvent event) {
         recentEvents.add(event);
         nextSequence++;
         if (recentEvents.size() > maxEvents) {
@@ -116,9 +124,10 @@
     }
 
     /**
-     * Returns the events from a sequence number on, or a snapshot if not all of them are kept.
+     * Returns the events from a sequence number on, or a snapshot if some of them are no longer
+     * retained.
      *
-     * @param sequence {@link Update#nextSequence} of the last update; negative for a snapshot
+     * @param sequence {@link Update#nextSequence} of the last update; negative to get a snapshot
      */
     public Update updateSince(long sequence) {
         long oldestSequence = nextSequence - recentEvents.size();
@@ -144,7 +153,7 @@
                 .toList();
     }
 
-    /** The text of a cause as clients and other controllers get it. */
+    /** Returns a cause as it is written in messages to clients and other controllers. */
     private static String causeText(TaskEvent.Cause cause) {
         return switch (cause) {
             case STOPPED -> "stopped";
--- a/src/test/java/io/kelphoist/events/CursorSignerTest.java
+++ b/src/test/java/io/kelphoist/events/CursorSignerTest.java
@@ -8,36 +8,40 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** Cursors are signed: they survive a change of keys, and altered ones are refused. */
+/**
+ * Cursors stay valid while keys are rotated. Guards against accepting altered or truncated cursors,
+ * and cursors that were issued for another filter, which would resume a stream at a wrong position.
+ */
 class CursorSignerTest {
     private static final SubscriptionFilter ONE_JOB =
             new SubscriptionFilter.ByJobIds(ImmutableSortedSet.of("job-1"));
     private static final Cursor CURSOR =
             new Cursor(ONE_JOB.fingerprint(), 5, new LogPosition(77, "job-1"));
 
-    static CursorSigner signer(int... ids) {
+    static CursorSigner signer(int... keyIds) {
         return new CursorSigner(
-                Arrays.stream(ids)
+                Arrays.stream(keyIds)
                         .mapToObj(id -> new CursorSigner.Key(id, new byte[] {(byte) id, 2, 3, 4}))
                         .toList());
     }
 
     @Test
-    void decodesWhatItEncoded() throws CursorSigner.InvalidCursorException {
+    void decodesAnEncodedCursor() throws CursorSigner.InvalidCursorException {
         assertEquals(CURSOR, signer(1).decode(signer(1).encode(CURSOR), ONE_JOB));
-        assertTrue(signer(1).encode(CURSOR).length < 64, "a cursor is short");
+        assertTrue(signer(1).encode(CURSOR).length < 64, "a cursor has fewer than 64 bytes");
     }
 
     @Test
     void acceptsTheOldKeyUntilItIsRemoved() throws CursorSigner.InvalidCursorException {
         assertEquals(CURSOR, signer(2, 1).decode(signer(1).encode(CURSOR), ONE_JOB));
-        byte[] old = signer(1).encode(CURSOR);
+        byte[] signedWithOldKey = signer(1).encode(CURSOR);
         assertThrows(
-                CursorSigner.InvalidCursorException.class, () -> signer(3, 2).decode(old, ONE_JOB));
+                CursorSigner.InvalidCursorException.class,
+                () -> signer(3, 2).decode(signedWithOldKey, ONE_JOB));
     }
 
     @Test
-    void refusesAlteredAndForeignCursors() {
+    void rejectsAlteredCursorsAndThoseOfOtherFilters() {
         byte[] valid = signer(1).encode(CURSOR);
         for (int i = 0; i < valid.length; i++) {
             byte[] altered = valid.clone();
@@ -45,12 +49,12 @@
             assertThrows(
                     CursorSigner.InvalidCursorException.class,
                     () -> signer(1).decode(altered, ONE_JOB),
-                    "byte " + i);
+                    "expected rejection of a cursor with altered byte " + i);
             byte[] truncated = Arrays.copyOf(valid, i);
             assertThrows(
                     CursorSigner.InvalidCursorException.class,
                     () -> signer(1).decode(truncated, ONE_JOB),
-                    "truncated at " + i);
+                    "expected rejection of a cursor truncated to bytes=" + i);
         }
         assertThrows(
                 CursorSigner.InvalidCursorException.class,
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -20,14 +20,21 @@
 import java.util.TreeMap;
 
 /**
- * Simulates a store with revisions, the event brokers of three controllers that learn of changes
- * late, a leader whose transient events are late or lost, and clients that read irregularly,
- * disconnect and reconnect to another controller. Each client checks every event it receives.
+ * Simulates a state store with revisions, the event brokers of three controllers that apply changes
+ * with a delay, a leader whose transient events are delayed or lost, and clients that read
+ * irregularly, disconnect and reconnect to another controller. Each client checks every event that
+ * it receives.
  */
 final class EventBrokerSimulation {
     private static final int CONTROLLERS = 3;
     private static final int JOBS = 12;
-    private static final EventBrokerLimits LIMITS = new EventBrokerLimits(50, 50, 4, 3, 1000);
+    private static final EventBrokerLimits LIMITS =
+            new EventBrokerLimits(
+                    /* maxStreams= */ 50,
+                    /* maxStreamsPerClient= */ 50,
+                    /* maxBufferedEvents= */ 4,
+                    /* maxEndedJobs= */ 3,
+                    /* stallTimeoutSeconds= */ 1000);
 
     private record Change(long revision, List<JobRecord> jobs) {}
 
@@ -35,18 +42,21 @@
     private final List<Change> changes = new ArrayList<>();
     private final EventBroker[] brokers = new EventBroker[CONTROLLERS];
 
-    /** Number of changes that each broker has applied; negative before its first snapshot. */
+    /** The number of changes that each broker has applied; negative before its first snapshot. */
     private final int[] appliedChanges = new int[CONTROLLERS];
 
     private final ArrayDeque<Runnable> pendingTasks = new ArrayDeque<>();
     private final List<Client> clients = new ArrayList<>();
     private final CursorSigner signer =
             new CursorSigner(List.of(new CursorSigner.Key(1, new byte[32])));
-    private TaskEventLog taskEvents = new TaskEventLog(4);
+    private TaskEventLog taskEventLog = new TaskEventLog(4);
     private final long[] nextSequences = new long[CONTROLLERS];
+
+    /** The log from which each broker applied transient events last; null after a restart. */
     private final TaskEventLog[] appliedLogs = new TaskEventLog[CONTROLLERS];
+
     private long revision = 10;
-    private int accepted;
+    private int acceptedJobCount;
 
     EventBrokerSimulation() {
         for (int i = 0; i < CONTROLLERS; i++) {
@@ -61,16 +71,28 @@
         clients.add(new Client(new SubscriptionFilter.ByJobIds(ImmutableSortedSet.of("job-1"))));
     }
 
+    /** A client that resumes at its last cursor after each interruption. */
     final class Client implements Subscriber {
         private final SubscriptionFilter filter;
+
+        /** The encoded cursor of the last message; null before the first. */
         private byte[] cursor;
+
         private EventBroker broker;
+
+        /** Null while the client is not connected. */
         private Subscription subscription;
+
+        /** The number of events that the client is ready to receive. */
         private int demand;
+
         private boolean complete;
+
+        /** The highest start revision of its subscriptions; -1 before the first. */
         private long startRevision = -1;
+
         private final Map<String, String> acceptedJobs = new HashMap<>();
-        private final Set<String> finalJobs = new HashSet<>();
+        private final Set<String> endedJobs = new HashSet<>();
         private final List<String> received = new ArrayList<>();
 
         Client(SubscriptionFilter filter) {
@@ -83,30 +105,36 @@
         }
 
         @Override
-        public void onEvent(JobEvent event, Cursor next) {
+        public void onEvent(JobEvent event, Cursor nextCursor) {
             demand--;
             received.add(event.jobId() + " " + event.type());
             assertFalse(
-                    finalJobs.contains(event.jobId()),
-                    () -> "after the final event of " + event.jobId() + ": " + received);
+                    endedJobs.contains(event.jobId()),
+                    () ->
+                            "expected no event after the final event of "
+                                    + event.jobId()
+                                    + ", received "
+                                    + received);
             assertTrue(
                     filter.matches(event.jobId(), event.owner()),
-                    () -> "not requested: " + received);
+                    () -> "expected events of selected jobs only, received " + received);
             if (event.type().isFinal()) {
-                finalJobs.add(event.jobId());
+                endedJobs.add(event.jobId());
                 assertMatchesStoredStatus(event);
             } else if (event.type() instanceof JobEventType.Accepted) {
                 assertEquals(
                         null,
                         acceptedJobs.put(event.jobId(), "accepted"),
-                        () -> "accepted twice: " + received);
+                        () -> "expected one acceptance of each job, received " + received);
             } else {
                 assertTrue(
                         acceptedJobs.containsKey(event.jobId()),
-                        () -> "before its acceptance: " + received);
+                        () ->
+                                "expected the acceptance as a job's first event, received "
+                                        + received);
             }
-            cursor = signer.encode(next);
-            startRevision = Math.max(startRevision, next.startRevision());
+            cursor = signer.encode(nextCursor);
+            startRevision = Math.max(startRevision, nextCursor.startRevision());
         }
 
         private void assertMatchesStoredStatus(JobEvent event) {
@@ -114,26 +142,36 @@
             assertEquals(
                     status == JobStatus.DONE,
                     event.type() instanceof JobEventType.Done,
-                    () -> "not what is stored: " + received);
+                    () ->
+                            "expected a final event with status "
+                                    + status
+                                    + ", received "
+                                    + received);
             assertEquals(
                     status == JobStatus.CANCELLED,
                     event.type() instanceof JobEventType.Cancelled,
-                    () -> "not what is stored: " + received);
+                    () ->
+                            "expected a final event with status "
+                                    + status
+                                    + ", received "
+                                    + received);
         }
 
         @Override
-        public void onStoreReachabilityChanged(boolean current, Cursor next) {
-            cursor = signer.encode(next);
+        public void onStoreReachabilityChanged(boolean storeReachable, Cursor nextCursor) {
+            cursor = signer.encode(nextCursor);
         }
 
         @Override
-        public void onEnded(EndReason reason, Cursor next) {
+        public void onEnded(EndReason reason, Cursor nextCursor) {
             assertTrue(
                     reason != EndReason.CURSOR_AHEAD,
-                    () -> "the broker refused a cursor of its own as ahead of the store");
+                    () ->
+                            "expected that a cursor of this deployment is accepted, but it was"
+                                    + " rejected as ahead of the state store");
             subscription = null;
-            cursor = signer.encode(next);
-            startRevision = Math.max(startRevision, next.startRevision());
+            cursor = signer.encode(nextCursor);
+            startRevision = Math.max(startRevision, nextCursor.startRevision());
             complete |= reason == EndReason.COMPLETE;
         }
 
@@ -160,7 +198,7 @@
             }
         }
 
-        /** The gRPC server reads each named job before it subscribes. */
+        /** Reads the named jobs from the store, as the gRPC server does before it subscribes. */
         private List<JobRecord> readNamedJobs() {
             return filter instanceof SubscriptionFilter.ByJobIds byJobIds
                     ? byJobIds.jobIds().stream()
@@ -180,33 +218,38 @@
             }
         }
 
-        void read(int limit) {
-            demand = limit;
+        /** Reads at most this many events, and leaves a demand of at most one. */
+        void read(int maxEvents) {
+            demand = maxEvents;
             if (subscription != null) {
                 broker.onReady(subscription, 0);
             }
             demand = Math.max(0, Math.min(demand, 1));
         }
 
-        /** After all faults have ended, every requested final event has been delivered. */
-        private void assertSettled() {
+        /** Checks that every final event of a selected job has been delivered. */
+        private void assertReceivedFinalEvents() {
             if (subscription != null) {
                 startRevision = Math.max(startRevision, subscription.startRevision());
             }
             for (JobRecord job : stored.values()) {
-                if (isRequested(job) && job.status().isFinal()) {
+                if (isSelected(job) && job.status().isFinal()) {
                     assertTrue(
-                            finalJobs.contains(job.id()),
-                            () -> "final event of " + job + " not delivered: " + received);
+                            endedJobs.contains(job.id()),
+                            () -> "expected the final event of " + job + ", received " + received);
                 }
             }
             if (filter instanceof SubscriptionFilter.ByJobIds byJobIds
                     && byJobIds.jobIds().stream().allMatch(EventBrokerSimulation.this::isFinal)) {
-                assertTrue(complete, () -> "not complete: " + received);
+                assertTrue(
+                        complete,
+                        () ->
+                                "expected that the subscription ended as complete, received "
+                                        + received);
             }
         }
 
-        private boolean isRequested(JobRecord job) {
+        private boolean isSelected(JobRecord job) {
             return filter.matches(job.id(), job.owner())
                     && (filter instanceof SubscriptionFilter.ByJobIds
                             || job.version() > startRevision);
@@ -215,26 +258,29 @@
 
     /** Replaces the broker by an empty one, as a restart of its controller does. */
     private void restart(int controller) {
-        EventBroker old = brokers[controller];
+        EventBroker previous = brokers[controller];
         appliedChanges[controller] = -1;
         appliedLogs[controller] = null;
         brokers[controller] =
                 new EventBroker(
                         LIMITS,
-                        handler -> {
-                            EventBroker.Snapshot now = snapshot();
-                            pendingTasks.add(() -> handler.accept(now));
+                        callback -> {
+                            EventBroker.Snapshot snapshot = snapshot();
+                            pendingTasks.add(() -> callback.accept(snapshot));
                         },
                         pendingTasks::add);
         for (Client client : clients) {
-            if (client.broker == old && client.subscription != null) {
-                old.onClosed(client.subscription);
+            if (client.broker == previous && client.subscription != null) {
+                previous.onClosed(client.subscription);
                 client.subscription = null;
             }
         }
     }
 
-    /** A paged read: some records may be newer than the revision of the snapshot. */
+    /**
+     * Returns a snapshot of the store. Like in a paged read, some records may be newer than the
+     * revision of the snapshot.
+     */
     private EventBroker.Snapshot snapshot() {
         return new EventBroker.Snapshot(
                 revision - (revision % 3 == 0 ? 1 : 0), List.copyOf(stored.values()));
@@ -262,18 +308,18 @@
         changes.add(new Change(revision, written));
     }
 
-    private void endJob(int number, JobStatus how) {
+    private void endJob(int number, JobStatus finalStatus) {
         JobRecord job = stored.get("job-" + number);
         if (job != null && !job.status().isFinal()) {
-            write(List.of(new JobRecord(job.id(), null, how, 0, 0, job.owner())));
-            taskEvents.append(job.id(), new TaskEvent.JobEnded(true), 0, 0, 0);
+            write(List.of(new JobRecord(job.id(), null, finalStatus, 0, 0, job.owner())));
+            taskEventLog.append(job.id(), new TaskEvent.JobEnded(true), 0, 0, 0);
         }
     }
 
-    private void appendTaskEvent(int number, TaskEvent what) {
+    private void appendTaskEvent(int number, TaskEvent event) {
         JobRecord job = stored.get("job-" + number);
         if (job != null && !job.status().isFinal()) {
-            taskEvents.append(job.id(), what, 0, 1, 0);
+            taskEventLog.append(job.id(), event, 0, 1, 0);
         }
     }
 
@@ -289,25 +335,30 @@
                                     .count();
             return;
         }
-        List<JobRecord> news = new ArrayList<>();
+        List<JobRecord> changedRecords = new ArrayList<>();
         changes.subList(appliedChanges[controller], changes.size())
-                .forEach(change -> news.addAll(change.jobs()));
+                .forEach(change -> changedRecords.addAll(change.jobs()));
         appliedChanges[controller] = changes.size();
-        broker.onRecordsChanged(revision, news, 0);
+        broker.onRecordsChanged(revision, changedRecords, 0);
     }
 
     private void applyTaskEvents(int controller) {
-        boolean other = appliedLogs[controller] != taskEvents;
-        TaskEventLog.Update news = taskEvents.updateSince(other ? -1 : nextSequences[controller]);
-        appliedLogs[controller] = taskEvents;
-        nextSequences[controller] = news.nextSequence();
-        if (news.isSnapshot()) {
-            brokers[controller].resetTransientEvents(news.events(), 0);
+        boolean isNewLog = appliedLogs[controller] != taskEventLog;
+        TaskEventLog.Update update =
+                taskEventLog.updateSince(isNewLog ? -1 : nextSequences[controller]);
+        appliedLogs[controller] = taskEventLog;
+        nextSequences[controller] = update.nextSequence();
+        if (update.isSnapshot()) {
+            brokers[controller].resetTransientEvents(update.events(), 0);
         } else {
-            brokers[controller].onTransientEvents(news.events(), 0);
+            brokers[controller].onTransientEvents(update.events(), 0);
         }
     }
 
+    /**
+     * Executes one action. The number's last four bits select the action, the others its job,
+     * controller and client.
+     */
     void step(int step) {
         int job = step / 16 % JOBS;
         int controller = step / 16 % CONTROLLERS;
@@ -331,7 +382,7 @@
                 if (step / 64 % 2 == 0) {
                     restart(controller);
                 } else {
-                    taskEvents = new TaskEventLog(4);
+                    taskEventLog = new TaskEventLog(4);
                 }
             }
             case 14 -> brokers[controller].setStoreReachable(step / 64 % 2 == 0, 0);
@@ -340,15 +391,20 @@
     }
 
     /** Accepts at most this many jobs in one transaction. */
-    private void acceptJobs(int limit) {
-        if (accepted >= JOBS) {
+    private void acceptJobs(int maxJobs) {
+        if (acceptedJobCount >= JOBS) {
             return;
         }
         List<JobRecord> batch = new ArrayList<>();
-        for (int i = 0; i < limit && accepted < JOBS; i++, accepted++) {
+        for (int i = 0; i < maxJobs && acceptedJobCount < JOBS; i++, acceptedJobCount++) {
             batch.add(
                     new JobRecord(
-                            "job-" + accepted, null, JobStatus.ACTIVE, 0, 0, owner(accepted)));
+                            "job-" + acceptedJobCount,
+                            null,
+                            JobStatus.ACTIVE,
+                            0,
+                            0,
+                            owner(acceptedJobCount)));
         }
         write(batch);
     }
@@ -360,7 +416,10 @@
         }
     }
 
-    /** Delivers all changes and reads all events, then checks what each client received. */
+    /**
+     * Ends all faults: delivers all changes, reads all events, then checks what each client has
+     * received.
+     */
     void settle() {
         for (int round = 0; round < 40; round++) {
             for (int controller = 0; controller < CONTROLLERS; controller++) {
@@ -377,14 +436,14 @@
                 pendingTasks.poll().run();
             }
         }
-        clients.forEach(Client::assertSettled);
+        clients.forEach(Client::assertReceivedFinalEvents);
     }
 
     private boolean isFinal(String jobId) {
         return stored.containsKey(jobId) && stored.get(jobId).status().isFinal();
     }
 
-    /** Number of events that clients received, so that a test can check that there were any. */
+    /** Returns the number of events that the clients have received. */
     int receivedEventCount() {
         return clients.stream().mapToInt(client -> client.received.size()).sum();
     }
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulationTest.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulationTest.java
@@ -10,19 +10,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Whatever events are dropped, late or read slowly, and whichever controller restarts: a subscriber
- * sees the events of each job in order, with one final event, which agrees with the stored record.
+ * A subscriber receives the events of each job in order, with one final event, which agrees with
+ * the stored record. Guards against lost, repeated and reordered events while clients read slowly
+ * and change controllers, updates arrive late, and controllers restart.
  */
 class EventBrokerSimulationTest {
     @Property(tries = 6000, seed = "20261201")
-    void subscriberSeesAValidHistoryOfEachJob(
+    void subscriberReceivesAValidHistoryOfEachJob(
             @ForAll @Size(min = 10, max = 160) List<@IntRange(min = 0, max = 4607) Integer> steps) {
         EventBrokerSimulation simulation = new EventBrokerSimulation();
         steps.forEach(simulation::step);
         simulation.settle();
     }
 
-    /** The property above would hold as well if no subscriber received any event. */
+    /** Guards against a simulation without events, in which the property above holds trivially. */
     @Test
     void subscriberReceivesTheEventsOfAScriptedRun() {
         EventBrokerSimulation simulation = new EventBrokerSimulation();
@@ -35,6 +36,6 @@
         simulation.settle();
         assertTrue(
                 simulation.receivedEventCount() >= 10,
-                "received " + simulation.receivedEventCount());
+                "expected at least 10 events, received " + simulation.receivedEventCount());
     }
 }
--- a/src/test/java/io/kelphoist/events/EventBrokerTest.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerTest.java
@@ -14,7 +14,11 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** Limits of an event broker: slow and silent subscribers, numbers of streams, and its shutdown. */
+/**
+ * Limits of an event broker. Guards against a slow or stalled subscriber that delays others or
+ * loses a final event, too many streams, a cursor that is never reached, and a shutdown that leaves
+ * clients without a cursor.
+ */
 class EventBrokerTest {
     private static final SubscriptionFilter ONE_JOB =
             new SubscriptionFilter.ByJobIds(ImmutableSortedSet.of("job-1"));
@@ -24,27 +28,29 @@
         return new JobRecord("job-" + job, null, status, 0, version, new JobOwner("red", "c"));
     }
 
-    /** Accepts a number of events, and records them and how the subscription ended. */
+    /** Receives a limited number of events, and records them and the reason of the end. */
     private static final class RecordingSubscriber implements Subscriber {
-        private int acceptableEvents;
+        /** The number of events that it is ready to receive. */
+        private int demand;
+
         private final List<JobEvent> events = new ArrayList<>();
         private EndReason endReason;
         private Cursor lastCursor;
 
         @Override
         public boolean isReady() {
-            return acceptableEvents > 0;
+            return demand > 0;
         }
 
         @Override
         public void onEvent(JobEvent event, Cursor cursor) {
-            acceptableEvents--;
+            demand--;
             events.add(event);
             lastCursor = cursor;
         }
 
         @Override
-        public void onStoreReachabilityChanged(boolean current, Cursor cursor) {}
+        public void onStoreReachabilityChanged(boolean storeReachable, Cursor cursor) {}
 
         @Override
         public void onEnded(EndReason reason, Cursor cursor) {
@@ -54,18 +60,18 @@
     }
 
     private static EventBroker newBroker(EventBrokerLimits limits) {
-        return new EventBroker(limits, handler -> {}, Runnable::run);
+        return new EventBroker(limits, callback -> {}, Runnable::run);
     }
 
     @Test
-    void slowSubscriberGetsTheLatestEventsAndDelaysNobody()
+    void slowSubscriberReceivesTheLatestEventsAndDoesNotDelayOthers()
             throws EventBroker.TooManyStreamsException {
         EventBroker broker = newBroker(new EventBrokerLimits(10, 10, 8, 10, 60));
         broker.onRecordsChanged(1, List.of(record(1, JobStatus.ACTIVE, 1)), 0);
         RecordingSubscriber slow = new RecordingSubscriber();
         RecordingSubscriber fast = new RecordingSubscriber();
-        slow.acceptableEvents = 1;
-        fast.acceptableEvents = Integer.MAX_VALUE;
+        slow.demand = 1;
+        fast.demand = Integer.MAX_VALUE;
         Subscription subscription =
                 broker.subscribe(ALL_JOBS, Optional.empty(), List.of(), "a", slow, 0);
         broker.subscribe(ALL_JOBS, Optional.empty(), List.of(), "b", fast, 0);
@@ -76,31 +82,36 @@
         }
         assertEquals(101, fast.events.size());
         assertEquals(1, slow.events.size());
-        slow.acceptableEvents = 100;
+        slow.demand = 100;
         broker.onReady(subscription, 1);
-        assertTrue(slow.events.size() <= 10, () -> "" + slow.events);
+        assertTrue(
+                slow.events.size() <= 10,
+                () -> "expected at most 10 events after merging, received " + slow.events);
         assertEquals(
                 new JobEventType.Started(99, "m"), slow.events.get(slow.events.size() - 1).type());
-        assertTrue(slow.events.stream().anyMatch(JobEvent::isSnapshot), () -> "" + slow.events);
+        assertTrue(
+                slow.events.stream().anyMatch(JobEvent::isSnapshot),
+                () -> "expected an event marked as snapshot, received " + slow.events);
     }
 
     @Test
-    void silentSubscriberIsEndedAndResumesAtItsCursor() throws EventBroker.TooManyStreamsException {
+    void stalledSubscriptionIsEndedAndResumesAtItsCursor()
+            throws EventBroker.TooManyStreamsException {
         EventBroker broker = newBroker(new EventBrokerLimits(10, 10, 8, 10, 60));
         broker.onRecordsChanged(1, List.of(record(1, JobStatus.ACTIVE, 1)), 0);
-        RecordingSubscriber slow = new RecordingSubscriber();
-        broker.subscribe(ONE_JOB, Optional.empty(), List.of(), "a", slow, 0);
+        RecordingSubscriber stalled = new RecordingSubscriber();
+        broker.subscribe(ONE_JOB, Optional.empty(), List.of(), "a", stalled, 0);
         broker.onRecordsChanged(2, List.of(record(1, JobStatus.DONE, 2)), 5);
         broker.tick(60);
-        assertEquals(null, slow.endReason);
+        assertEquals(null, stalled.endReason);
         broker.tick(61);
-        assertEquals(Subscriber.EndReason.SLOW, slow.endReason);
+        assertEquals(Subscriber.EndReason.SLOW, stalled.endReason);
         assertEquals(0, broker.streamCount());
         RecordingSubscriber resumed = new RecordingSubscriber();
-        resumed.acceptableEvents = 9;
+        resumed.demand = 9;
         broker.subscribe(
                 ONE_JOB,
-                Optional.of(slow.lastCursor),
+                Optional.of(stalled.lastCursor),
                 List.of(record(1, JobStatus.DONE, 2)),
                 "a",
                 resumed,
@@ -109,9 +120,9 @@
                 List.of(new JobEventType.Done()),
                 resumed.events.stream().map(JobEvent::type).toList());
         assertEquals(Subscriber.EndReason.COMPLETE, resumed.endReason);
-        // Subscribed once more: the final event was delivered already.
+        // The final event was delivered already, so a subscription at the last cursor is complete.
         RecordingSubscriber completed = new RecordingSubscriber();
-        completed.acceptableEvents = 9;
+        completed.demand = 9;
         broker.subscribe(ONE_JOB, Optional.of(resumed.lastCursor), List.of(), "a", completed, 70);
         assertEquals(List.of(), completed.events);
         assertEquals(Subscriber.EndReason.COMPLETE, completed.endReason);
@@ -124,15 +135,15 @@
         Subscription subscription =
                 broker.subscribe(
                         ONE_JOB, Optional.empty(), List.of(), "a", new RecordingSubscriber(), 0);
-        assertEquals(EventBroker.StreamLimit.PER_CLIENT, refusedBy(broker, "a"));
+        assertEquals(EventBroker.StreamLimit.PER_CLIENT, exceededLimit(broker, "a"));
         broker.subscribe(ONE_JOB, Optional.empty(), List.of(), "b", new RecordingSubscriber(), 0);
-        assertEquals(EventBroker.StreamLimit.TOTAL, refusedBy(broker, "c"));
+        assertEquals(EventBroker.StreamLimit.TOTAL, exceededLimit(broker, "c"));
         broker.onClosed(subscription);
         broker.subscribe(ONE_JOB, Optional.empty(), List.of(), "a", new RecordingSubscriber(), 0);
     }
 
-    /** The limit that refuses one more stream of a client. */
-    private static EventBroker.StreamLimit refusedBy(EventBroker broker, String client) {
+    /** Checks that one more stream of a client is rejected, and returns the exceeded limit. */
+    private static EventBroker.StreamLimit exceededLimit(EventBroker broker, String clientName) {
         return assertThrows(
                         EventBroker.TooManyStreamsException.class,
                         () ->
@@ -140,18 +151,19 @@
                                         ONE_JOB,
                                         Optional.empty(),
                                         List.of(),
-                                        client,
+                                        clientName,
                                         new RecordingSubscriber(),
                                         0))
                 .limit();
     }
 
     @Test
-    void waitsForABoundedTimeForACursorAhead() throws EventBroker.TooManyStreamsException {
+    void endsASubscriptionWhoseCursorStaysAheadOfTheStore()
+            throws EventBroker.TooManyStreamsException {
         EventBroker broker = newBroker(EventBrokerLimits.DEFAULT);
         broker.onRecordsChanged(1, List.of(), 0);
         RecordingSubscriber subscriber = new RecordingSubscriber();
-        subscriber.acceptableEvents = 9;
+        subscriber.demand = 9;
         broker.subscribe(
                 ONE_JOB,
                 Optional.of(new Cursor(ONE_JOB.fingerprint(), 0, new LogPosition(1000, "job-1"))),
@@ -170,7 +182,7 @@
         EventBroker broker = newBroker(EventBrokerLimits.DEFAULT);
         broker.onRecordsChanged(7, List.of(record(1, JobStatus.ACTIVE, 6)), 0);
         RecordingSubscriber subscriber = new RecordingSubscriber();
-        subscriber.acceptableEvents = 9;
+        subscriber.demand = 9;
         broker.subscribe(ALL_JOBS, Optional.empty(), List.of(), "a", subscriber, 0);
         broker.drain();
         assertEquals(Subscriber.EndReason.DRAINED, subscriber.endReason);
