--- a/src/main/java/io/kelphoist/client/KelphoistClient.java
+++ b/src/main/java/io/kelphoist/client/KelphoistClient.java
@@ -33,13 +33,14 @@
 
 /**
  * Submits and watches jobs at any controller of a deployment. A failed call is retried at the next
- * controller after a jittered delay, and a stream resumes at its last cursor. Retries are safe: a
- * submission is identified by its job's id, and the end of a job is reported once per cursor.
+ * controller after a delay with jitter, and a stream resumes from its last cursor. Retries are
+ * safe: a submission is identified by its job's id, and a stream that resumes from a cursor does
+ * not report final events again that precede the cursor.
  *
- * <p>Owns its channels; close it after use. Calls block; not thread-safe.
+ * <p>Owns its channels; close it after use. Calls block. Not thread-safe.
  */
 public final class KelphoistClient implements AutoCloseable {
-    /** Waits between attempts; replaced in tests. */
+    /** Waits between attempts; tests replace it. */
     interface Sleeper {
         void sleep(double seconds) throws InterruptedException;
     }
@@ -65,7 +66,7 @@
     /**
      * Creates a client without TLS.
      *
-     * @param controllers addresses as host:port
+     * @param controllers addresses of controllers as host:port
      */
     public KelphoistClient(List<String> controllers) {
         this(controllers, InsecureChannelCredentials.create(), DEFAULT_MAX_ATTEMPTS);
@@ -74,8 +75,9 @@
     /**
      * Creates a client.
      *
-     * @param controllers addresses as host:port
-     * @param maxAttempts attempts of one call, or of a stream since its last message
+     * @param controllers addresses of controllers as host:port
+     * @param maxAttempts the maximum number of attempts of one call; for a stream, they are counted
+     *     since its last message
      */
     public KelphoistClient(
             List<String> controllers, ChannelCredentials credentials, int maxAttempts) {
@@ -101,7 +103,7 @@
         }
     }
 
-    /** Delay that a status requests before a retry, in seconds; 0 if it requests none. */
+    /** Returns the delay that a status requests before a retry, in seconds; 0 if it has none. */
     static double requestedDelaySeconds(StatusRuntimeException e) {
         com.google.rpc.Status status = StatusProto.fromThrowable(e);
         if (status == null) {
@@ -140,7 +142,10 @@
         }
     }
 
-    /** Waits before the next attempt, at the next controller; throws if there is none. */
+    /**
+     * Waits before the next attempt, which is made at the next controller. Throws the error if it
+     * can't be retried or no attempt is left.
+     */
     private void retryOrThrow(StatusRuntimeException e, RetryBackoff backoff)
             throws InterruptedException {
         if (!RETRYABLE_CODES.contains(e.getStatus().getCode())
@@ -152,9 +157,9 @@
     }
 
     /**
-     * Submits a job; repeating it has no further effect.
+     * Submits a job. Submitting it again has no effect.
      *
-     * @throws StatusRuntimeException if it was refused or all attempts failed
+     * @throws StatusRuntimeException if the job was rejected or all attempts failed
      */
     public SubmitResponse submit(Job job) throws InterruptedException {
         return call(stub -> stub.submit(SubmitRequest.newBuilder().setJob(job).build()));
@@ -181,10 +186,11 @@
     /**
      * Watches jobs until all that the request names have ended, or the handler stops.
      *
-     * @param request with a cursor to resume at it. A program that stores the cursor of the last
-     *     message it handled gets the end of each job once, whatever happens to its process
+     * @param request the jobs to watch, and optionally the cursor to resume from. A program that
+     *     stores the cursor of each message together with the result of handling it receives the
+     *     final event of each job exactly once, even if it crashes and restarts
      * @param handler receives the messages on the calling thread; returns false to stop
-     * @throws StatusRuntimeException if the request was refused or all attempts failed
+     * @throws StatusRuntimeException if the request was rejected or all attempts failed
      */
     public void watch(WatchRequest request, Predicate<WatchResponse> handler)
             throws InterruptedException {
@@ -218,7 +224,7 @@
         }
     }
 
-    /** Remembers where a stream resumes, and passes its messages on. */
+    /** Tracks the cursor from which a stream resumes, and passes its messages to the handler. */
     private static final class CursorTracker implements Predicate<WatchResponse> {
         private final Predicate<WatchResponse> handler;
         private final RetryBackoff backoff;
@@ -237,7 +243,7 @@
             return handler.test(response);
         }
 
-        /** A stream that ends with an error may name a newer cursor in its trailers. */
+        /** Takes the cursor from the trailers of a failed stream, as it may be newer. */
         void onFailure(StatusRuntimeException e) {
             byte[] trailerCursor =
                     e.getTrailers() == null ? null : e.getTrailers().get(CURSOR_TRAILER);
@@ -247,7 +253,7 @@
         }
     }
 
-    /** Ends all calls and closes the channels. */
+    /** Cancels all calls and closes the channels. */
     @Override
     public void close() {
         channels.forEach(ManagedChannel::shutdownNow);
--- a/src/main/java/io/kelphoist/client/RetryBackoff.java
+++ b/src/main/java/io/kelphoist/client/RetryBackoff.java
@@ -4,14 +4,14 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * Exponential backoff with jitter: the delay before the next attempt of a call. Owns the number of
- * consecutive failures; not thread-safe.
+ * Exponential backoff with jitter: computes the delay before the next attempt of a call. Owns the
+ * number of consecutive failures. Not thread-safe.
  */
 public final class RetryBackoff {
     private static final double INITIAL_DELAY_SECONDS = 0.1;
     private static final double MAX_DELAY_SECONDS = 10;
 
-    /** Part of the delay that is not random. */
+    /** The share of the delay that is not random. */
     private static final double FIXED_SHARE = 0.5;
 
     private final DoubleSupplier random;
@@ -25,18 +25,18 @@
     /**
      * Creates a backoff with a given source of jitter.
      *
-     * @param random uniformly distributed from 0 to 1
+     * @param random returns uniformly distributed values from 0 to 1
      */
     RetryBackoff(DoubleSupplier random) {
         this.random = random;
     }
 
-    /** An attempt succeeded: the next delay is the shortest again. */
+    /** Resets the delay to the initial one, as an attempt has succeeded. */
     public void onSuccess() {
         failureCount = 0;
     }
 
-    /** Number of delays since the last success. */
+    /** Returns the number of failures since the last success. */
     public int failureCount() {
         return failureCount;
     }
@@ -44,7 +44,7 @@
     /**
      * Counts a failure and returns the delay before the next attempt, in seconds.
      *
-     * @param requestedSeconds least delay that the server requested; 0 if it requested none
+     * @param requestedSeconds the minimum delay that the server requested; 0 if it requested none
      */
     public double nextDelaySeconds(double requestedSeconds) {
         double delayLimitSeconds =
--- a/src/main/java/io/kelphoist/client/package-info.java
+++ b/src/main/java/io/kelphoist/client/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Client library of the gRPC service for users' programs, with retries and resumed streams. Depends
- * on the generated gRPC classes alone; nothing of a controller is loaded. Calls block.
+ * Client library of the gRPC service for users' programs. It retries failed calls and resumes
+ * interrupted streams. It depends only on the generated gRPC classes and loads no classes of a
+ * controller. Calls block.
  */
 package io.kelphoist.client;
--- a/src/main/java/io/kelphoist/grpc/ClientAuthorizer.java
+++ b/src/main/java/io/kelphoist/grpc/ClientAuthorizer.java
@@ -22,15 +22,15 @@
 import javax.net.ssl.SSLSession;
 
 /**
- * Determines which client makes a call, and which teams it may submit for and watch: by the common
- * name of its certificate, or its address if it has none, and the settings. The client is attached
- * to the call's context.
+ * Identifies the client of each call and looks up in the settings which teams it may submit for and
+ * watch. A client is identified by the common name of its certificate, or by its address if it has
+ * no certificate. The client is attached to the call's context.
  */
 final class ClientAuthorizer implements ServerInterceptor {
     /**
      * A client and its permissions.
      *
-     * @param access the teams that it may submit for and watch
+     * @param access the teams that the client may submit for and watch
      */
     record Client(String name, TeamAccess access) {
         /** Whether the client may submit for and watch a team. */
@@ -41,15 +41,15 @@
         /**
          * Whether the client may see a job.
          *
-         * @param owner null if the job's record does not have it; then only a client of all teams
-         *     may see it
+         * @param owner null if the job's record has no owner; then only a client with access to all
+         *     teams may see the job
          */
         boolean isAllowed(JobOwner owner) {
             return !(access instanceof TeamAccess.NamedTeams named)
                     || (owner != null && named.teams().contains(owner.team()));
         }
 
-        /** Whether there is no team at all that the client may submit for or watch. */
+        /** Whether the client may not submit for or watch any team. */
         boolean hasNoTeam() {
             return access instanceof TeamAccess.NamedTeams named && named.teams().isEmpty();
         }
@@ -65,7 +65,7 @@
         }
     }
 
-    /** The client that makes the call of the current context. */
+    /** The key of the client in the context of its call. */
     static final Context.Key<Client> CLIENT = Context.key("client");
 
     private static final String COMMON_NAME = "CN";
@@ -75,16 +75,18 @@
     private final Map<String, TeamAccess> accessByClient;
 
     /**
-     * @param accessByClient by a client's name; if it is empty, every client may submit for and
-     *     watch all teams
+     * Creates an authorizer.
+     *
+     * @param accessByClient by the client's name. If it is empty, every client may submit for and
+     *     watch all teams; otherwise clients that are not in it may do so for none
      */
     ClientAuthorizer(Map<String, TeamAccess> accessByClient) {
         this.accessByClient = accessByClient;
     }
 
     @Override
-    public <Q, A> ServerCall.Listener<Q> interceptCall(
-            ServerCall<Q, A> call, Metadata headers, ServerCallHandler<Q, A> next) {
+    public <ReqT, RespT> ServerCall.Listener<ReqT> interceptCall(
+            ServerCall<ReqT, RespT> call, Metadata headers, ServerCallHandler<ReqT, RespT> next) {
         String name = clientName(call);
         Client client = new Client(name, accessOf(name));
         return Contexts.interceptCall(
@@ -108,7 +110,7 @@
                     }
                 }
             } catch (SSLPeerUnverifiedException | InvalidNameException e) {
-                // Without a certificate, the client is known by its address.
+                // Without a valid certificate, the client is identified by its address.
             }
         }
         SocketAddress address = call.getAttributes().get(Grpc.TRANSPORT_ATTR_REMOTE_ADDR);
--- a/src/main/java/io/kelphoist/grpc/GrpcMessageCodec.java
+++ b/src/main/java/io/kelphoist/grpc/GrpcMessageCodec.java
@@ -30,13 +30,15 @@
 import io.kelphoist.wire.MalformedMessageException;
 import java.util.List;
 
-/** Translates the protocol's messages to the domain's types and back. */
+/** Converts between the messages of the gRPC protocol and the types of the model. */
 final class GrpcMessageCodec {
     private GrpcMessageCodec() {}
 
     /**
-     * Decodes a job's description. It passes through the HTTP protocol's codec, so that both
-     * protocols check the same.
+     * Decodes a job's specification. It is validated by the codec of the HTTP protocol, so that
+     * both protocols apply the same checks.
+     *
+     * @throws MalformedMessageException if the specification is invalid
      */
     static JobSpec toJobSpec(Job message) throws MalformedMessageException {
         JobKind kind = toJobKind(message.getKind());
@@ -120,7 +122,11 @@
         };
     }
 
-    /** Encodes an event of a stream. */
+    /**
+     * Encodes an event of a stream.
+     *
+     * @param cursor the encoded cursor to resume from after the event
+     */
     static WatchResponse toWatchResponse(io.kelphoist.events.JobEvent event, byte[] cursor) {
         JobEvent.Builder message =
                 JobEvent.newBuilder()
@@ -143,8 +149,8 @@
             message.setAccepted(Accepted.getDefaultInstance());
         } else if (type instanceof JobEventType.WaitingForDependencies) {
             message.setWaiting(Waiting.getDefaultInstance());
-        } else if (type instanceof JobEventType.CapacityReserved held) {
-            message.setHeld(Held.newBuilder().setMachines(held.machineCount()));
+        } else if (type instanceof JobEventType.CapacityReserved reserved) {
+            message.setHeld(Held.newBuilder().setMachines(reserved.machineCount()));
         } else if (type instanceof JobEventType.Started started) {
             message.setStarted(
                     Started.newBuilder().setTask(started.task()).setMachine(started.machine()));
@@ -170,7 +176,11 @@
         }
     }
 
-    /** Encodes whether a stream is current. */
+    /**
+     * Encodes whether a stream is current, which it is while the state store is reachable.
+     *
+     * @param cursor the encoded cursor to resume from after the last event
+     */
     static WatchResponse toStreamStateResponse(boolean storeReachable, byte[] cursor) {
         return WatchResponse.newBuilder()
                 .setCursor(ByteString.copyFrom(cursor))
--- a/src/main/java/io/kelphoist/grpc/GrpcServer.java
+++ b/src/main/java/io/kelphoist/grpc/GrpcServer.java
@@ -25,14 +25,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The gRPC server of a controller. Owns its transport (one thread for all sockets), the event
- * broker and the health status. Calls run on the events' thread, never on the controller's event
- * loop.
+ * The gRPC server of a controller. Owns its transport (one I/O thread for all connections), the
+ * event broker and the health status. Calls run on the event thread, never on the controller's
+ * event loop.
  */
 public final class GrpcServer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(GrpcServer.class);
 
-    /** Logs a warning with a stack trace for each client that disconnects during a response. */
+    /**
+     * The logger of gRPC's transport. It logs a warning with a stack trace for each client that
+     * disconnects during a response, so its level is raised to {@code SEVERE}.
+     */
     private static final java.util.logging.Logger TRANSPORT_LOG =
             java.util.logging.Logger.getLogger(
                     "io.grpc.netty.shaded.io.grpc.netty.NettyServerHandler");
@@ -46,7 +49,7 @@
 
     private static final double SECONDS_PER_NANO = 1e-9;
 
-    /** Calls of a connection that are not streams. */
+    /** The number of concurrent calls on one connection that are allowed besides its streams. */
     private static final int MAX_UNARY_CALLS_PER_CONNECTION = 100;
 
     private final EventBroker eventBroker;
@@ -75,9 +78,9 @@
      * Creates a server that is not started yet.
      *
      * @param teams the names of all teams
-     * @param eventExecutor the events' thread: it owns the event broker, runs all calls, and runs
-     *     the backend's callbacks
-     * @throws IOException if the certificate or its key can't be used
+     * @param eventExecutor the event thread, which owns the event broker and runs all calls and the
+     *     backend's callbacks
+     * @throws IOException if a TLS file can't be loaded
      */
     public static GrpcServer create(
             GrpcSettings settings,
@@ -97,7 +100,7 @@
         SchedulerService service =
                 new SchedulerService(
                         backend,
-                        new WatchStream.Broker(
+                        new WatchStream.StreamContext(
                                 eventBroker, cursorSigner(settings), GrpcServer::nowSeconds),
                         new SubmissionRateLimiter(
                                 settings.submissionsPerSecondPerTeam(), Set.copyOf(teams)));
@@ -159,7 +162,8 @@
     }
 
     /**
-     * One I/O thread. The successor of the deprecated class would load more classes for the same.
+     * Returns an event loop group with one I/O thread. The class is deprecated, but its replacement
+     * would load more classes for the same function.
      */
     @SuppressWarnings("deprecation")
     private static EventLoopGroup newSocketEventLoop() {
@@ -169,7 +173,7 @@
     /**
      * Starts to accept connections.
      *
-     * @throws IOException if the address is in use
+     * @throws IOException if the server can't listen on its address
      */
     public void start() throws IOException {
         try {
@@ -196,23 +200,24 @@
             eventBroker.tick(nowSeconds());
             credentials.ifPresent(TlsCredentials::reloadIfChanged);
         } catch (RuntimeException e) {
-            LOG.error("unexpected error in the gRPC server's tick", e);
+            LOG.error("unexpected error in the periodic task of the gRPC server", e);
         }
     }
 
-    /** Returns the event broker; all but its counters is for the events' thread alone. */
+    /** Returns the event broker. All its methods except the counters need the event thread. */
     public EventBroker eventBroker() {
         return eventBroker;
     }
 
-    /** Returns the port that it listens on; for any thread, after the start. */
+    /** Returns the port that the server listens on. May be called on any thread after the start. */
     public int port() {
         return server.getPort();
     }
 
     /**
-     * Ends all streams, each with a cursor to resume elsewhere, and waits for other calls for a
-     * bounded time. Blocks; must not be called on the events' thread.
+     * Ends all streams, each with a cursor to resume from at another controller, and waits up to
+     * {@link #SHUTDOWN_TIMEOUT_SECONDS} for other calls to complete. Blocks; must not be called on
+     * the event thread.
      */
     @Override
     public void close() {
--- a/src/main/java/io/kelphoist/grpc/GrpcStatuses.java
+++ b/src/main/java/io/kelphoist/grpc/GrpcStatuses.java
@@ -10,17 +10,20 @@
 import io.kelphoist.admission.AdmissionResult;
 import io.kelphoist.events.Subscriber;
 
-/** The statuses that calls end with. Descriptions are for users and part of the protocol. */
+/**
+ * Creates the statuses that calls end with. Their descriptions are read by users and are part of
+ * the protocol.
+ */
 final class GrpcStatuses {
-    /** The trailer with the cursor to resume from, of a stream that was ended by the server. */
-    static final Metadata.Key<byte[]> CURSOR =
+    /** The trailer of a stream that the server ended, with the cursor to resume from. */
+    static final Metadata.Key<byte[]> CURSOR_TRAILER =
             Metadata.Key.of("kelphoist-cursor-bin", Metadata.BINARY_BYTE_MARSHALLER);
 
     private static final long NANOS_PER_SECOND = 1_000_000_000;
 
     private GrpcStatuses() {}
 
-    /** Returns the status for a result that is not a job's state. */
+    /** Returns the error status for a result that is not a job's state. */
     static StatusRuntimeException forResult(AdmissionResult result) {
         if (result instanceof AdmissionResult.Rejected rejected) {
             return forReason(rejected.reason())
@@ -52,14 +55,14 @@
         };
     }
 
-    /** Returns the status for a client without permission. */
+    /** Returns the status for a client that may not perform an action. */
     static StatusRuntimeException permissionDenied(ClientAuthorizer.Client client, String action) {
         return Status.PERMISSION_DENIED
                 .withDescription(client.name() + " may not " + action)
                 .asRuntimeException();
     }
 
-    /** Returns the status for a stream that was ended before it was complete. */
+    /** Returns the status of a stream that the server ended. */
     static Status forEndReason(Subscriber.EndReason reason) {
         return switch (reason) {
             case SLOW ->
--- a/src/main/java/io/kelphoist/grpc/NamedJobsReader.java
+++ b/src/main/java/io/kelphoist/grpc/NamedJobsReader.java
@@ -11,18 +11,21 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the jobs that a watch request names: whether they exist, whether the client may see them,
- * and how those ended that the event broker has evicted. Used once, on the events' thread.
+ * Reads the jobs that a watch request names, to check that they exist and that the client may see
+ * them, and to get the final state of jobs that the event broker has evicted. An instance reads
+ * once. Confined to the event thread.
  */
 final class NamedJobsReader {
     private final ClientAuthorizer.Client client;
     private final Consumer<List<JobRecord>> onCompleted;
     private final Consumer<StatusRuntimeException> onFailed;
     private final List<JobRecord> records = new ArrayList<>();
-    private int remaining;
+    private int pendingQueryCount;
 
     /**
-     * @param onCompleted receives the records of all jobs, without descriptions
+     * Creates a reader.
+     *
+     * @param onCompleted receives the records of all jobs, without their specifications
      * @param onFailed receives the status for each job that can't be watched; then {@code
      *     onCompleted} is not called
      */
@@ -37,7 +40,7 @@
 
     /** Starts to read the jobs. */
     void read(Collection<String> jobIds, SchedulerBackend backend) {
-        remaining = jobIds.size();
+        pendingQueryCount = jobIds.size();
         for (String jobId : jobIds) {
             backend.query(jobId, result -> onResult(jobId, result));
         }
@@ -50,8 +53,8 @@
             return;
         }
         records.add(toRecord(found.job()));
-        remaining--;
-        if (remaining == 0) {
+        pendingQueryCount--;
+        if (pendingQueryCount == 0) {
             onCompleted.accept(records);
         }
     }
--- a/src/main/java/io/kelphoist/grpc/SchedulerBackend.java
+++ b/src/main/java/io/kelphoist/grpc/SchedulerBackend.java
@@ -6,15 +6,18 @@
 import java.util.function.Consumer;
 
 /**
- * The controller as the gRPC service uses it. Methods may be called on any thread and don't block;
- * each callback is called at most once, on the events' thread, and never if the controller shuts
- * down meanwhile.
+ * The interface through which the gRPC service uses the controller. Methods may be called on any
+ * thread and don't block. Each callback is called at most once, on the event thread; it is never
+ * called if the controller shuts down before the request is complete.
  */
 public interface SchedulerBackend {
     /** Submits a job, see {@link io.kelphoist.admission.Admission#submit}. */
     void submit(JobSpec job, Consumer<AdmissionResult> callback);
 
-    /** Rejects a submission of which only the job's id could be decoded, unless it is stored. */
+    /**
+     * Handles a submission of which only the job's id could be decoded: the result is the state of
+     * the stored job with this id, or a rejection if there is none.
+     */
     void rejectMalformed(String jobId, String reason, Consumer<AdmissionResult> callback);
 
     /** Reads a job's state. */
--- a/src/main/java/io/kelphoist/grpc/SchedulerService.java
+++ b/src/main/java/io/kelphoist/grpc/SchedulerService.java
@@ -22,20 +22,20 @@
 import java.util.OptionalDouble;
 
 /**
- * The calls of the gRPC service. A job that a client may not see is reported as one that does not
- * exist. All calls run on the events' thread.
+ * Implements the calls of the gRPC service. For a job that the client may not see, the response is
+ * the same as for a job that does not exist. All calls run on the event thread.
  */
 final class SchedulerService extends SchedulerGrpc.SchedulerImplBase {
     private final SchedulerBackend backend;
-    private final WatchStream.Broker broker;
+    private final WatchStream.StreamContext streamContext;
     private final SubmissionRateLimiter rateLimiter;
 
     SchedulerService(
             SchedulerBackend backend,
-            WatchStream.Broker broker,
+            WatchStream.StreamContext streamContext,
             SubmissionRateLimiter rateLimiter) {
         this.backend = backend;
-        this.broker = broker;
+        this.streamContext = streamContext;
         this.rateLimiter = rateLimiter;
     }
 
@@ -54,7 +54,7 @@
                     GrpcStatuses.permissionDenied(client, "submit for " + job.team()));
             return;
         }
-        double nowSeconds = broker.clockSeconds().getAsDouble();
+        double nowSeconds = streamContext.clockSeconds().getAsDouble();
         OptionalDouble retryDelaySeconds = rateLimiter.tryAcquire(job.team(), nowSeconds);
         if (retryDelaySeconds.isPresent()) {
             responseObserver.onError(
@@ -67,7 +67,10 @@
         backend.submit(job, result -> respondToSubmission(result, responseObserver));
     }
 
-    /** A client that may not see the job learns only that its submission is malformed. */
+    /**
+     * Responds to a malformed submission: with the state of the stored job of this id, or a
+     * rejection. A client that may not see the stored job gets the rejection.
+     */
     private void rejectMalformed(
             String jobId, String reason, StreamObserver<SubmitResponse> responseObserver) {
         AdmissionResult rejected =
@@ -103,7 +106,7 @@
                 request.getId(), result -> respondWithState(result, client, responseObserver));
     }
 
-    /** Reads the job first: its owner decides whether the client may cancel it. */
+    /** Reads the job first, because whether the client may cancel it depends on the job's owner. */
     @Override
     public void cancel(CancelRequest request, StreamObserver<JobState> responseObserver) {
         ClientAuthorizer.Client client = ClientAuthorizer.CLIENT.get();
@@ -157,13 +160,13 @@
         Optional<Cursor> cursor;
         try {
             filter = WatchRequestParser.parseFilter(request, client);
-            cursor = WatchRequestParser.parseCursor(request, filter, broker.cursorSigner());
+            cursor = WatchRequestParser.parseCursor(request, filter, streamContext.cursorSigner());
         } catch (StatusRuntimeException e) {
             responseObserver.onError(e);
             return;
         }
         ServerCallStreamObserver<WatchResponse> call =
                 (ServerCallStreamObserver<WatchResponse>) responseObserver;
-        WatchStream.attach(call, client, broker).open(filter, cursor, backend);
+        WatchStream.attach(call, client, streamContext).open(filter, cursor, backend);
     }
 }
--- a/src/main/java/io/kelphoist/grpc/SubmissionRateLimiter.java
+++ b/src/main/java/io/kelphoist/grpc/SubmissionRateLimiter.java
@@ -7,14 +7,14 @@
 import java.util.Set;
 
 /**
- * Limits the rate of each team's submissions. Unknown teams share one limit, so that made-up names
- * don't add up. Confined to the events' thread.
+ * Limits the rate of each team's submissions. All unknown teams share one limit, so that a client
+ * can't raise its rate by inventing team names. Confined to the event thread.
  */
 final class SubmissionRateLimiter {
     private static final double BURST_SECONDS = 2;
     private static final double MIN_RETRY_DELAY_SECONDS = 0.1;
 
-    /** Names the limit that unknown teams share. */
+    /** The key of the limit that unknown teams share. */
     private static final String UNKNOWN_TEAMS = "";
 
     private final double submissionsPerSecondPerTeam;
@@ -22,6 +22,8 @@
     private final Map<String, TokenBucket> bucketByTeam = new HashMap<>();
 
     /**
+     * Creates a limiter.
+     *
      * @param teams the names of all teams
      */
     SubmissionRateLimiter(double submissionsPerSecondPerTeam, Set<String> teams) {
@@ -30,9 +32,9 @@
     }
 
     /**
-     * Counts a submission if it is within the team's limit.
+     * Counts a submission if the team's limit allows it.
      *
-     * @return empty if it is, otherwise the delay in seconds after which to retry
+     * @return empty if the limit allows it, otherwise the delay in seconds after which to retry
      */
     OptionalDouble tryAcquire(String team, double nowSeconds) {
         TokenBucket bucket =
--- a/src/main/java/io/kelphoist/grpc/TlsCredentials.java
+++ b/src/main/java/io/kelphoist/grpc/TlsCredentials.java
@@ -16,20 +16,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The server's certificate and the authority of its clients' certificates, from PEM files that are
- * reloaded when they change. Owns the files' modification times; confined to the events' thread
- * after the start.
+ * The server's certificate and the certificate authority (CA) of its clients, loaded from PEM files
+ * and reloaded when a file changes. Owns the files' last modification times. Confined to the event
+ * thread after the server's start.
  */
 final class TlsCredentials {
     private static final Logger LOG = LoggerFactory.getLogger(TlsCredentials.class);
 
-    /** Stands for the modification time of a file that is not configured. */
+    /** The modification time that represents a file that is not configured. */
     private static final FileTime NO_FILE = FileTime.fromMillis(0);
 
     private final GrpcSettings.Tls files;
     private final AdvancedTlsX509KeyManager keyManager = new AdvancedTlsX509KeyManager();
 
-    /** Empty if clients need no certificate. */
+    /** Empty if clients don't need a certificate. */
     private final Optional<AdvancedTlsX509TrustManager> trustManager;
 
     private List<FileTime> modificationTimes = List.of();
@@ -41,9 +41,9 @@
     }
 
     /**
-     * Loads the files.
+     * Creates credentials from the files.
      *
-     * @throws IOException if one of them can't be used
+     * @throws IOException if one of the files can't be read or is not a valid certificate or key
      */
     static TlsCredentials load(GrpcSettings.Tls files) throws IOException {
         try {
@@ -52,7 +52,15 @@
             credentials.loadFiles();
             return credentials;
         } catch (GeneralSecurityException | RuntimeException e) {
-            throw new IOException("the certificate can't be used: " + e.getMessage(), e);
+            throw new IOException(
+                    "can't load TLS files, expected a certificate, its key and any client CA in PEM"
+                            + " format: certificate="
+                            + files.certificate()
+                            + " key="
+                            + files.key()
+                            + " error="
+                            + e.getMessage(),
+                    e);
         }
     }
 
@@ -69,7 +77,7 @@
                         .build());
     }
 
-    /** Returns the credentials of the server; they follow later changes of the files. */
+    /** Returns the credentials of the server; {@link #reloadIfChanged} updates them. */
     ServerCredentials serverCredentials() {
         TlsServerCredentials.Builder builder =
                 TlsServerCredentials.newBuilder().keyManager(keyManager);
@@ -87,7 +95,10 @@
         }
     }
 
-    /** Loads the files again if they have changed. If one can't be used, the old ones are kept. */
+    /**
+     * Reloads the files if one of them has changed. If a file can't be loaded, the previous
+     * credentials stay in use, and the reload is repeated when a file changes again.
+     */
     void reloadIfChanged() {
         try {
             List<FileTime> currentTimes = readModificationTimes();
@@ -99,7 +110,7 @@
             LOG.info("certificate reloaded: file={}", files.certificate());
         } catch (IOException | GeneralSecurityException | RuntimeException e) {
             LOG.error(
-                    "certificate reload failed, the old one is kept: certificate={} key={} error={}",
+                    "certificate reload failed, previous one kept: certificate={} key={} error={}",
                     files.certificate(),
                     files.key(),
                     e.getMessage());
--- a/src/main/java/io/kelphoist/grpc/WatchRequestParser.java
+++ b/src/main/java/io/kelphoist/grpc/WatchRequestParser.java
@@ -11,23 +11,25 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Validates watch requests; errors are the statuses that the client gets. */
+/** Validates watch requests. Errors are thrown as the statuses that the client receives. */
 final class WatchRequestParser {
     private static final int MAX_NAMED_JOBS = 1000;
 
     private WatchRequestParser() {}
 
     /**
-     * Returns the filter that a request asks for, restricted to what the client may watch. Whether
-     * it may watch the jobs that a filter names is known only once their owners were read.
+     * Returns the filter that a request selects, restricted to the teams that the client may watch.
+     * Whether the client may watch jobs that the request names is checked later, when their owners
+     * have been read, see {@link NamedJobsReader}.
      *
-     * @throws StatusRuntimeException if the request is malformed or the client may not watch this
+     * @throws StatusRuntimeException if the request is malformed, or the client may not watch the
+     *     selected team
      */
     static SubscriptionFilter parseFilter(WatchRequest request, ClientAuthorizer.Client client) {
         return request.getJobsCount() > 0
                 ? parseNamedJobs(request)
                 : new SubscriptionFilter.ByOwner(
-                        teams(request, client).map(ImmutableSortedSet::copyOf).orElse(null),
+                        selectTeams(request, client).map(ImmutableSortedSet::copyOf).orElse(null),
                         request.getJobClass().isEmpty() ? null : request.getJobClass());
     }
 
@@ -41,8 +43,8 @@
         return new SubscriptionFilter.ByJobIds(ImmutableSortedSet.copyOf(request.getJobsList()));
     }
 
-    /** Returns the teams to be watched, empty for all. */
-    private static Optional<Set<String>> teams(
+    /** Returns the teams to watch, empty for all teams. */
+    private static Optional<Set<String>> selectTeams(
             WatchRequest request, ClientAuthorizer.Client client) {
         if (!request.getTeam().isEmpty()) {
             if (!client.isAllowed(request.getTeam())) {
@@ -61,7 +63,8 @@
     /**
      * Returns the cursor to resume from, empty if the request has none.
      *
-     * @throws StatusRuntimeException if it is not a cursor of this deployment for this filter
+     * @throws StatusRuntimeException if the cursor was not issued by this deployment for this
+     *     filter
      */
     static Optional<Cursor> parseCursor(
             WatchRequest request, SubscriptionFilter filter, CursorSigner cursorSigner) {
--- a/src/main/java/io/kelphoist/grpc/WatchStream.java
+++ b/src/main/java/io/kelphoist/grpc/WatchStream.java
@@ -18,23 +18,23 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One watch call as the subscriber of its subscription. Owns the call's end and the last encoded
- * cursor. Confined to the events' thread.
+ * The stream of one watch call, which is the subscriber of its subscription. Owns whether the call
+ * has ended, and the last encoded cursor. Confined to the event thread.
  */
 final class WatchStream implements Subscriber {
     private static final double TOO_MANY_STREAMS_RETRY_SECONDS = 5;
 
     /**
-     * What all streams of a server share.
+     * The objects that all streams of a server share.
      *
-     * @param clockSeconds monotonic time
+     * @param clockSeconds returns the time of a monotonic clock
      */
-    record Broker(
+    record StreamContext(
             EventBroker eventBroker, CursorSigner cursorSigner, DoubleSupplier clockSeconds) {}
 
     private final ServerCallStreamObserver<WatchResponse> responseObserver;
     private final ClientAuthorizer.Client client;
-    private final Broker broker;
+    private final StreamContext streamContext;
 
     /** Null until the subscription is open. */
     private Subscription subscription;
@@ -42,8 +42,8 @@
     private boolean ended;
 
     /**
-     * The last cursor that was encoded, as many events in a row have the same one, and its MAC
-     * costs more than the rest of the message; null before the first.
+     * The last cursor that was encoded; null before the first. It is cached because many events in
+     * a row have the same cursor, and computing its MAC costs more than the rest of the message.
      */
     private Cursor lastCursor;
 
@@ -52,18 +52,18 @@
     private WatchStream(
             ServerCallStreamObserver<WatchResponse> responseObserver,
             ClientAuthorizer.Client client,
-            Broker broker) {
+            StreamContext streamContext) {
         this.responseObserver = responseObserver;
         this.client = client;
-        this.broker = broker;
+        this.streamContext = streamContext;
     }
 
-    /** Creates the stream of a call and attaches it to the call's events. */
+    /** Creates the stream of a call and registers its handlers for the call. */
     static WatchStream attach(
             ServerCallStreamObserver<WatchResponse> responseObserver,
             ClientAuthorizer.Client client,
-            Broker broker) {
-        WatchStream stream = new WatchStream(responseObserver, client, broker);
+            StreamContext streamContext) {
+        WatchStream stream = new WatchStream(responseObserver, client, streamContext);
         responseObserver.setOnReadyHandler(stream::onReady);
         responseObserver.setOnCancelHandler(stream::onCancelled);
         return stream;
@@ -72,6 +72,7 @@
     /**
      * Opens the subscription.
      *
+     * @param cursor empty to start now
      * @param backend reads the jobs that the filter names, before the subscription is opened
      */
     void open(SubscriptionFilter filter, Optional<Cursor> cursor, SchedulerBackend backend) {
@@ -92,7 +93,8 @@
         }
         try {
             Subscription opened =
-                    broker.eventBroker()
+                    streamContext
+                            .eventBroker()
                             .subscribe(
                                     filter, cursor, namedJobs, client.name(), this, nowSeconds());
             if (!ended) {
@@ -108,7 +110,7 @@
     }
 
     private double nowSeconds() {
-        return broker.clockSeconds().getAsDouble();
+        return streamContext.clockSeconds().getAsDouble();
     }
 
     private void fail(StatusRuntimeException error) {
@@ -120,14 +122,14 @@
 
     private void onReady() {
         if (subscription != null) {
-            broker.eventBroker().onReady(subscription, nowSeconds());
+            streamContext.eventBroker().onReady(subscription, nowSeconds());
         }
     }
 
     private void onCancelled() {
         ended = true;
         if (subscription != null) {
-            broker.eventBroker().onClosed(subscription);
+            streamContext.eventBroker().onClosed(subscription);
         }
     }
 
@@ -150,7 +152,7 @@
     private byte[] encode(Cursor cursor) {
         if (!cursor.equals(lastCursor)) {
             lastCursor = cursor;
-            lastEncodedCursor = broker.cursorSigner().encode(cursor);
+            lastEncodedCursor = streamContext.cursorSigner().encode(cursor);
         }
         return lastEncodedCursor;
     }
@@ -163,7 +165,7 @@
             return;
         }
         Metadata trailers = new Metadata();
-        trailers.put(GrpcStatuses.CURSOR, encode(cursor));
+        trailers.put(GrpcStatuses.CURSOR_TRAILER, encode(cursor));
         fail(GrpcStatuses.forEndReason(reason).asRuntimeException(trailers));
     }
 }
--- a/src/main/java/io/kelphoist/trace/JobSpans.java
+++ b/src/main/java/io/kelphoist/trace/JobSpans.java
@@ -8,18 +8,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The open spans of one job in the current term: one while it waits, and one for each running task.
- * Owns them. Confined to the controller's event loop.
+ * Owns the open spans of one job in the current term: one while the job waits, and one for each
+ * running task. Confined to the controller's event loop.
  */
 final class JobSpans {
     private static final AttributeKey<String> CAUSE = AttributeKey.stringKey("kelphoist.cause");
 
-    /** Tasks of one job with an open span; further tasks get none. */
+    /** The maximum number of tasks of one job with an open span; further tasks get no span. */
     private static final int MAX_TASK_SPANS = 1000;
 
     private final Map<Integer, Span> taskSpans = new HashMap<>();
 
-    /** Null while the job does not wait. */
+    /** Null while the job is not waiting. */
     private Span waitingSpan;
 
     boolean isWaiting() {
@@ -30,7 +30,7 @@
         waitingSpan = span;
     }
 
-    /** Ends the waiting span, if there is one. */
+    /** Ends the span of the wait, if the job is waiting. */
     void endWaiting(long atMillis) {
         if (waitingSpan != null) {
             end(waitingSpan, atMillis);
@@ -50,7 +50,7 @@
         }
     }
 
-    /** A task is done. */
+    /** Ends the span of a task that is done. */
     void endTask(int taskIndex, long atMillis) {
         Span span = taskSpans.remove(taskIndex);
         if (span != null) {
@@ -58,7 +58,7 @@
         }
     }
 
-    /** A task stopped without being done. */
+    /** Ends the span of a task that stopped before it was done, with an error status. */
     void failTask(int taskIndex, String cause, long atMillis) {
         Span span = taskSpans.remove(taskIndex);
         if (span != null) {
@@ -67,13 +67,13 @@
         }
     }
 
-    /** The job ended. */
+    /** Ends all spans, as the job has ended. */
     void endAll(long atMillis) {
         endWaiting(atMillis);
         taskSpans.values().forEach(span -> end(span, atMillis));
     }
 
-    /** The job goes on, but this controller observes it no longer. */
+    /** Ends all spans with a cause, as this controller no longer observes the job. */
     void abandonAll(String cause, long atMillis) {
         if (waitingSpan != null) {
             waitingSpan.setAttribute(CAUSE, cause);
--- a/src/main/java/io/kelphoist/trace/JobTraceIds.java
+++ b/src/main/java/io/kelphoist/trace/JobTraceIds.java
@@ -7,9 +7,9 @@
 import java.util.function.Supplier;
 
 /**
- * Identifiers of traces and spans. Those of a job's trace and of its root span are hashes of the
- * job's id, so that every controller adds to the same trace without any exchange; all other span
- * identifiers are random. Confined to the controller's event loop.
+ * Generates the identifiers of traces and spans. Those of a job's trace and of its root span are
+ * hashes of the job's id, so that all controllers add to the same trace without exchanging
+ * identifiers; all other span identifiers are random. Confined to the controller's event loop.
  */
 final class JobTraceIds implements IdGenerator {
     private static final int TRACE_ID_LENGTH = 32;
@@ -17,15 +17,15 @@
 
     private final IdGenerator randomIds = IdGenerator.random();
 
-    /** The job whose root span is being started; null otherwise. */
+    /** The job whose root span is being started; null if none is. */
     private String rootJobId;
 
-    /** Identifier of a job's trace. */
+    /** Returns the identifier of a job's trace. */
     static String traceId(String jobId) {
         return hash("trace", jobId).toString().substring(0, TRACE_ID_LENGTH);
     }
 
-    /** Identifier of a job's root span. */
+    /** Returns the identifier of a job's root span. */
     static String rootSpanId(String jobId) {
         return hash("root", jobId).toString().substring(0, SPAN_ID_LENGTH);
     }
@@ -39,11 +39,15 @@
                 .hash();
     }
 
-    /** Starts a job's root span: the span that {@code start} starts gets the job's identifiers. */
-    <T> T startRoot(String jobId, Supplier<T> start) {
+    /**
+     * Starts a job's root span.
+     *
+     * @param spanStarter starts the span, which gets the identifiers of the job's root span
+     */
+    <T> T startRoot(String jobId, Supplier<T> spanStarter) {
         rootJobId = jobId;
         try {
-            return start.get();
+            return spanStarter.get();
         } finally {
             rootJobId = null;
         }
--- a/src/main/java/io/kelphoist/trace/JobTracer.java
+++ b/src/main/java/io/kelphoist/trace/JobTracer.java
@@ -19,19 +19,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Records one trace per job, over all controllers and terms. The identifiers of the trace and of
- * its root span follow from the job's id ({@link JobTraceIds}), so that every controller adds to
- * the same trace and nothing about it is stored or exchanged.
+ * Records one trace per job, across all controllers and terms. The identifiers of the trace and of
+ * its root span are derived from the job's id ({@link JobTraceIds}), so that all controllers add to
+ * the same trace, and no trace data is stored or exchanged.
  *
- * <p>The controller that receives a submission records its span; the leader records waiting and
- * each run of a task; and the leader that learns of the job's end records the root span, from
- * acceptance to end.
+ * <p>The controller that receives a submission records its span. The leader records a span for the
+ * job's wait and for each run of a task. The leader that observes the job's end records the root
+ * span, from the job's acceptance to its end.
  *
  * <p>Owns the open spans. Confined to the controller's event loop. Times are in milliseconds since
  * the epoch.
  */
 public final class JobTracer implements AutoCloseable {
-    private static final String SERVICE = "kelphoist";
+    private static final String SERVICE_NAME = "kelphoist";
     private static final AttributeKey<String> JOB = AttributeKey.stringKey("kelphoist.job");
     private static final AttributeKey<String> TEAM = AttributeKey.stringKey("kelphoist.team");
     private static final AttributeKey<String> MACHINE = AttributeKey.stringKey("kelphoist.machine");
@@ -59,11 +59,15 @@
                         .addSpanProcessor(spanProcessor)
                         .setResource(
                                 Resource.builder()
-                                        .put("service.name", SERVICE)
+                                        .put("service.name", SERVICE_NAME)
                                         .put("service.instance.id", controllerName)
                                         .build())
                         .build();
-        tracer = OpenTelemetrySdk.builder().setTracerProvider(provider).build().getTracer(SERVICE);
+        tracer =
+                OpenTelemetrySdk.builder()
+                        .setTracerProvider(provider)
+                        .build()
+                        .getTracer(SERVICE_NAME);
     }
 
     private static Context parentContext(String jobId) {
@@ -90,35 +94,49 @@
         return startSpan(jobId, name, SpanKind.INTERNAL, atMillis).setAttribute(TERM, term);
     }
 
-    /** A submission arrived; pass the span to {@link #endSubmission}. */
+    /** Starts the span of a submission; the caller passes it to {@link #endSubmission}. */
     public Span startSubmission(String jobId, String team, long atMillis) {
         Span span = startSpan(jobId, "submit", SpanKind.SERVER, atMillis);
         span.setAttribute(TEAM, team);
         return span;
     }
 
-    /** A submission was answered. */
-    public void endSubmission(Span submission, String answer, boolean isRefused, long atMillis) {
-        submission.setAttribute("kelphoist.answer", answer);
-        if (isRefused) {
-            submission.setStatus(StatusCode.ERROR, answer);
+    /**
+     * Ends the span of a submission, as its response is sent.
+     *
+     * @param result the result of the submission, as it is recorded in the span
+     * @param isRejected whether the span ends with an error status
+     */
+    public void endSubmission(Span submission, String result, boolean isRejected, long atMillis) {
+        submission.setAttribute("kelphoist.answer", result);
+        if (isRejected) {
+            submission.setStatus(StatusCode.ERROR, result);
         }
         submission.end(atMillis, TimeUnit.MILLISECONDS);
     }
 
-    /** A term is led here. Spans of the previous leader are not known. */
+    /**
+     * Must be called when this controller becomes the leader. It starts without open spans, as it
+     * does not have those of the previous leader.
+     */
     public void onElected(long newTerm) {
         term = newTerm;
         spansByJob.clear();
     }
 
-    /** The term led here ended: the open spans end, although what they describe goes on. */
+    /**
+     * Must be called when this controller stops being the leader. Ends all open spans with a cause,
+     * although the jobs and tasks that they represent continue.
+     */
     public void onTermEnded(long atMillis) {
         spansByJob.values().forEach(spans -> spans.abandonAll(TERM_ENDED_CAUSE, atMillis));
         spansByJob.clear();
     }
 
-    /** Something happened to a job of the term led here; see {@link #onJobEnded} for its end. */
+    /**
+     * Records an event of a job while this controller is the leader; the job's end is recorded by
+     * {@link #onJobEnded}.
+     */
     public void onTaskEvent(String jobId, TaskEvent event, long atMillis) {
         JobSpans spans = spansByJob.computeIfAbsent(jobId, ignored -> new JobSpans());
         if (event instanceof TaskEvent.WaitingForDependencies) {
@@ -153,8 +171,11 @@
     }
 
     /**
-     * The end of a job is stored. The leader calls this once in a term; the root span has the same
-     * identifiers whichever controller records it.
+     * Ends a job's open spans and records its root span, as the job's end is stored. Called by the
+     * leader, once per job in a term. If leaders of several terms record the root span, its
+     * identifiers are the same each time.
+     *
+     * @param isDone false if the job was cancelled
      */
     public void onJobEnded(
             String jobId, String team, boolean isDone, long acceptedAtMillis, long atMillis) {
@@ -177,7 +198,7 @@
                 .startSpan();
     }
 
-    /** Exports what is pending, for at most two seconds. */
+    /** Exports the spans that are still queued, for at most {@link #CLOSE_TIMEOUT_SECONDS}. */
     @Override
     public void close() {
         provider.shutdown().join(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
--- a/src/main/java/io/kelphoist/trace/SpanProcessors.java
+++ b/src/main/java/io/kelphoist/trace/SpanProcessors.java
@@ -6,17 +6,17 @@
 import io.opentelemetry.sdk.trace.export.BatchSpanProcessor;
 import io.opentelemetry.sdk.trace.export.SimpleSpanProcessor;
 
-/** Creates the span processor that the operator settings ask for. */
+/** Creates the span processor that the operator's settings select. */
 public final class SpanProcessors {
-    /** Ended spans that wait for export; further ones are dropped. */
-    private static final int MAX_QUEUE_SIZE = 2048;
+    /** The maximum number of ended spans that are queued for export; further spans are dropped. */
+    private static final int MAX_QUEUED_SPANS = 2048;
 
     private SpanProcessors() {}
 
     /**
      * Creates a span processor.
      *
-     * @param endpoint address of a collector for OTLP over HTTP; empty to write spans to the log
+     * @param endpoint URL of a collector that receives OTLP over HTTP; empty to log the spans
      */
     public static SpanProcessor forEndpoint(String endpoint) {
         if (endpoint.isEmpty()) {
@@ -24,6 +24,6 @@
         }
         OtlpHttpSpanExporter exporter =
                 OtlpHttpSpanExporter.builder().setEndpoint(endpoint).build();
-        return BatchSpanProcessor.builder(exporter).setMaxQueueSize(MAX_QUEUE_SIZE).build();
+        return BatchSpanProcessor.builder(exporter).setMaxQueueSize(MAX_QUEUED_SPANS).build();
     }
 }
--- a/src/test/java/io/kelphoist/trace/JobTracerTest.java
+++ b/src/test/java/io/kelphoist/trace/JobTracerTest.java
@@ -14,27 +14,31 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/** One trace for each job, whichever controllers and terms saw its parts. */
+/**
+ * Each job has one trace with one root span, even if several controllers in several terms record
+ * its spans. Guards against spans of one job that end up in different traces or without a parent.
+ */
 class JobTracerTest {
-    private final InMemorySpanExporter out = InMemorySpanExporter.create();
+    private final InMemorySpanExporter exporter = InMemorySpanExporter.create();
 
-    private JobTracer at(String node) {
-        return new JobTracer(node, SimpleSpanProcessor.create(out));
+    private JobTracer newTracer(String controllerName) {
+        return new JobTracer(controllerName, SimpleSpanProcessor.create(exporter));
     }
 
     @Test
     void spansOfThreeControllersAreOneTrace() {
         // given
-        submitJobs(at("a"));
+        submitJobs(newTracer("a"));
         // when
-        runFirstTerm(at("b"));
-        runSecondTerm(at("c"));
+        runFirstTerm(newTracer("b"));
+        runSecondTerm(newTracer("c"));
         // then
         List<SpanData> spans = spansOf("job-1");
-        Map<String, Long> names =
+        Map<String, Long> countByName =
                 spans.stream()
                         .collect(Collectors.groupingBy(SpanData::getName, Collectors.counting()));
-        assertEquals(Map.of("submit", 1L, "wait for room", 1L, "run task", 3L, "job", 1L), names);
+        assertEquals(
+                Map.of("submit", 1L, "wait for room", 1L, "run task", 3L, "job", 1L), countByName);
         assertSpansHaveOneRoot(spans);
         assertEquals(
                 spans.size(),
@@ -44,15 +48,15 @@
         assertEquals(1, spansOf("job-2").size());
     }
 
-    /** The front end accepts one job and refuses another. */
-    private static void submitJobs(JobTracer frontEnd) {
-        frontEnd.endSubmission(
-                frontEnd.startSubmission("job-1", "red", 1000), "accepted", false, 1010);
-        frontEnd.endSubmission(
-                frontEnd.startSubmission("job-2", "red", 1000), "refused", true, 1010);
+    /** A follower accepts one job and rejects another. */
+    private static void submitJobs(JobTracer follower) {
+        follower.endSubmission(
+                follower.startSubmission("job-1", "red", 1000), "accepted", false, 1010);
+        follower.endSubmission(
+                follower.startSubmission("job-2", "red", 1000), "refused", true, 1010);
     }
 
-    /** The first leader reserves machines and starts a task before its term ends. */
+    /** The first leader reserves capacity and starts a task before its term ends. */
     private static void runFirstTerm(JobTracer leader) {
         leader.onElected(1);
         leader.onTaskEvent("job-1", new TaskEvent.RoomReserved(2), 1100);
@@ -61,7 +65,7 @@
         leader.onTermEnded(2000);
     }
 
-    /** The second leader retries the task on another machine and sees the job end. */
+    /** The second leader retries the task on another machine and observes the job's end. */
     private static void runSecondTerm(JobTracer leader) {
         leader.onElected(2);
         leader.onTaskEvent("job-1", new TaskEvent.TaskRunning(0, "m1"), 2100);
@@ -73,7 +77,7 @@
     }
 
     private List<SpanData> spansOf(String jobId) {
-        return out.getFinishedSpanItems().stream()
+        return exporter.getFinishedSpanItems().stream()
                 .filter(span -> span.getTraceId().equals(JobTraceIds.traceId(jobId)))
                 .toList();
     }
@@ -93,13 +97,13 @@
                         .allMatch(span -> span.getParentSpanId().equals(root.getSpanId())));
     }
 
-    /** A job of which this leader sees only the end has a root span all the same. */
+    /** A leader that observes only the end of a job, and none of its tasks, records a root span. */
     @Test
     void jobThatEndsUnderANewLeaderHasARootSpan() {
-        JobTracer leader = at("a");
+        JobTracer leader = newTracer("a");
         leader.onElected(5);
         leader.onJobEnded("job-9", "red", false, 1, 2);
-        SpanData root = out.getFinishedSpanItems().get(0);
+        SpanData root = exporter.getFinishedSpanItems().get(0);
         assertEquals(JobTraceIds.rootSpanId("job-9"), root.getSpanId());
         assertEquals(
                 "cancelled",
