--- a/src/main/java/io/kelphoist/emulator/EmulatedCloud.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedCloud.java
@@ -43,9 +43,9 @@
     }
 
     @Override
-    protected synchronized Reply respond(HttpServerExchange exchange, ObjectNode body) {
+    protected synchronized Response respond(HttpServerExchange exchange, ObjectNode body) {
         return switch (exchange.getRequestPath()) {
-            case "/flavors" -> new Reply(StatusCodes.OK, machineTypes());
+            case "/flavors" -> new Response(StatusCodes.OK, machineTypes());
             case "/rentals/return" -> scaleIn(body);
             default ->
                     exchange.getRequestMethod().equals(Methods.POST)
@@ -62,21 +62,21 @@
         }
     }
 
-    private Reply scaleIn(ObjectNode body) {
+    private Response scaleIn(ObjectNode body) {
         for (JsonNode name : body.path("buoys")) {
             EmulatedWorker worker = machines.remove(name.asText());
             if (worker != null) {
                 worker.close();
             }
         }
-        return new Reply(StatusCodes.OK, MessageEncoding.newObject());
+        return new Response(StatusCodes.OK, MessageEncoding.newObject());
     }
 
-    private Reply scaleOut(ObjectNode body) {
+    private Response scaleOut(ObjectNode body) {
         ObjectNode response =
                 responsesByRequest.computeIfAbsent(
                         body.path("charter").asText(), request -> startMachines(body));
-        return new Reply(StatusCodes.OK, response);
+        return new Response(StatusCodes.OK, response);
     }
 
     private ObjectNode startMachines(ObjectNode body) {
@@ -92,7 +92,7 @@
         return response;
     }
 
-    private Reply listInstances() {
+    private Response listInstances() {
         ObjectNode response = MessageEncoding.newObject().put("has_next", false);
         ArrayNode instances = response.putArray("buoys");
         machines.forEach(
@@ -106,6 +106,6 @@
                                 .put("driftwood", false)
                                 .put("sway", "running")
                                 .put("age_s", 1.0));
-        return new Reply(StatusCodes.OK, response);
+        return new Response(StatusCodes.OK, response);
     }
 }
--- a/src/main/java/io/kelphoist/emulator/EmulatedService.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedService.java
@@ -17,7 +17,7 @@
  */
 public abstract class EmulatedService implements AutoCloseable {
     /** A response. */
-    public record Reply(int status, ObjectNode body) {}
+    public record Response(int status, ObjectNode body) {}
 
     /** Each open watch occupies one thread, and each controller holds six. */
     private static final int WORKER_THREADS = 64;
@@ -46,7 +46,7 @@
         byte[] body = exchange.getInputStream().readAllBytes();
         ObjectNode request =
                 body.length == 0 ? MessageEncoding.newObject() : MessageEncoding.decodeCbor(body);
-        Reply reply = respond(exchange, request);
+        Response reply = respond(exchange, request);
         exchange.setStatusCode(reply.status());
         exchange.getResponseSender()
                 .send(ByteBuffer.wrap(MessageEncoding.encodeCbor(reply.body())));
@@ -59,7 +59,7 @@
     }
 
     /** Handles a request on a worker thread; may block. */
-    protected abstract Reply respond(HttpServerExchange exchange, ObjectNode body)
+    protected abstract Response respond(HttpServerExchange exchange, ObjectNode body)
             throws InterruptedException;
 
     /** Stops the server. */
--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -44,10 +44,10 @@
 
     private int maxValueBytes = Integer.MAX_VALUE;
     private int maxOperations = Integer.MAX_VALUE;
-    private int refusedCount;
+    private int rejectedTransactionCount;
 
     /** The next transaction that puts below this prefix is held; null for none. */
-    private String holdPrefix;
+    private String heldKeyPrefix;
 
     private ObjectNode heldTransaction;
 
@@ -83,8 +83,8 @@
     }
 
     /** Number of transactions that were refused by the limits. */
-    public synchronized int refusedCount() {
-        return refusedCount;
+    public synchronized int rejectedTransactionCount() {
+        return rejectedTransactionCount;
     }
 
     /** Stores a value that no controller wrote. */
@@ -113,7 +113,7 @@
 
     /** Holds the next transaction that puts below a prefix, and responds to it with an error. */
     public synchronized void holdNextTransaction(String prefix) {
-        holdPrefix = prefix;
+        heldKeyPrefix = prefix;
     }
 
     /** Applies the held transaction late, waiting for it if needed; returns its HTTP status. */
@@ -135,11 +135,11 @@
     }
 
     @Override
-    protected synchronized Reply respond(HttpServerExchange exchange, ObjectNode body)
+    protected synchronized Response respond(HttpServerExchange exchange, ObjectNode body)
             throws InterruptedException {
         String path = exchange.getRequestPath();
         if (unreachable || (unavailable && !path.equals(CHANGES_PATH))) {
-            return emptyReply(StatusCodes.SERVICE_UNAVAILABLE);
+            return emptyResponse(StatusCodes.SERVICE_UNAVAILABLE);
         }
         expireLeases();
         if (path.equals(TRANSACTION_PATH)) {
@@ -160,15 +160,16 @@
                     Long.parseLong(query(exchange, "after", "0")),
                     nowMillis() + Long.parseLong(query(exchange, "hold_ms", "0")));
         }
-        return path.equals(LEASES_PATH) ? createLease(body) : changeLease(path);
+        return path.equals(LEASES_PATH) ? createLease(body) : renewOrRevokeLease(path);
     }
 
-    private static Reply emptyReply(int status) {
-        return new Reply(status, MessageEncoding.newObject());
+    private static Response emptyResponse(int status) {
+        return new Response(status, MessageEncoding.newObject());
     }
 
-    private static Reply errorReply(String error) {
-        return new Reply(StatusCodes.BAD_REQUEST, MessageEncoding.newObject().put("error", error));
+    private static Response errorResponse(String error) {
+        return new Response(
+                StatusCodes.BAD_REQUEST, MessageEncoding.newObject().put("error", error));
     }
 
     // ---- leases ----
@@ -194,20 +195,20 @@
         }
     }
 
-    private Reply createLease(ObjectNode body) {
+    private Response createLease(ObjectNode body) {
         long leaseId = leases.create(body.path("ttl_ms").asLong(), nowMillis());
-        return new Reply(StatusCodes.OK, MessageEncoding.newObject().put("tether", leaseId));
+        return new Response(StatusCodes.OK, MessageEncoding.newObject().put("tether", leaseId));
     }
 
     /** Renews or revokes the lease that a path names. */
-    private Reply changeLease(String path) {
+    private Response renewOrRevokeLease(String path) {
         int idStart = LEASES_PATH.length() + 1;
         int idEnd = path.indexOf('/', idStart);
         long leaseId =
                 Long.parseLong(
                         idEnd < 0 ? path.substring(idStart) : path.substring(idStart, idEnd));
         if (!leases.contains(leaseId)) {
-            return emptyReply(StatusCodes.NOT_FOUND);
+            return emptyResponse(StatusCodes.NOT_FOUND);
         }
         if (path.endsWith("/renew")) {
             leases.renew(leaseId, nowMillis());
@@ -215,7 +216,7 @@
             leases.remove(leaseId);
             deleteKeysOfLease(leaseId);
         }
-        return emptyReply(StatusCodes.OK);
+        return emptyResponse(StatusCodes.OK);
     }
 
     // ---- items ----
@@ -248,15 +249,15 @@
         return itemNode;
     }
 
-    private Reply readItem(String key) {
+    private Response readItem(String key) {
         Item item = items.get(key);
         return item == null
-                ? new Reply(
+                ? new Response(
                         StatusCodes.NOT_FOUND, MessageEncoding.newObject().put("logbook", revision))
-                : new Reply(StatusCodes.OK, itemJson(key, item));
+                : new Response(StatusCodes.OK, itemJson(key, item));
     }
 
-    private Reply readRange(String prefix, String after, int limit) {
+    private Response readRange(String prefix, String after, int limit) {
         ObjectNode response = MessageEncoding.newObject().put("logbook", revision);
         ArrayNode itemNodes = response.putArray("items");
         boolean hasMore = false;
@@ -272,43 +273,43 @@
                 itemNodes.add(itemJson(entry.getKey(), entry.getValue()));
             }
         }
-        return new Reply(StatusCodes.OK, response.put("has_next", hasMore));
+        return new Response(StatusCodes.OK, response.put("has_next", hasMore));
     }
 
     // ---- transactions ----
 
-    private Reply holdOrApplyTransaction(ObjectNode body) {
+    private Response holdOrApplyTransaction(ObjectNode body) {
         for (JsonNode operation : body.path("apply")) {
-            if (holdPrefix != null && operation.path("put").asText().startsWith(holdPrefix)) {
+            if (heldKeyPrefix != null && operation.path("put").asText().startsWith(heldKeyPrefix)) {
                 heldTransaction = body;
-                holdPrefix = null;
+                heldKeyPrefix = null;
                 notifyAll();
-                return emptyReply(StatusCodes.INTERNAL_SERVER_ERROR);
+                return emptyResponse(StatusCodes.INTERNAL_SERVER_ERROR);
             }
         }
         return applyTransaction(body);
     }
 
-    private Reply applyTransaction(ObjectNode body) {
+    private Response applyTransaction(ObjectNode body) {
         if (isTooLarge(body)) {
-            refusedCount++;
-            return errorReply("too large");
+            rejectedTransactionCount++;
+            return errorResponse("too large");
         }
         if (namesUnknownLease(body)) {
-            return errorReply("no such lease");
+            return errorResponse("no such lease");
         }
         ObjectNode failure = MessageEncoding.newObject().put("logbook", revision);
         ArrayNode failedKeys = failure.putArray("failed");
         addFailedConditions(body, failedKeys);
         if (!failedKeys.isEmpty()) {
-            return new Reply(StatusCodes.CONFLICT, failure);
+            return new Response(StatusCodes.CONFLICT, failure);
         }
         revision++;
         for (JsonNode operation : body.path("apply")) {
             apply(operation);
         }
         notifyAll();
-        return new Reply(StatusCodes.OK, MessageEncoding.newObject().put("logbook", revision));
+        return new Response(StatusCodes.OK, MessageEncoding.newObject().put("logbook", revision));
     }
 
     private boolean isTooLarge(ObjectNode body) {
@@ -361,20 +362,20 @@
     // ---- changes ----
 
     /** Waits for changes until a deadline; blocks the calling thread. */
-    private Reply pollChanges(String prefix, long after, long deadlineMillis)
+    private Response pollChanges(String prefix, long after, long deadlineMillis)
             throws InterruptedException {
         while (true) {
             expireLeases();
             if (unreachable) {
-                return emptyReply(StatusCodes.SERVICE_UNAVAILABLE);
+                return emptyResponse(StatusCodes.SERVICE_UNAVAILABLE);
             }
             if (after < compactedRevision) {
-                return emptyReply(StatusCodes.GONE);
+                return emptyResponse(StatusCodes.GONE);
             }
             ObjectNode response = changesSince(prefix, after);
             long remainingMillis = deadlineMillis - nowMillis();
             if (!response.path("events").isEmpty() || remainingMillis <= 0 || closed) {
-                return new Reply(StatusCodes.OK, response);
+                return new Response(StatusCodes.OK, response);
             }
             wait(Math.min(remainingMillis, POLL_MILLIS));
         }
--- a/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
@@ -31,9 +31,9 @@
      * change.
      */
     public static final class TaskLog {
-        private final Map<String, String> runningOn = new LinkedHashMap<>();
+        private final Map<String, String> machineByRunningTask = new LinkedHashMap<>();
         private final Map<String, Integer> startCounts = new LinkedHashMap<>();
-        private String violation;
+        private String duplicateExecution;
 
         /**
          * A task was started.
@@ -41,31 +41,34 @@
          * @param isRunning false if the task ends by itself
          */
         public synchronized void onStarted(String task, String machine, boolean isRunning) {
-            String otherMachine = isRunning ? runningOn.put(task, machine) : runningOn.get(task);
+            String otherMachine =
+                    isRunning
+                            ? machineByRunningTask.put(task, machine)
+                            : machineByRunningTask.get(task);
             if (otherMachine != null && !otherMachine.equals(machine)) {
-                violation = task + " is on " + otherMachine + " and " + machine;
+                duplicateExecution = task + " is on " + otherMachine + " and " + machine;
             }
             startCounts.merge(task, 1, Integer::sum);
             notifyAll();
         }
 
         /** A task was stopped. */
-        public synchronized void onEnded(String task) {
-            runningOn.remove(task);
+        public synchronized void onStopped(String task) {
+            machineByRunningTask.remove(task);
             notifyAll();
         }
 
         /** Waits until a task is running, or is not. */
         public synchronized void awaitRunning(String task, boolean isRunning)
                 throws InterruptedException {
-            while (runningOn.containsKey(task) != isRunning) {
+            while (machineByRunningTask.containsKey(task) != isRunning) {
                 wait();
             }
         }
 
         /** Describes a task that ran on two machines at once; null if there was none. */
-        public synchronized String violation() {
-            return violation;
+        public synchronized String duplicateExecution() {
+            return duplicateExecution;
         }
 
         /** How often a task was started. */
@@ -249,7 +252,7 @@
         Task task = tasks.get(id(taskName, attempt));
         if (task != null && !task.hasExited()) {
             tasks.put(id(taskName, attempt), task.exited("stopped"));
-            config.taskLog().onEnded(taskName);
+            config.taskLog().onStopped(taskName);
         }
     }
 
@@ -261,10 +264,10 @@
     }
 
     @Override
-    protected synchronized Reply respond(HttpServerExchange exchange, ObjectNode body) {
+    protected synchronized Response respond(HttpServerExchange exchange, ObjectNode body) {
         boolean isAccepted =
                 exchange.getRequestPath().equals(STATUS_PATH)
                         || (body.path("watch").asLong() == AGENT_EPOCH && executeCommands(body));
-        return new Reply(isAccepted ? StatusCodes.OK : StatusCodes.CONFLICT, buildHeartbeat());
+        return new Response(isAccepted ? StatusCodes.OK : StatusCodes.CONFLICT, buildHeartbeat());
     }
 }
--- a/src/test/java/io/kelphoist/controller/EndToEndDependenciesTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndDependenciesTest.java
@@ -51,7 +51,7 @@
         assertEquals("done", status(serving.get(0), "job-61"));
         assertSubmissionStatus(201, serving.get(1), job("job-64", "batch", 1, "job-63"));
         state.awaitValue("j/job-64", value -> value.path("status").asText().equals("done"));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     @Test
--- a/src/test/java/io/kelphoist/controller/EndToEndFailoverTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndFailoverTest.java
@@ -61,7 +61,7 @@
         taskLog.awaitRunning("job-91/1", false);
         assertEquals("aborted", status(node, "job-91"));
         assertSubmissionStatus(200, node, job("job-91", "standing", 2));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     /**
@@ -92,7 +92,7 @@
                         .asText());
         taskLog.awaitRunning("job-99/0", false);
         assertEquals(1, taskLog.startCount("job-99/0"));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     @Test
@@ -110,6 +110,6 @@
         assertSubmissionStatus(201, serving.get(1), job("job-96", "standing", 1));
         taskLog.awaitRunning("job-96/0", true);
         assertEquals(1, taskLog.startCount("job-95/0"));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 }
--- a/src/test/java/io/kelphoist/controller/EndToEndStateStoreTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndStateStoreTest.java
@@ -37,9 +37,11 @@
         for (int i = 0; i < 6; i++) {
             state.awaitValue("j/job-4" + i, value -> value.path("status").asText().equals("done"));
         }
-        assertTrue(state.refusedCount() < 20, "refused " + state.refusedCount());
+        assertTrue(
+                state.rejectedTransactionCount() < 20,
+                "refused " + state.rejectedTransactionCount());
         assertEquals(1, taskLog.startCount("job-98/0"));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     /**
@@ -52,7 +54,7 @@
         assertSubmissionStatus(201, serving.get(0), job("job-97", "standing", 1));
         taskLog.awaitRunning("job-97/0", true);
         assertEquals(409, state.applyHeldTransaction());
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     @Test
@@ -75,6 +77,6 @@
                         .path("sway")
                         .asText());
         taskLog.awaitRunning("job-93/0", false);
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 }
--- a/src/test/java/io/kelphoist/controller/EndToEndSubmissionTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndSubmissionTest.java
@@ -31,7 +31,7 @@
             assertEquals("done", status(serving.get(1), id));
             assertSubmissionStatus(200, serving.get(0), job(id, "batch", 3));
         }
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
         String metrics =
                 new String(
                         call(serving.get(0), "GET", "/metrics", null).body(),
--- a/src/test/java/io/kelphoist/controller/GrpcWatchTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcWatchTest.java
@@ -50,7 +50,7 @@
             }
         }
         stalled.cancel("enough", null);
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     private String[] submitJobs() throws Exception {
--- a/src/test/java/io/kelphoist/controller/ImmediateRestartTest.java
+++ b/src/test/java/io/kelphoist/controller/ImmediateRestartTest.java
@@ -48,6 +48,6 @@
         assertSubmissionStatus(201, serving.get(leader), job("job-97", "standing", 1));
         taskLog.awaitRunning("job-97/0", true);
         assertEquals(1, taskLog.startCount("job-96/0"));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 }
--- a/src/test/java/io/kelphoist/controller/PlannedHandoverTest.java
+++ b/src/test/java/io/kelphoist/controller/PlannedHandoverTest.java
@@ -42,7 +42,7 @@
         for (String check : List.of("leadership", "records", "orders", "machines", "list")) {
             awaitMetric(next, "kelphoist_standby_check_seconds\\{check=\"" + check + "\"\\} [0-9]");
         }
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     /**
