--- a/src/main/java/io/kelphoist/emulator/EmulatedCloud.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedCloud.java
@@ -15,8 +15,9 @@
 import java.util.function.BiFunction;
 
 /**
- * Emulates the cloud: a machine is up as soon as it is requested. Owns the workers of the machines
- * and the responses to repeated requests; its methods are synchronized.
+ * Emulates the cloud. A machine runs as soon as a scale-out request asks for it, and a repeated
+ * request gets the same response as the first one. Owns the workers of the machines and the
+ * responses to scale-out requests. Its methods are synchronized.
  */
 public final class EmulatedCloud extends EmulatedService {
     private static final String MACHINE_TYPES =
@@ -26,17 +27,19 @@
 
     private static final int MAX_MACHINES = 4;
 
-    /** More than any request asks for, so that names are unique. */
+    /** More machines than any request asks for, so that the names of machines are unique. */
     private static final int NAMES_PER_REQUEST = 100;
 
     private final BiFunction<String, String, EmulatedWorker> workerFactory;
     private final TreeMap<String, EmulatedWorker> machines = new TreeMap<>();
-    private final Map<String, ObjectNode> responsesByRequest = new LinkedHashMap<>();
+
+    /** By id of the scale-out request. */
+    private final Map<String, ObjectNode> responseByRequestId = new LinkedHashMap<>();
 
     /**
      * Creates a cloud without machines.
      *
-     * @param workerFactory creates the worker of a machine from its name and zone
+     * @param workerFactory creates the worker of a machine from the machine's name and zone
      */
     public EmulatedCloud(BiFunction<String, String, EmulatedWorker> workerFactory) {
         this.workerFactory = workerFactory;
@@ -74,8 +77,8 @@
 
     private Response scaleOut(ObjectNode body) {
         ObjectNode response =
-                responsesByRequest.computeIfAbsent(
-                        body.path("charter").asText(), request -> startMachines(body));
+                responseByRequestId.computeIfAbsent(
+                        body.path("charter").asText(), requestId -> startMachines(body));
         return new Response(StatusCodes.OK, response);
     }
 
@@ -84,7 +87,7 @@
         ArrayNode names = response.putArray("buoys");
         int count = body.path("count").asInt();
         for (int i = 0; i < count && machines.size() < MAX_MACHINES; i++) {
-            int number = responsesByRequest.size() * NAMES_PER_REQUEST + i;
+            int number = responseByRequestId.size() * NAMES_PER_REQUEST + i;
             String name = "vm-%06d".formatted(number);
             machines.put(name, workerFactory.apply(name, body.path("bed").asText()));
             names.add(name);
--- a/src/main/java/io/kelphoist/emulator/EmulatedLeases.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedLeases.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** The leases of an emulated state store. Not synchronized: the store guards it. */
+/**
+ * Owns the leases of an emulated state store. Not thread-safe; guarded by the monitor of the {@link
+ * EmulatedStateStore}.
+ */
 final class EmulatedLeases {
     private record Lease(long ttlMillis, long expiresAtMillis) {
         Lease renewed(long nowMillis) {
@@ -26,7 +29,7 @@
         return leases.containsKey(id);
     }
 
-    /** Renews a lease that exists. */
+    /** Renews a lease; has no effect if there is no such lease. */
     void renew(long id, long nowMillis) {
         leases.computeIfPresent(id, (key, lease) -> lease.renewed(nowMillis));
     }
--- a/src/main/java/io/kelphoist/emulator/EmulatedService.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedService.java
@@ -12,14 +12,14 @@
 import java.util.Deque;
 
 /**
- * Base of the emulators: an HTTP server on a loopback port that decodes requests and encodes
+ * Base class of the emulators: an HTTP server on a loopback port that decodes requests and encodes
  * responses. Owns the server; close it after use.
  */
 public abstract class EmulatedService implements AutoCloseable {
-    /** A response. */
+    /** An HTTP response with its body before encoding. */
     public record Response(int status, ObjectNode body) {}
 
-    /** Each open watch occupies one thread, and each controller holds six. */
+    /** Each open watch occupies a thread, and each controller has six open watches. */
     private static final int WORKER_THREADS = 64;
 
     private final Undertow server;
@@ -34,7 +34,7 @@
         server.start();
     }
 
-    /** Address of the server as host:port. */
+    /** Returns the address of the server as host:port. */
     public final String address() {
         InetSocketAddress socketAddress =
                 (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
@@ -52,7 +52,7 @@
                 .send(ByteBuffer.wrap(MessageEncoding.encodeCbor(reply.body())));
     }
 
-    /** Value of a query parameter. */
+    /** Returns the first value of a query parameter, or the default if it is absent. */
     static String query(HttpServerExchange exchange, String name, String defaultValue) {
         Deque<String> values = exchange.getQueryParameters().get(name);
         return values == null ? defaultValue : values.getFirst();
--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -13,9 +13,9 @@
 import java.util.function.Predicate;
 
 /**
- * Emulates the state store, with faults for tests. Owns the stored items, leases and changes; all
- * methods are synchronized, and the monitor is notified of every change, so that tests can wait for
- * one.
+ * Emulates the state store, with faults for tests. Owns the stored items, the leases and the
+ * changes. All methods are synchronized, and the monitor is notified of every change, so that tests
+ * can wait for a change.
  */
 public final class EmulatedStateStore extends EmulatedService {
     private record Item(JsonNode value, long version, long leaseId) {}
@@ -39,21 +39,22 @@
     private boolean closed;
     private boolean unreachable;
 
-    /** Older changes are not known any more. */
+    /** The changes up to this revision have been discarded. */
     private long compactedRevision;
 
     private int maxValueBytes = Integer.MAX_VALUE;
     private int maxOperations = Integer.MAX_VALUE;
     private int rejectedTransactionCount;
 
-    /** The next transaction that puts below this prefix is held; null for none. */
+    /** The next transaction that puts a key with this prefix is held; null to hold none. */
     private String heldKeyPrefix;
 
+    /** The transaction that was held last; null if none was. */
     private ObjectNode heldTransaction;
 
     /**
-     * Refuses all requests except open watches, or accepts them again. Leases do not expire
-     * meanwhile, and start anew afterwards.
+     * Rejects all requests except polls for changes, which return no changes; or accepts requests
+     * again. Leases don't expire while the store is unavailable, and are renewed afterwards.
      */
     public synchronized void setUnavailable(boolean isUnavailable) {
         unavailable = isUnavailable;
@@ -63,7 +64,10 @@
         notifyAll();
     }
 
-    /** Waits until a key has a value that meets a condition; the test's own timeout applies. */
+    /**
+     * Waits until a key has a value that meets a condition, and returns the value. Has no timeout
+     * of its own.
+     */
     public synchronized JsonNode awaitValue(String key, Predicate<JsonNode> condition)
             throws InterruptedException {
         while (true) {
@@ -76,47 +80,62 @@
         }
     }
 
-    /** Refuses larger values and transactions from now on. */
+    /**
+     * Rejects transactions that exceed a limit from now on.
+     *
+     * @param valueByteLimit the maximum size of a value
+     * @param operationLimit the maximum number of operations in a transaction
+     */
     public synchronized void setLimits(int valueByteLimit, int operationLimit) {
         maxValueBytes = valueByteLimit;
         maxOperations = operationLimit;
     }
 
-    /** Number of transactions that were refused by the limits. */
+    /** Returns the number of transactions that were rejected because they exceeded a limit. */
     public synchronized int rejectedTransactionCount() {
         return rejectedTransactionCount;
     }
 
-    /** Stores a value that no controller wrote. */
+    /** Stores a value directly, without a request of a controller. */
     public synchronized void put(String key, JsonNode value) {
         revision++;
         putItem(key, value, 0);
         notifyAll();
     }
 
-    /** Refuses all requests including open watches, or accepts them again. */
+    /**
+     * Rejects all requests, including polls for changes that are waiting; or accepts them again.
+     */
     public synchronized void setUnreachable(boolean isUnreachable) {
         unreachable = isUnreachable;
         setUnavailable(isUnreachable);
     }
 
     /**
-     * Forgets the changes so far and those that {@code meanwhile} makes: a client that requests
-     * older changes must read a snapshot.
+     * Makes some changes, then discards them and all earlier changes: a client that polls for them
+     * must read a snapshot instead.
      */
-    public synchronized void compactChanges(Runnable meanwhile) {
-        meanwhile.run();
+    public synchronized void compactChanges(Runnable lastChanges) {
+        lastChanges.run();
         events.clear();
         compactedRevision = revision;
         notifyAll();
     }
 
-    /** Holds the next transaction that puts below a prefix, and responds to it with an error. */
+    /**
+     * Holds the next transaction that puts a key with a prefix: its response is an error, and
+     * {@link #applyHeldTransaction} applies it later. This emulates a write whose outcome is
+     * unknown to the client.
+     */
     public synchronized void holdNextTransaction(String prefix) {
         heldKeyPrefix = prefix;
     }
 
-    /** Applies the held transaction late, waiting for it if needed; returns its HTTP status. */
+    /**
+     * Waits for a transaction to be held and applies it.
+     *
+     * @return the HTTP status with which the store would have responded
+     */
     public synchronized int applyHeldTransaction() throws InterruptedException {
         while (heldTransaction == null) {
             wait();
@@ -124,7 +143,9 @@
         return applyTransaction(heldTransaction).status();
     }
 
-    /** Ends open watches, so that nothing waits for them, and stops. */
+    /**
+     * Ends the polls for changes that are waiting, so that they don't delay the stop, and stops.
+     */
     @Override
     public void close() {
         synchronized (this) {
@@ -200,7 +221,7 @@
         return new Response(StatusCodes.OK, MessageEncoding.newObject().put("tether", leaseId));
     }
 
-    /** Renews or revokes the lease that a path names. */
+    /** Renews or revokes the lease whose id is in a path. */
     private Response renewOrRevokeLease(String path) {
         int idStart = LEASES_PATH.length() + 1;
         int idEnd = path.indexOf('/', idStart);
@@ -221,7 +242,7 @@
 
     // ---- items ----
 
-    /** Stores an item at the current revision. */
+    /** Stores an item with the current revision as its version. */
     private void putItem(String key, JsonNode value, long leaseId) {
         items.put(key, new Item(value, revision, leaseId));
         ObjectNode event = MessageEncoding.newObject().put("put", key).put("entry", revision);
@@ -257,7 +278,7 @@
                 : new Response(StatusCodes.OK, itemJson(key, item));
     }
 
-    private Response readRange(String prefix, String after, int limit) {
+    private Response readRange(String prefix, String afterKey, int limit) {
         ObjectNode response = MessageEncoding.newObject().put("logbook", revision);
         ArrayNode itemNodes = response.putArray("items");
         boolean hasMore = false;
@@ -265,7 +286,7 @@
             if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
-            if (entry.getKey().compareTo(after) > 0) {
+            if (entry.getKey().compareTo(afterKey) > 0) {
                 if (itemNodes.size() == limit) {
                     hasMore = true;
                     break;
@@ -361,18 +382,23 @@
 
     // ---- changes ----
 
-    /** Waits for changes until a deadline; blocks the calling thread. */
-    private Response pollChanges(String prefix, long after, long deadlineMillis)
+    /**
+     * Waits for changes until a deadline; blocks the calling thread.
+     *
+     * @param prefix selects the changes by key
+     * @param afterRevision selects the changes after this revision
+     */
+    private Response pollChanges(String prefix, long afterRevision, long deadlineMillis)
             throws InterruptedException {
         while (true) {
             expireLeases();
             if (unreachable) {
                 return emptyResponse(StatusCodes.SERVICE_UNAVAILABLE);
             }
-            if (after < compactedRevision) {
+            if (afterRevision < compactedRevision) {
                 return emptyResponse(StatusCodes.GONE);
             }
-            ObjectNode response = changesSince(prefix, after);
+            ObjectNode response = changesAfter(prefix, afterRevision);
             long remainingMillis = deadlineMillis - nowMillis();
             if (!response.path("events").isEmpty() || remainingMillis <= 0 || closed) {
                 return new Response(StatusCodes.OK, response);
@@ -381,11 +407,11 @@
         }
     }
 
-    private ObjectNode changesSince(String prefix, long after) {
+    private ObjectNode changesAfter(String prefix, long afterRevision) {
         ObjectNode response = MessageEncoding.newObject().put("logbook", revision);
         ArrayNode matchingEvents = response.putArray("events");
         for (ChangeEvent event : events) {
-            if (!unavailable && event.revision > after && event.key.startsWith(prefix)) {
+            if (!unavailable && event.revision > afterRevision && event.key.startsWith(prefix)) {
                 matchingEvents.add(event.eventNode);
             }
         }
--- a/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
@@ -21,44 +21,48 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Emulates the worker of one machine: sends heartbeats, and executes the commands in responses and
- * those sent directly. Tasks end after a fixed time; those of jobs whose id starts with "job-9" run
- * until they are stopped. Owns the machine's tasks; its methods are synchronized.
+ * Emulates the worker of one machine: sends heartbeats, and executes the commands in the responses
+ * to them and those that controllers send directly. Tasks end after a fixed time, except those of
+ * jobs whose id starts with "job-9", which run until they are stopped. Owns the machine's tasks.
+ * Its methods are synchronized.
  */
 public final class EmulatedWorker extends EmulatedService {
     /**
-     * Record of the tasks on all emulated workers, for tests. Its monitor is notified of every
-     * change.
+     * Records the starts and stops of tasks on all emulated workers, for tests. Its monitor is
+     * notified of every change.
      */
     public static final class TaskLog {
+        /** By task: the machines of the running tasks that run until they are stopped. */
         private final Map<String, String> machineByRunningTask = new LinkedHashMap<>();
+
         private final Map<String, Integer> startCounts = new LinkedHashMap<>();
         private String duplicateExecution;
 
         /**
-         * A task was started.
+         * Records that a task was started.
          *
-         * @param isRunning false if the task ends by itself
+         * @param runsUntilStopped false if the task ends by itself; it is then not recorded as
+         *     running
          */
-        public synchronized void onStarted(String task, String machine, boolean isRunning) {
+        public synchronized void onStarted(String task, String machine, boolean runsUntilStopped) {
             String otherMachine =
-                    isRunning
+                    runsUntilStopped
                             ? machineByRunningTask.put(task, machine)
                             : machineByRunningTask.get(task);
             if (otherMachine != null && !otherMachine.equals(machine)) {
-                duplicateExecution = task + " is on " + otherMachine + " and " + machine;
+                duplicateExecution = task + " is running on " + otherMachine + " and " + machine;
             }
             startCounts.merge(task, 1, Integer::sum);
             notifyAll();
         }
 
-        /** A task was stopped. */
+        /** Records that a task was stopped. */
         public synchronized void onStopped(String task) {
             machineByRunningTask.remove(task);
             notifyAll();
         }
 
-        /** Waits until a task is running, or is not. */
+        /** Waits until a task that runs until it is stopped is running, or is not running. */
         public synchronized void awaitRunning(String task, boolean isRunning)
                 throws InterruptedException {
             while (machineByRunningTask.containsKey(task) != isRunning) {
@@ -66,22 +70,24 @@
             }
         }
 
-        /** Describes a task that ran on two machines at once; null if there was none. */
+        /** Describes a task that was running on two machines at once; null if there was none. */
         public synchronized String duplicateExecution() {
             return duplicateExecution;
         }
 
-        /** How often a task was started. */
+        /** Returns the number of times that a task was started. */
         public synchronized int startCount(String task) {
             return startCounts.getOrDefault(task, 0);
         }
     }
 
     /**
-     * What the workers of a cluster have in common.
+     * The configuration that the workers of a cluster share.
      *
-     * @param controllers addresses of the controllers; a worker tries the next one after a failure
-     * @param taskMillis how long a task runs; 0 to end it at once
+     * @param controllers addresses of the controllers; after a failure, a worker sends its next
+     *     heartbeat to the next controller
+     * @param timers runs the heartbeats
+     * @param taskMillis the run time of a task; 0 to end it immediately
      */
     public record Config(
             List<String> controllers,
@@ -126,7 +132,7 @@
                     .connectTimeout(CONNECT_TIMEOUT)
                     .build();
 
-    /** By task and attempt. */
+    /** By task name and attempt, see {@link #id}. */
     private final Map<String, Task> tasks = new LinkedHashMap<>();
 
     private int controllerIndex;
@@ -151,7 +157,9 @@
         return System.nanoTime() / NANOS_PER_MILLI;
     }
 
-    /** A worker is not told the kind of a job, so the emulator goes by its id. */
+    /**
+     * Whether a task runs until it is stopped: by its name, as commands don't have the job kind.
+     */
     private static boolean runsUntilStopped(String taskName) {
         return taskName.startsWith("job-9");
     }
@@ -215,7 +223,9 @@
                 .build();
     }
 
-    /** Executes the commands of a message; returns false if its fencing token is outdated. */
+    /**
+     * Executes the commands of a message; returns false if the message's fencing token is stale.
+     */
     private synchronized boolean executeCommands(JsonNode message) {
         if (message.path("helm").asLong() < fencingToken) {
             return false;
--- a/src/main/java/io/kelphoist/emulator/LocalCluster.java
+++ b/src/main/java/io/kelphoist/emulator/LocalCluster.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * Everything that controllers need around them on loopback: an emulated state store, an emulated
- * cloud, workers on the machines of that cloud, and settings. Owns the emulators; close it after
- * the controllers.
+ * A local environment for controllers on loopback: an emulated state store, an emulated cloud,
+ * workers on the machines of that cloud, and the controllers' settings. Owns the emulators; close
+ * it after the controllers.
  */
 public final class LocalCluster implements AutoCloseable {
     private static final int HEARTBEAT_INTERVAL_MILLIS = 150;
@@ -29,22 +29,22 @@
     /**
      * Starts the emulators and writes the controllers' settings.
      *
-     * @param settingsDirectory where the settings are written
-     * @param controllers number of controllers
-     * @param taskMillis how long a task runs
+     * @param settingsDirectory the directory to which the settings are written
+     * @param controllerCount the number of controllers
+     * @param taskMillis the run time of a task
      */
-    public LocalCluster(Path settingsDirectory, int controllers, int taskMillis)
+    public LocalCluster(Path settingsDirectory, int controllerCount, int taskMillis)
             throws IOException, InvalidSettingsException {
         EmulatedWorker.Config workerConfig =
                 new EmulatedWorker.Config(
                         userAddresses, taskLog, timers, HEARTBEAT_INTERVAL_MILLIS, taskMillis);
         cloud = new EmulatedCloud((name, zone) -> new EmulatedWorker(name, zone, workerConfig));
         List<String> peerAddresses = new ArrayList<>();
-        for (int i = 0; i < controllers; i++) {
+        for (int i = 0; i < controllerCount; i++) {
             peerAddresses.add(LoopbackPorts.nextFreeAddress());
             userAddresses.add(LoopbackPorts.nextFreeAddress());
         }
-        for (int i = 0; i < controllers; i++) {
+        for (int i = 0; i < controllerCount; i++) {
             Path file = settingsDirectory.resolve(controllerName(i));
             Files.writeString(file, settingsJson(i, peerAddresses));
             settings.add(PlatformSettings.read(file));
@@ -83,22 +83,22 @@
         return String.valueOf((char) ('a' + controller));
     }
 
-    /** The state store. */
+    /** Returns the emulated state store. */
     public EmulatedStateStore stateStore() {
         return stateStore;
     }
 
-    /** The tasks on all workers. */
+    /** Returns the log of the tasks on all workers. */
     public EmulatedWorker.TaskLog taskLog() {
         return taskLog;
     }
 
-    /** Addresses of the controllers for users and workers. */
+    /** Returns the addresses at which the controllers serve users and workers. */
     public List<String> userAddresses() {
         return userAddresses;
     }
 
-    /** The settings of each controller. */
+    /** Returns the settings of each controller. */
     public List<PlatformSettings> settings() {
         return settings;
     }
--- a/src/main/java/io/kelphoist/emulator/LoopbackPorts.java
+++ b/src/main/java/io/kelphoist/emulator/LoopbackPorts.java
@@ -7,23 +7,26 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Free ports on the loopback interface for servers that bind them later. The ports lie below the
- * range from which Linux takes the local ports of outgoing connections by default: a port that the
- * system chose could be given to such a connection before its server binds it.
+ * Finds free ports on the loopback interface for servers that bind them later. The ports are below
+ * Linux's default range of ephemeral ports. A port chosen by the system would be in that range, and
+ * an outgoing connection could get it as its local port before the server binds it.
  */
 public final class LoopbackPorts {
     private static final int FIRST_PORT = 20_000;
     private static final int PORT_COUNT = 12_000;
 
-    /** Begins anywhere, so that processes side by side rarely try the same port. */
+    /**
+     * The offset of the next port to try. The first one is random, so that processes that run at
+     * the same time rarely try the same port.
+     */
     private static final AtomicInteger NEXT_OFFSET =
             new AtomicInteger(ThreadLocalRandom.current().nextInt(PORT_COUNT));
 
     private LoopbackPorts() {}
 
     /**
-     * Returns a port that no server is bound to; this process gets each port once until all were
-     * tried.
+     * Returns a port that no socket is bound to. Within a process, a port is returned again only
+     * after all other ports were tried.
      *
      * @throws IOException if all ports are in use
      */
@@ -39,7 +42,7 @@
                         .formatted(FIRST_PORT, FIRST_PORT + PORT_COUNT - 1));
     }
 
-    /** Returns a free port with its host, as host:port. */
+    /** Returns an address with a free port, as host:port. */
     public static String nextFreeAddress() throws IOException {
         return "127.0.0.1:" + nextFreePort();
     }
--- a/src/main/java/io/kelphoist/emulator/package-info.java
+++ b/src/main/java/io/kelphoist/emulator/package-info.java
@@ -1,8 +1,9 @@
 /**
  * Emulators of the external systems (state store, cloud, workers) on loopback ports, for tests and
- * for trying a cluster on one machine. Nothing is stored, and a controller never loads this package
- * except for the command {@code lab}; the training for the class archive uses its ports. The
- * emulators speak the external systems' own protocols and share no code with the clients except the
- * encoding. Requests run on worker threads and may block.
+ * for running a local cluster on one machine. All data is in memory. A controller never loads this
+ * package except for the command {@code lab}; the training run for the class archive uses {@link
+ * io.kelphoist.emulator.LoopbackPorts}. The emulators implement the external systems' protocols and
+ * share no code with the clients except the message encoding. Requests run on worker threads and
+ * may block.
  */
 package io.kelphoist.emulator;
