--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -64,10 +64,7 @@
         notifyAll();
     }
 
-    /**
-     * Waits until a key has a value that meets a condition, and returns the value. Has no timeout
-     * of its own.
-     */
+    /** Waits until a key has a value that meets a condition; has no timeout of its own. */
     public synchronized JsonNode awaitValue(String key, Predicate<JsonNode> condition)
             throws InterruptedException {
         while (true) {
@@ -80,12 +77,7 @@
         }
     }
 
-    /**
-     * Rejects transactions that exceed a limit from now on.
-     *
-     * @param valueByteLimit the maximum size of a value
-     * @param operationLimit the maximum number of operations in a transaction
-     */
+    /** Rejects transactions that exceed one of these limits from now on. */
     public synchronized void setLimits(int valueByteLimit, int operationLimit) {
         maxValueBytes = valueByteLimit;
         maxOperations = operationLimit;
@@ -103,9 +95,7 @@
         notifyAll();
     }
 
-    /**
-     * Rejects all requests, including polls for changes that are waiting; or accepts them again.
-     */
+    /** Rejects all requests including waiting polls for changes, or accepts them again. */
     public synchronized void setUnreachable(boolean isUnreachable) {
         unreachable = isUnreachable;
         setUnavailable(isUnreachable);
@@ -123,19 +113,14 @@
     }
 
     /**
-     * Holds the next transaction that puts a key with a prefix: its response is an error, and
-     * {@link #applyHeldTransaction} applies it later. This emulates a write whose outcome is
-     * unknown to the client.
+     * Holds the next transaction that puts a key with a prefix for {@link #applyHeldTransaction},
+     * and responds to it with an error: the client does not know the outcome.
      */
     public synchronized void holdNextTransaction(String prefix) {
         heldKeyPrefix = prefix;
     }
 
-    /**
-     * Waits for a transaction to be held and applies it.
-     *
-     * @return the HTTP status with which the store would have responded
-     */
+    /** Waits for a transaction to be held, applies it and returns its HTTP status. */
     public synchronized int applyHeldTransaction() throws InterruptedException {
         while (heldTransaction == null) {
             wait();
@@ -143,9 +128,7 @@
         return applyTransaction(heldTransaction).status();
     }
 
-    /**
-     * Ends the polls for changes that are waiting, so that they don't delay the stop, and stops.
-     */
+    /** Ends the waiting polls for changes, so that they don't delay the stop, and stops. */
     @Override
     public void close() {
         synchronized (this) {
@@ -382,12 +365,7 @@
 
     // ---- changes ----
 
-    /**
-     * Waits for changes until a deadline; blocks the calling thread.
-     *
-     * @param prefix selects the changes by key
-     * @param afterRevision selects the changes after this revision
-     */
+    /** Waits for changes of keys with a prefix until a deadline; blocks the calling thread. */
     private Response pollChanges(String prefix, long afterRevision, long deadlineMillis)
             throws InterruptedException {
         while (true) {
--- a/src/main/java/io/kelphoist/grpc/ClientAuthorizer.java
+++ b/src/main/java/io/kelphoist/grpc/ClientAuthorizer.java
@@ -85,8 +85,8 @@
     }
 
     @Override
-    public <ReqT, RespT> ServerCall.Listener<ReqT> interceptCall(
-            ServerCall<ReqT, RespT> call, Metadata headers, ServerCallHandler<ReqT, RespT> next) {
+    public <Q, A> ServerCall.Listener<Q> interceptCall(
+            ServerCall<Q, A> call, Metadata headers, ServerCallHandler<Q, A> next) {
         String name = clientName(call);
         Client client = new Client(name, accessOf(name));
         return Contexts.interceptCall(
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -22,19 +22,12 @@
 /**
  * Simulates a state store with revisions, the event brokers of three controllers that apply changes
  * with a delay, a leader whose transient events are delayed or lost, and clients that read
- * irregularly, disconnect and reconnect to another controller. Each client checks every event that
- * it receives.
+ * irregularly, disconnect and reconnect to another controller. Each client checks its events.
  */
 final class EventBrokerSimulation {
     private static final int CONTROLLERS = 3;
     private static final int JOBS = 12;
-    private static final EventBrokerLimits LIMITS =
-            new EventBrokerLimits(
-                    /* maxStreams= */ 50,
-                    /* maxStreamsPerClient= */ 50,
-                    /* maxBufferedEvents= */ 4,
-                    /* maxEndedJobs= */ 3,
-                    /* stallTimeoutSeconds= */ 1000);
+    private static final EventBrokerLimits LIMITS = new EventBrokerLimits(50, 50, 4, 3, 1000);
 
     private record Change(long revision, List<JobRecord> jobs) {}
 
@@ -49,14 +42,14 @@
     private final List<Client> clients = new ArrayList<>();
     private final CursorSigner signer =
             new CursorSigner(List.of(new CursorSigner.Key(1, new byte[32])));
-    private TaskEventLog taskEventLog = new TaskEventLog(4);
+    private TaskEventLog eventLog = new TaskEventLog(4);
     private final long[] nextSequences = new long[CONTROLLERS];
 
     /** The log from which each broker applied transient events last; null after a restart. */
     private final TaskEventLog[] appliedLogs = new TaskEventLog[CONTROLLERS];
 
     private long revision = 10;
-    private int acceptedJobCount;
+    private int jobCount;
 
     EventBrokerSimulation() {
         for (int i = 0; i < CONTROLLERS; i++) {
@@ -71,26 +64,18 @@
         clients.add(new Client(new SubscriptionFilter.ByJobIds(ImmutableSortedSet.of("job-1"))));
     }
 
-    /** A client that resumes at its last cursor after each interruption. */
+    /**
+     * A client that resumes from its last cursor; the cursor is null before the first message, the
+     * subscription while disconnected. The demand is the number of events that it is ready for.
+     */
     final class Client implements Subscriber {
         private final SubscriptionFilter filter;
-
-        /** The encoded cursor of the last message; null before the first. */
         private byte[] cursor;
-
         private EventBroker broker;
-
-        /** Null while the client is not connected. */
         private Subscription subscription;
-
-        /** The number of events that the client is ready to receive. */
         private int demand;
-
         private boolean complete;
-
-        /** The highest start revision of its subscriptions; -1 before the first. */
         private long startRevision = -1;
-
         private final Map<String, String> acceptedJobs = new HashMap<>();
         private final Set<String> endedJobs = new HashSet<>();
         private final List<String> received = new ArrayList<>();
@@ -110,14 +95,10 @@
             received.add(event.jobId() + " " + event.type());
             assertFalse(
                     endedJobs.contains(event.jobId()),
-                    () ->
-                            "expected no event after the final event of "
-                                    + event.jobId()
-                                    + ", received "
-                                    + received);
+                    () -> "expected no event after the end of " + event.jobId() + ": " + received);
             assertTrue(
                     filter.matches(event.jobId(), event.owner()),
-                    () -> "expected events of selected jobs only, received " + received);
+                    () -> "expected events of selected jobs only: " + received);
             if (event.type().isFinal()) {
                 endedJobs.add(event.jobId());
                 assertMatchesStoredStatus(event);
@@ -125,13 +106,11 @@
                 assertEquals(
                         null,
                         acceptedJobs.put(event.jobId(), "accepted"),
-                        () -> "expected one acceptance of each job, received " + received);
+                        () -> "expected one acceptance of each job: " + received);
             } else {
                 assertTrue(
                         acceptedJobs.containsKey(event.jobId()),
-                        () ->
-                                "expected the acceptance as a job's first event, received "
-                                        + received);
+                        () -> "expected the acceptance as first event of a job: " + received);
             }
             cursor = signer.encode(nextCursor);
             startRevision = Math.max(startRevision, nextCursor.startRevision());
@@ -142,19 +121,11 @@
             assertEquals(
                     status == JobStatus.DONE,
                     event.type() instanceof JobEventType.Done,
-                    () ->
-                            "expected a final event with status "
-                                    + status
-                                    + ", received "
-                                    + received);
+                    () -> "expected the stored status " + status + ": " + received);
             assertEquals(
                     status == JobStatus.CANCELLED,
                     event.type() instanceof JobEventType.Cancelled,
-                    () ->
-                            "expected a final event with status "
-                                    + status
-                                    + ", received "
-                                    + received);
+                    () -> "expected the stored status " + status + ": " + received);
         }
 
         @Override
@@ -166,9 +137,7 @@
         public void onEnded(EndReason reason, Cursor nextCursor) {
             assertTrue(
                     reason != EndReason.CURSOR_AHEAD,
-                    () ->
-                            "expected that a cursor of this deployment is accepted, but it was"
-                                    + " rejected as ahead of the state store");
+                    () -> "expected no rejection of a valid cursor as ahead of the store");
             subscription = null;
             cursor = signer.encode(nextCursor);
             startRevision = Math.max(startRevision, nextCursor.startRevision());
@@ -241,11 +210,7 @@
             }
             if (filter instanceof SubscriptionFilter.ByJobIds byJobIds
                     && byJobIds.jobIds().stream().allMatch(EventBrokerSimulation.this::isFinal)) {
-                assertTrue(
-                        complete,
-                        () ->
-                                "expected that the subscription ended as complete, received "
-                                        + received);
+                assertTrue(complete, () -> "expected a complete subscription: " + received);
             }
         }
 
@@ -277,10 +242,7 @@
         }
     }
 
-    /**
-     * Returns a snapshot of the store. Like in a paged read, some records may be newer than the
-     * revision of the snapshot.
-     */
+    /** Returns all records; like in a paged read, some may be newer than the revision. */
     private EventBroker.Snapshot snapshot() {
         return new EventBroker.Snapshot(
                 revision - (revision % 3 == 0 ? 1 : 0), List.copyOf(stored.values()));
@@ -312,14 +274,14 @@
         JobRecord job = stored.get("job-" + number);
         if (job != null && !job.status().isFinal()) {
             write(List.of(new JobRecord(job.id(), null, finalStatus, 0, 0, job.owner())));
-            taskEventLog.append(job.id(), new TaskEvent.JobEnded(true), 0, 0, 0);
+            eventLog.append(job.id(), new TaskEvent.JobEnded(true), 0, 0, 0);
         }
     }
 
     private void appendTaskEvent(int number, TaskEvent event) {
         JobRecord job = stored.get("job-" + number);
         if (job != null && !job.status().isFinal()) {
-            taskEventLog.append(job.id(), event, 0, 1, 0);
+            eventLog.append(job.id(), event, 0, 1, 0);
         }
     }
 
@@ -343,10 +305,9 @@
     }
 
     private void applyTaskEvents(int controller) {
-        boolean isNewLog = appliedLogs[controller] != taskEventLog;
-        TaskEventLog.Update update =
-                taskEventLog.updateSince(isNewLog ? -1 : nextSequences[controller]);
-        appliedLogs[controller] = taskEventLog;
+        boolean newLog = appliedLogs[controller] != eventLog;
+        TaskEventLog.Update update = eventLog.updateSince(newLog ? -1 : nextSequences[controller]);
+        appliedLogs[controller] = eventLog;
         nextSequences[controller] = update.nextSequence();
         if (update.isSnapshot()) {
             brokers[controller].resetTransientEvents(update.events(), 0);
@@ -355,10 +316,7 @@
         }
     }
 
-    /**
-     * Executes one action. The number's last four bits select the action, the others its job,
-     * controller and client.
-     */
+    /** Executes an action: {@code step % 16} selects it, {@code step / 16} its arguments. */
     void step(int step) {
         int job = step / 16 % JOBS;
         int controller = step / 16 % CONTROLLERS;
@@ -382,7 +340,7 @@
                 if (step / 64 % 2 == 0) {
                     restart(controller);
                 } else {
-                    taskEventLog = new TaskEventLog(4);
+                    eventLog = new TaskEventLog(4);
                 }
             }
             case 14 -> brokers[controller].setStoreReachable(step / 64 % 2 == 0, 0);
@@ -392,19 +350,14 @@
 
     /** Accepts at most this many jobs in one transaction. */
     private void acceptJobs(int maxJobs) {
-        if (acceptedJobCount >= JOBS) {
+        if (jobCount >= JOBS) {
             return;
         }
         List<JobRecord> batch = new ArrayList<>();
-        for (int i = 0; i < maxJobs && acceptedJobCount < JOBS; i++, acceptedJobCount++) {
+        for (int i = 0; i < maxJobs && jobCount < JOBS; i++, jobCount++) {
             batch.add(
                     new JobRecord(
-                            "job-" + acceptedJobCount,
-                            null,
-                            JobStatus.ACTIVE,
-                            0,
-                            0,
-                            owner(acceptedJobCount)));
+                            "job-" + jobCount, null, JobStatus.ACTIVE, 0, 0, owner(jobCount)));
         }
         write(batch);
     }
@@ -416,10 +369,7 @@
         }
     }
 
-    /**
-     * Ends all faults: delivers all changes, reads all events, then checks what each client has
-     * received.
-     */
+    /** Delivers all changes and reads all events, then checks what each client has received. */
     void settle() {
         for (int round = 0; round < 40; round++) {
             for (int controller = 0; controller < CONTROLLERS; controller++) {
