--- a/src/main/java/io/kelphoist/client/KelphoistClient.java
+++ b/src/main/java/io/kelphoist/client/KelphoistClient.java
@@ -170,8 +170,8 @@
      *
      * @throws StatusRuntimeException if there is no such job or all attempts failed
      */
-    public JobState get(String job) throws InterruptedException {
-        return call(stub -> stub.get(GetRequest.newBuilder().setId(job).build()));
+    public JobState get(String jobId) throws InterruptedException {
+        return call(stub -> stub.get(GetRequest.newBuilder().setId(jobId).build()));
     }
 
     /**
@@ -179,8 +179,8 @@
      *
      * @throws StatusRuntimeException if there is no such job or all attempts failed
      */
-    public JobState cancel(String job) throws InterruptedException {
-        return call(stub -> stub.cancel(CancelRequest.newBuilder().setId(job).build()));
+    public JobState cancel(String jobId) throws InterruptedException {
+        return call(stub -> stub.cancel(CancelRequest.newBuilder().setId(jobId).build()));
     }
 
     /**
--- a/src/main/java/io/kelphoist/events/TaskEventLog.java
+++ b/src/main/java/io/kelphoist/events/TaskEventLog.java
@@ -124,8 +124,8 @@
     }
 
     /**
-     * Returns the events from a sequence number on, or a snapshot if some of them are no longer
-     * retained.
+     * Returns the events from a sequence number on. Returns a snapshot instead if some of them are
+     * no longer retained, or if the number has not been assigned yet.
      *
      * @param sequence {@link Update#nextSequence} of the last update; negative to get a snapshot
      */
