--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -13,9 +13,9 @@
 import java.util.function.Predicate;
 
 /**
- * Emulates the state store, with faults for tests. Owns the stored items, leases and changes; all
- * methods are synchronized, and the monitor is notified of every change, so that tests can wait for
- * one.
+ * Emulates the state store, with faults for tests. Owns the stored items, the leases and the
+ * changes. All methods are synchronized, and the monitor is notified of every change, so that tests
+ * can wait for a change.
  */
 public final class EmulatedStateStore extends EmulatedService {
     private record Item(JsonNode value, long version, long leaseId) {}
@@ -39,21 +39,22 @@
     private boolean closed;
     private boolean unreachable;
 
-    /** Older changes are not known any more. */
+    /** The changes up to this revision have been discarded. */
     private long compactedRevision;
 
     private int maxValueBytes = Integer.MAX_VALUE;
     private int maxOperations = Integer.MAX_VALUE;
-    private int refusedCount;
+    private int rejectedTransactionCount;
 
-    /** The next transaction that puts below this prefix is held; null for none. */
-    private String holdPrefix;
+    /** The next transaction that puts a key with this prefix is held; null to hold none. */
+    private String heldKeyPrefix;
 
+    /** The transaction that was held last; null if none was. */
     private ObjectNode heldTransaction;
 
     /**
-     * Refuses all requests except open watches, or accepts them again. Leases do not expire
-     * meanwhile, and start anew afterwards.
+     * Rejects all requests except polls for changes, which return no changes; or accepts requests
+     * again. Leases don't expire while the store is unavailable, and are renewed afterwards.
      */
     public synchronized void setUnavailable(boolean isUnavailable) {
         unavailable = isUnavailable;
@@ -63,7 +64,7 @@
         notifyAll();
     }
 
-    /** Waits until a key has a value that meets a condition; the test's own timeout applies. */
+    /** Waits until a key has a value that meets a condition; has no timeout of its own. */
     public synchronized JsonNode awaitValue(String key, Predicate<JsonNode> condition)
             throws InterruptedException {
         while (true) {
@@ -76,47 +77,50 @@
         }
     }
 
-    /** Refuses larger values and transactions from now on. */
+    /** Rejects transactions that exceed one of these limits from now on. */
     public synchronized void setLimits(int valueByteLimit, int operationLimit) {
         maxValueBytes = valueByteLimit;
         maxOperations = operationLimit;
     }
 
-    /** Number of transactions that were refused by the limits. */
-    public synchronized int refusedCount() {
-        return refusedCount;
+    /** Returns the number of transactions that were rejected because they exceeded a limit. */
+    public synchronized int rejectedTransactionCount() {
+        return rejectedTransactionCount;
     }
 
-    /** Stores a value that no controller wrote. */
+    /** Stores a value directly, without a request of a controller. */
     public synchronized void put(String key, JsonNode value) {
         revision++;
         putItem(key, value, 0);
         notifyAll();
     }
 
-    /** Refuses all requests including open watches, or accepts them again. */
+    /** Rejects all requests including waiting polls for changes, or accepts them again. */
     public synchronized void setUnreachable(boolean isUnreachable) {
         unreachable = isUnreachable;
         setUnavailable(isUnreachable);
     }
 
     /**
-     * Forgets the changes so far and those that {@code meanwhile} makes: a client that requests
-     * older changes must read a snapshot.
+     * Makes some changes, then discards them and all earlier changes: a client that polls for them
+     * must read a snapshot instead.
      */
-    public synchronized void compactChanges(Runnable meanwhile) {
-        meanwhile.run();
+    public synchronized void compactChanges(Runnable lastChanges) {
+        lastChanges.run();
         events.clear();
         compactedRevision = revision;
         notifyAll();
     }
 
-    /** Holds the next transaction that puts below a prefix, and responds to it with an error. */
+    /**
+     * Holds the next transaction that puts a key with a prefix for {@link #applyHeldTransaction},
+     * and responds to it with an error: the client does not know the outcome.
+     */
     public synchronized void holdNextTransaction(String prefix) {
-        holdPrefix = prefix;
+        heldKeyPrefix = prefix;
     }
 
-    /** Applies the held transaction late, waiting for it if needed; returns its HTTP status. */
+    /** Waits for a transaction to be held, applies it and returns its HTTP status. */
     public synchronized int applyHeldTransaction() throws InterruptedException {
         while (heldTransaction == null) {
             wait();
@@ -124,7 +128,7 @@
         return applyTransaction(heldTransaction).status();
     }
 
-    /** Ends open watches, so that nothing waits for them, and stops. */
+    /** Ends the waiting polls for changes, so that they don't delay the stop, and stops. */
     @Override
     public void close() {
         synchronized (this) {
@@ -135,11 +139,11 @@
     }
 
     @Override
-    protected synchronized Reply respond(HttpServerExchange exchange, ObjectNode body)
+    protected synchronized Response respond(HttpServerExchange exchange, ObjectNode body)
             throws InterruptedException {
         String path = exchange.getRequestPath();
         if (unreachable || (unavailable && !path.equals(CHANGES_PATH))) {
-            return emptyReply(StatusCodes.SERVICE_UNAVAILABLE);
+            return emptyResponse(StatusCodes.SERVICE_UNAVAILABLE);
         }
         expireLeases();
         if (path.equals(TRANSACTION_PATH)) {
@@ -160,15 +164,16 @@
                     Long.parseLong(query(exchange, "after", "0")),
                     nowMillis() + Long.parseLong(query(exchange, "hold_ms", "0")));
         }
-        return path.equals(LEASES_PATH) ? createLease(body) : changeLease(path);
+        return path.equals(LEASES_PATH) ? createLease(body) : renewOrRevokeLease(path);
     }
 
-    private static Reply emptyReply(int status) {
-        return new Reply(status, MessageEncoding.newObject());
+    private static Response emptyResponse(int status) {
+        return new Response(status, MessageEncoding.newObject());
     }
 
-    private static Reply errorReply(String error) {
-        return new Reply(StatusCodes.BAD_REQUEST, MessageEncoding.newObject().put("error", error));
+    private static Response errorResponse(String error) {
+        return new Response(
+                StatusCodes.BAD_REQUEST, MessageEncoding.newObject().put("error", error));
     }
 
     // ---- leases ----
@@ -194,20 +199,20 @@
         }
     }
 
-    private Reply createLease(ObjectNode body) {
+    private Response createLease(ObjectNode body) {
         long leaseId = leases.create(body.path("ttl_ms").asLong(), nowMillis());
-        return new Reply(StatusCodes.OK, MessageEncoding.newObject().put("tether", leaseId));
+        return new Response(StatusCodes.OK, MessageEncoding.newObject().put("tether", leaseId));
     }
 
-    /** Renews or revokes the lease that a path names. */
-    private Reply changeLease(String path) {
+    /** Renews or revokes the lease whose id is in a path. */
+    private Response renewOrRevokeLease(String path) {
         int idStart = LEASES_PATH.length() + 1;
         int idEnd = path.indexOf('/', idStart);
         long leaseId =
                 Long.parseLong(
                         idEnd < 0 ? path.substring(idStart) : path.substring(idStart, idEnd));
         if (!leases.contains(leaseId)) {
-            return emptyReply(StatusCodes.NOT_FOUND);
+            return emptyResponse(StatusCodes.NOT_FOUND);
         }
         if (path.endsWith("/renew")) {
             leases.renew(leaseId, nowMillis());
@@ -215,12 +220,12 @@
             leases.remove(leaseId);
             deleteKeysOfLease(leaseId);
         }
-        return emptyReply(StatusCodes.OK);
+        return emptyResponse(StatusCodes.OK);
     }
 
     // ---- items ----
 
-    /** Stores an item at the current revision. */
+    /** Stores an item with the current revision as its version. */
     private void putItem(String key, JsonNode value, long leaseId) {
         items.put(key, new Item(value, revision, leaseId));
         ObjectNode event = MessageEncoding.newObject().put("put", key).put("entry", revision);
@@ -248,15 +253,15 @@
         return itemNode;
     }
 
-    private Reply readItem(String key) {
+    private Response readItem(String key) {
         Item item = items.get(key);
         return item == null
-                ? new Reply(
+                ? new Response(
                         StatusCodes.NOT_FOUND, MessageEncoding.newObject().put("logbook", revision))
-                : new Reply(StatusCodes.OK, itemJson(key, item));
+                : new Response(StatusCodes.OK, itemJson(key, item));
     }
 
-    private Reply readRange(String prefix, String after, int limit) {
+    private Response readRange(String prefix, String afterKey, int limit) {
         ObjectNode response = MessageEncoding.newObject().put("logbook", revision);
         ArrayNode itemNodes = response.putArray("items");
         boolean hasMore = false;
@@ -264,7 +269,7 @@
             if (!entry.getKey().startsWith(prefix)) {
                 break;
             }
-            if (entry.getKey().compareTo(after) > 0) {
+            if (entry.getKey().compareTo(afterKey) > 0) {
                 if (itemNodes.size() == limit) {
                     hasMore = true;
                     break;
@@ -272,43 +277,43 @@
                 itemNodes.add(itemJson(entry.getKey(), entry.getValue()));
             }
         }
-        return new Reply(StatusCodes.OK, response.put("has_next", hasMore));
+        return new Response(StatusCodes.OK, response.put("has_next", hasMore));
     }
 
     // ---- transactions ----
 
-    private Reply holdOrApplyTransaction(ObjectNode body) {
+    private Response holdOrApplyTransaction(ObjectNode body) {
         for (JsonNode operation : body.path("apply")) {
-            if (holdPrefix != null && operation.path("put").asText().startsWith(holdPrefix)) {
+            if (heldKeyPrefix != null && operation.path("put").asText().startsWith(heldKeyPrefix)) {
                 heldTransaction = body;
-                holdPrefix = null;
+                heldKeyPrefix = null;
                 notifyAll();
-                return emptyReply(StatusCodes.INTERNAL_SERVER_ERROR);
+                return emptyResponse(StatusCodes.INTERNAL_SERVER_ERROR);
             }
         }
         return applyTransaction(body);
     }
 
-    private Reply applyTransaction(ObjectNode body) {
+    private Response applyTransaction(ObjectNode body) {
         if (isTooLarge(body)) {
-            refusedCount++;
-            return errorReply("too large");
+            rejectedTransactionCount++;
+            return errorResponse("too large");
         }
         if (namesUnknownLease(body)) {
-            return errorReply("no such lease");
+            return errorResponse("no such lease");
         }
         ObjectNode failure = MessageEncoding.newObject().put("logbook", revision);
         ArrayNode failedKeys = failure.putArray("failed");
         addFailedConditions(body, failedKeys);
         if (!failedKeys.isEmpty()) {
-            return new Reply(StatusCodes.CONFLICT, failure);
+            return new Response(StatusCodes.CONFLICT, failure);
         }
         revision++;
         for (JsonNode operation : body.path("apply")) {
             apply(operation);
         }
         notifyAll();
-        return new Reply(StatusCodes.OK, MessageEncoding.newObject().put("logbook", revision));
+        return new Response(StatusCodes.OK, MessageEncoding.newObject().put("logbook", revision));
     }
 
     private boolean isTooLarge(ObjectNode body) {
@@ -360,31 +365,31 @@
 
     // ---- changes ----
 
-    /** Waits for changes until a deadline; blocks the calling thread. */
-    private Reply pollChanges(String prefix, long after, long deadlineMillis)
+    /** Waits for changes of keys with a prefix until a deadline; blocks the calling thread. */
+    private Response pollChanges(String prefix, long afterRevision, long deadlineMillis)
             throws InterruptedException {
         while (true) {
             expireLeases();
             if (unreachable) {
-                return emptyReply(StatusCodes.SERVICE_UNAVAILABLE);
+                return emptyResponse(StatusCodes.SERVICE_UNAVAILABLE);
             }
-            if (after < compactedRevision) {
-                return emptyReply(StatusCodes.GONE);
+            if (afterRevision < compactedRevision) {
+                return emptyResponse(StatusCodes.GONE);
             }
-            ObjectNode response = changesSince(prefix, after);
+            ObjectNode response = changesAfter(prefix, afterRevision);
             long remainingMillis = deadlineMillis - nowMillis();
             if (!response.path("events").isEmpty() || remainingMillis <= 0 || closed) {
-                return new Reply(StatusCodes.OK, response);
+                return new Response(StatusCodes.OK, response);
             }
             wait(Math.min(remainingMillis, POLL_MILLIS));
         }
     }
 
-    private ObjectNode changesSince(String prefix, long after) {
+    private ObjectNode changesAfter(String prefix, long afterRevision) {
         ObjectNode response = MessageEncoding.newObject().put("logbook", revision);
         ArrayNode matchingEvents = response.putArray("events");
         for (ChangeEvent event : events) {
-            if (!unavailable && event.revision > after && event.key.startsWith(prefix)) {
+            if (!unavailable && event.revision > afterRevision && event.key.startsWith(prefix)) {
                 matchingEvents.add(event.eventNode);
             }
         }
--- a/src/test/java/io/kelphoist/controller/EndToEndDependenciesTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndDependenciesTest.java
@@ -56,7 +56,7 @@
         assertEquals("done", jobStatus(userAddresses.get(0), "job-61"));
         assertSubmissionStatus(201, userAddresses.get(1), job("job-64", "batch", 1, "job-63"));
         stateStore.awaitValue("j/job-64", value -> value.path("status").asText().equals("done"));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     /**
--- a/src/test/java/io/kelphoist/controller/EndToEndFailoverTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndFailoverTest.java
@@ -66,7 +66,7 @@
         taskLog.awaitRunning("job-91/1", false);
         assertEquals("aborted", jobStatus(node, "job-91"));
         assertSubmissionStatus(200, node, job("job-91", "standing", 2));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     /**
@@ -98,7 +98,7 @@
                         .asText());
         taskLog.awaitRunning("job-99/0", false);
         assertEquals(1, taskLog.startCount("job-99/0"));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     /** All controllers restart: a new term begins, and no task that still runs is started again. */
@@ -117,6 +117,6 @@
         assertSubmissionStatus(201, userAddresses.get(1), job("job-96", "standing", 1));
         taskLog.awaitRunning("job-96/0", true);
         assertEquals(1, taskLog.startCount("job-95/0"));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 }
--- a/src/test/java/io/kelphoist/controller/EndToEndStateStoreTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndStateStoreTest.java
@@ -40,10 +40,11 @@
                     "j/job-4" + i, value -> value.path("status").asText().equals("done"));
         }
         assertTrue(
-                stateStore.refusedCount() < 20,
-                "expected fewer than 20 refused requests, got " + stateStore.refusedCount());
+                stateStore.rejectedTransactionCount() < 20,
+                "expected fewer than 20 refused requests, got "
+                        + stateStore.rejectedTransactionCount());
         assertEquals(1, taskLog.startCount("job-98/0"));
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     /**
@@ -56,7 +57,7 @@
         assertSubmissionStatus(201, userAddresses.get(0), job("job-97", "standing", 1));
         taskLog.awaitRunning("job-97/0", true);
         assertEquals(409, stateStore.applyHeldTransaction());
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     /**
@@ -88,6 +89,6 @@
                         .path("sway")
                         .asText());
         taskLog.awaitRunning("job-93/0", false);
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 }
--- a/src/test/java/io/kelphoist/controller/EndToEndSubmissionTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndSubmissionTest.java
@@ -35,7 +35,7 @@
             assertEquals("done", jobStatus(userAddresses.get(1), id));
             assertSubmissionStatus(200, userAddresses.get(0), job(id, "batch", 3));
         }
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
         String metrics =
                 new String(
                         call(userAddresses.get(0), "GET", "/metrics", null).body(),
--- a/src/test/java/io/kelphoist/controller/GrpcWatchTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcWatchTest.java
@@ -56,7 +56,7 @@
             }
         }
         stalled.cancel("test finished", null);
-        assertNull(taskLog.violation());
+        assertNull(taskLog.duplicateExecution());
     }
 
     private String[] submitJobs() throws Exception {
