--- a/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
@@ -37,8 +37,9 @@
     private static final int MAX_STARTS_PER_RUN = 200;
 
     /**
-     * Most urgent first: higher priority, then jobs that have waited long without starting a task,
-     * then the earlier deadline, then the earlier time at which the job was ready to start.
+     * Most urgent first: higher priority, then {@link Job#isAged aged} jobs before others, then the
+     * earlier {@link Job#latestFinishAtSeconds}, then the earlier time at which the job was ready
+     * to start.
      */
     static final Comparator<Job> URGENCY_ORDER =
             Comparator.comparing(Job::priority)
@@ -120,7 +121,10 @@
         preemptor.holdMachinesAndPreempt(unplacedJobs, nowSeconds);
     }
 
-    /** The active jobs with pending tasks that are not in retry backoff, most urgent first. */
+    /**
+     * Updates and returns the active jobs that have pending tasks and are not in retry backoff, by
+     * team and most urgent first.
+     */
     private Map<TeamUsage, List<Job>> findWaitingJobs(double nowSeconds) {
         Map<TeamUsage, List<Job>> waitingJobsByTeam = new LinkedHashMap<>();
         for (Job job : jobs.all()) {
@@ -135,7 +139,10 @@
         return waitingJobsByTeam;
     }
 
-    /** Starts tasks of the waiting jobs; returns the jobs with pending tasks that remain. */
+    /**
+     * Starts tasks of the waiting jobs; returns the jobs that still have pending tasks, most urgent
+     * first.
+     */
     private List<Job> place(Map<TeamUsage, List<Job>> waitingJobsByTeam, double nowSeconds) {
         Resources smallestTask = smallestTask(waitingJobsByTeam);
         CapacitySum totalCapacity = new CapacitySum();
@@ -250,8 +257,9 @@
     }
 
     /**
-     * Reserves part of the team's limit for an unplaced gang or service of which no task has run
-     * yet. Tasks of lower priority that used it would be preempted again for that job.
+     * Reserves the resources for the pending tasks of an unplaced gang or service under the team's
+     * limit, for the rest of the run, unless a task of it has run. Tasks of lower priority that
+     * used these resources would be preempted again for that job.
      */
     private static void reserveForUrgentJob(Job job) {
         if (job.spec().kind() != JobKind.ARRAY && !job.hasRun()) {
--- a/src/main/java/io/kelphoist/scheduler/allocation/ArrayScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/ArrayScheduler.java
@@ -9,13 +9,16 @@
 
 /**
  * Schedules job arrays, whose tasks are independent. Uses delay scheduling: if some machine has the
- * image cached, a task waits for a short time until that machine has free resources, because
+ * image cached, a task waits for a short time for that machine to have free resources, because
  * fetching the image elsewhere takes longer than a short wait.
  */
 final class ArrayScheduler extends IndependentTaskScheduler {
     private static final double MIN_LOCALITY_WAIT_SECONDS = 1.0;
 
-    /** Upper bound of the wait, as a share of the expected fetch duration. */
+    /**
+     * A task waits at most for this share of the expected fetch duration, or for {@link
+     * #MIN_LOCALITY_WAIT_SECONDS} if that is longer.
+     */
     private static final double LOCALITY_WAIT_FETCH_SHARE = 0.25;
 
     private final SchedulingPolicy policy;
@@ -41,8 +44,8 @@
     }
 
     /**
-     * Whether the job's wait is still within its locality wait, and a machine other than the
-     * offered one accepts work, is allowed for the job and has the image cached.
+     * Whether the job has waited for less time than it may wait for a cached image, and a machine
+     * other than the offered one accepts work, is allowed for the job and has the image cached.
      */
     private boolean shouldWaitForCachedImage(Job job, Machine offered, double nowSeconds) {
         double fetchSeconds = PlacementScorer.fetchSeconds(job, offered);
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
@@ -18,9 +18,9 @@
 /**
  * Reservations of resources for gangs that do not fit as a whole yet. Owns the reservations.
  *
- * <p>Reservations are charged to the gang's team and are made only while the team's usage stays
- * within its guarantee. They expire after {@link SchedulingPolicy#gangHoldSeconds}; for the same
- * duration after that, the gang gets no new ones.
+ * <p>Reservations are charged to the gang's team and are made only while the team's usage,
+ * including its reservations, stays within its guarantee. They expire after {@link
+ * SchedulingPolicy#gangHoldSeconds}; for the same duration after that, the gang gets no new ones.
  */
 final class GangReservations {
     /** Resources on one machine, reserved for one task of a gang. */
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
@@ -16,7 +16,7 @@
 /**
  * Gang scheduling: all tasks of a job start together or none does. If only some of a gang's tasks
  * fit and no machines can be held for it, the resources for those tasks are reserved for a bounded
- * time, see {@link GangReservations}.
+ * time, see {@link GangReservations}; nothing is reserved for a job that is suspected faulty.
  */
 final class GangScheduler implements JobKindScheduler {
     private final AttemptLifecycle attempts;
--- a/src/main/java/io/kelphoist/scheduler/allocation/QueueWaitTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/QueueWaitTracker.java
@@ -90,7 +90,7 @@
         if (job.isSuspectedFaulty()) {
             return "tasks failed on several machines";
         } else if (!job.team().isWithinLimit(required)) {
-            return "team limit reached, used " + job.team().used();
+            return "job would exceed the team's limit, used " + job.team().used();
         } else if (job.capacityAcquisition().hasHeldMachines()) {
             return job.capacityAcquisition().heldMachineCount() + " machines held for the job";
         } else if (job.capacityAcquisition().reservedUntilSeconds() > nowSeconds) {
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
@@ -17,9 +17,9 @@
 
 /**
  * Scales the cluster out for tasks that could not be placed and for headroom, and scales it in by
- * terminating machines that are idle, drained, lost, unreachable or did not boot. Decides twice a
- * second; {@link ScaleOutPlan}, {@link MachineConsolidator} and {@link ScaleInController} make the
- * individual decisions.
+ * terminating machines that are idle, drained, lost, unreachable or did not boot in time. Decides
+ * twice a second; {@link ScaleOutPlan}, {@link MachineConsolidator} and {@link ScaleInController}
+ * make the individual decisions.
  */
 public final class Autoscaler {
     private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
@@ -44,8 +44,9 @@
      * Creates the autoscaler of one leader's term.
      *
      * @param context provides its collaborators; not kept
-     * @param promotionGate prevents a new leader from scaling out too early
-     * @param bootTimes boot durations, recorded by the handler of heartbeats
+     * @param promotionGate prevents a new leader from requesting machines again that an earlier
+     *     leader has requested
+     * @param bootTimes estimates from boot durations, which the {@code heartbeats} package records
      */
     public Autoscaler(
             SchedulerContext context, PromotionGate promotionGate, BootTimeEstimator bootTimes) {
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/BootTimeEstimator.java
@@ -12,8 +12,8 @@
  * zone do, and a few never boot.
  *
  * <p>The boot of a machine times out early if a machine of the same type and zone that was launched
- * later has booted. If none has, a replacement would probably meet the same problem, and is only
- * launched after a longer timeout.
+ * later has booted recently. If none has, a replacement would probably meet the same problem, and
+ * is only launched after a longer timeout.
  *
  * <p>Owns the recent boots.
  */
@@ -37,7 +37,10 @@
     /** Older boots no longer indicate how long machines take to boot now. */
     private static final double MAX_SAMPLE_AGE_SECONDS = 240;
 
-    /** Scale-out plans include a booting machine for this multiple of the longest recent boot. */
+    /**
+     * Scale-out plans include a booting machine for this multiple of the longest recent boot, if
+     * that is longer.
+     */
     private static final double RECENT_BOOT_MARGIN_FACTOR = 1.2;
 
     private static final int MAX_SAMPLES_PER_POOL = 32;
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -13,8 +13,8 @@
 
 /**
  * Reconciles the machine registry with the cloud's instance list: removes machines that the list
- * proves to be terminated, adds instances that are missing in the registry, and ends the attempts
- * on instances that the list reports as failed.
+ * proves to be terminated, adds instances that are missing in the registry, and marks instances
+ * that the list reports as failed for termination and removes the attempts on them.
  */
 final class InstanceListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceListReconciler.class);
@@ -85,7 +85,7 @@
         return adopted;
     }
 
-    /** Takes over the instance's address and failure. */
+    /** Takes over the instance's address, if the machine has none, and its failure. */
     private void update(Machine machine, CloudInstance instance, double nowSeconds) {
         if (machine.address() == null) {
             machine.updateAddress(instance.address());
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
@@ -13,7 +13,7 @@
  * Determines from the cloud's instance lists which instances are terminated. Once an instance has
  * been listed, it stays listed until it is terminated. Lists are delayed, however, and a list may
  * be older than the one received before it. An instance that is missing from a list is therefore
- * terminated only if the list describes a later time than a list that contained the instance.
+ * taken as terminated only if the list describes a later time than a list that contained it.
  *
  * <p>A list does not state which time it describes. That time is computed from the ages of the
  * instances that the list shares with earlier lists. It is measured on a clock of the lists, which
@@ -87,7 +87,8 @@
 
     /**
      * The time that a page describes, on the clock of the lists: the earliest of the times implied
-     * by the ages of its instances. NaN if the page shares no instance with earlier lists.
+     * by the ages of the instances that it shares with earlier lists; 0 for the first page. NaN if
+     * the page shares no instance with earlier lists.
      */
     private double snapshotTime(InstanceListPage page) {
         if (instancesByName.isEmpty() && !page.instances().isEmpty()) {
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/MachineCapacity.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/MachineCapacity.java
@@ -4,8 +4,8 @@
 import io.kelphoist.model.Resources;
 
 /**
- * The free resources of one existing, booting or requested machine in a scale-out plan. Planned
- * tasks are subtracted from them; the machine itself is not modified.
+ * The free resources of one machine in a scale-out plan: an existing, booting, requested or planned
+ * one. Planned tasks are subtracted from them; the machine itself is not modified.
  */
 final class MachineCapacity {
     private final MachineType type;
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
@@ -114,7 +114,7 @@
 
     /**
      * Plans capacity for a job's pending tasks. Jobs of which a task has run (of a gang: in its
-     * current attempt) and suspect jobs that have an attempt are skipped.
+     * current attempt) and jobs that are suspected faulty and have an attempt are skipped.
      */
     void addDemand(Job job) {
         if (job.hasRun() || job.isOnTrial(nowSeconds)) {
@@ -125,8 +125,8 @@
         int allowed = job.team().countTasksWithinLimit(perTask, tasks);
         int[] tasksPerZone = job.tasks().copyOfAttemptsPerZone();
         int commonZone = job.commonZone();
-        // If one task of the job does not fit in a capacity, the next one does not fit either,
-        // because capacities only shrink while tasks are added.
+        // If one task of the job cannot be planned on a capacity, neither can the next one: while
+        // tasks are added, capacities only shrink and zone constraints only get stricter.
         int firstCandidate = 0;
         for (int i = 0; i < allowed; i++) {
             firstCandidate = findCapacity(job, tasksPerZone, commonZone, firstCandidate);
@@ -201,10 +201,10 @@
      * The cheapest pool that allows the job's tasks and is not in backoff; among pools of equal
      * price the one with the fewest machines; null if there is none.
      *
-     * <p>A guest team (no guarantee) uses machines that are unused, and only spot instances are
-     * requested for it: on-demand machines would be taken from the teams that are guaranteed them,
-     * at twice their worth. On-demand machines may still be requested for a job that does not allow
-     * spot instances, and for the first task of a job, so that the job can start.
+     * <p>A guest team (no guarantee) gets unused resources, and only spot instances are requested
+     * for it: on-demand machines would be taken from the teams that are guaranteed them, at twice
+     * their worth. On-demand machines may still be requested for a job that does not allow spot
+     * instances, and for the first task of a job, so that the job can start.
      *
      * @param hasPlannedTasks whether this plan already contains a task of the job
      */
@@ -259,7 +259,7 @@
      * yet. Free shares of partly used machines count towards the headroom.
      *
      * @return free resources beyond the headroom, in machines; negative if the headroom is not
-     *     reached without the new machines
+     *     reached without the machines that this call plans
      */
     double addHeadroom(double headroomMachines) {
         double readyMachines = 0;
@@ -278,8 +278,8 @@
     }
 
     /**
-     * The on-demand pool with the lowest sum of its machine count and its price; null if all pools
-     * are in backoff.
+     * The on-demand pool with the lowest sum of its machine count, including planned machines, and
+     * its price; null if all pools are in backoff.
      */
     private MachinePool chooseHeadroomPool() {
         MachinePool best = null;
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
@@ -59,7 +59,7 @@
         return retryAtSecondsByRequest.keySet();
     }
 
-    /** Whether no machines of the pool are requested for now, as the cloud granted too few. */
+    /** Whether the pool is in backoff, as the cloud granted fewer machines than requested. */
     boolean isInBackoff(MachinePool pool, double nowSeconds) {
         return nowSeconds < backoffUntilSecondsByPool.getOrDefault(pool, 0.0);
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/Job.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Job.java
@@ -135,7 +135,7 @@
         return failures;
     }
 
-    /** Reservations, machine holds and preemption checks that are to get it capacity. */
+    /** Measures taken to obtain capacity for it: reservations, machine holds, preemption checks. */
     public CapacityAcquisition capacityAcquisition() {
         return capacityAcquisition;
     }
@@ -244,7 +244,7 @@
         return urgency.priority();
     }
 
-    /** The latest finish that meets its and its dependents' deadlines; infinite: none. */
+    /** The latest finish that meets its and its dependents' deadlines; infinite: no deadline. */
     public double latestFinishAtSeconds() {
         return urgency.latestFinishAtSeconds();
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
@@ -11,7 +11,7 @@
     /** The job avoids machines where it failed until this long after its retry time. */
     private static final double AVOIDANCE_SECONDS = 10;
 
-    /** A task that runs for this long without a failure passes the trial of a suspected job. */
+    /** A suspected job passes its trial if a task is running this long after the trial began. */
     private static final double TRIAL_SECONDS = 20;
 
     private static final double BASE_BACKOFF_SECONDS = 0.5;
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Number of machines on which a task of the job failed for the first time since a task last
-     * succeeded or passed a trial.
+     * Number of machines on which the job failed since a task last succeeded or passed a trial. A
+     * machine on which the job had failed before that is not counted again.
      */
     public int failedMachineCount() {
         return failedMachineCount;
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
@@ -129,7 +129,8 @@
     }
 
     /**
-     * The completion of these tasks was stored; {@code tasks} are offsets from {@code firstTask}.
+     * Called when the completion of these tasks was stored; {@code tasks} are offsets from {@code
+     * firstTask}.
      */
     public void onDoneStored(int firstTask, BitSet tasks) {
         tasks.stream().forEach(offset -> storedDone.set(firstTask + offset));
--- a/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
@@ -43,8 +43,8 @@
     }
 
     /**
-     * The set of machines among which one run of the allocator chooses. A machine refers to the set
-     * that it entered last and uses nothing else of it.
+     * The set of machines among which one run of the allocator chooses. A machine only stores which
+     * set it entered last.
      */
     public interface CandidateSet {}
 
--- a/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
@@ -42,7 +42,7 @@
     /**
      * The id of all attempts that were restored from starts that earlier terms stored. Such an
      * attempt is removed, or replaced by the listed one, when its machine sends a heartbeat under
-     * this term.
+     * this term, and removed when another machine lists the task.
      */
     static final long PRESUMED_ATTEMPT_ID = -1;
 
@@ -193,7 +193,10 @@
                 : runSeconds;
     }
 
-    /** Its id, which no other attempt of any term has, except that presumed attempts share one. */
+    /**
+     * Its id; no two terms assign the same one. The tasks of a gang attempt share an id, and so do
+     * all presumed attempts.
+     */
     public long attemptId() {
         return attemptId;
     }
@@ -277,12 +280,12 @@
     /**
      * Called for the outcome of a direct command that may have contained the start.
      *
-     * @param responded false: the outcome is unknown, as there was no response
+     * @param outcomeKnown false: there was no response, so that the start may still be executed
      */
-    public void onStartOutcome(boolean responded) {
+    public void onStartOutcome(boolean outcomeKnown) {
         if (startInFlight) {
             startInFlight = false;
-            startOutcomeUnknown |= !responded;
+            startOutcomeUnknown |= !outcomeKnown;
         }
     }
 
--- a/src/main/java/io/kelphoist/scheduler/images/ImageCatalog.java
+++ b/src/main/java/io/kelphoist/scheduler/images/ImageCatalog.java
@@ -24,7 +24,7 @@
         return sizesGb.getDouble(imageIndex);
     }
 
-    /** The index of image names. */
+    /** The names of the images and their indices. */
     public NameIndex names() {
         return names;
     }
--- a/src/main/java/io/kelphoist/scheduler/images/ImageLocations.java
+++ b/src/main/java/io/kelphoist/scheduler/images/ImageLocations.java
@@ -6,9 +6,10 @@
 import it.unimi.dsi.fastutil.objects.Reference2IntMaps;
 
 /**
- * Index of the machines that reference an image: it should be cached there, or an attempt that
- * needs it is listed there. On all other machines, the time to fetch the image depends only on the
- * machine's type and the fetches in progress, not on the image's location.
+ * Index of the machines that reference an image: it should be cached on the machine, or the machine
+ * has an attempt, possibly an exited one, that needs it. On all other machines, the time to fetch
+ * the image depends only on the machine's type and the fetches in progress, not on the image's
+ * location.
  *
  * @param <M> the type of machines, which are compared by identity
  */
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
@@ -48,7 +48,7 @@
         this.activeCandidates = activeCandidates;
     }
 
-    /** Returns an id that no other attempt of any term has. */
+    /** Returns an id that no attempt of any term has yet; the tasks of a gang attempt share one. */
     public long nextAttemptId() {
         return (term << TERM_SHIFT_BITS) + ++lastAttemptNumber;
     }
@@ -73,8 +73,7 @@
         startIntentLog.add(attempt);
         if (machine.hold().job() == job) {
             // Ends the hold for this task: for the next task another machine may be closer to
-            // having
-            // enough free capacity, or be the only one allowed.
+            // having enough free capacity, or be the only one allowed.
             machine.hold().onTaskStarted();
         }
         activeCandidates.onMachineChanged(machine);
@@ -118,7 +117,8 @@
 
     /**
      * Requests that an attempt be stopped. An attempt whose start was not sent yet is removed at
-     * once. A further call can only shorten the grace.
+     * once. A further call can only shorten the grace. No effect on presumed attempts, and on those
+     * that no longer occupy resources.
      *
      * @param graceSeconds the time that the task gets to save a checkpoint; 0: it saves none
      */
@@ -177,8 +177,8 @@
         }
     }
 
-    /** Rounds a duration to tenths of a second, for a log line. */
-    public static double roundToTenths(double seconds) {
-        return Math.round(seconds * 10) / 10.0;
+    /** Rounds to tenths, for a log line. */
+    public static double roundToTenths(double value) {
+        return Math.round(value * 10) / 10.0;
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/CommandDispatcher.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/CommandDispatcher.java
@@ -18,7 +18,10 @@
  * the commands, so a batch without a response is not sent again.
  */
 public final class CommandDispatcher {
-    /** A machine that did not respond is sent no commands for this many heartbeat intervals. */
+    /**
+     * After commands that were not delivered or got no response, a machine is sent no direct
+     * commands for this many heartbeat intervals.
+     */
     private static final int RETRY_DELAY_HEARTBEAT_INTERVALS = 2;
 
     private final SchedulerOutput output;
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -82,8 +82,9 @@
     }
 
     /**
-     * Withdraws starts that were not sent yet, because they are not stored: their tasks would start
-     * only to end when the lease of the disconnected machine expires.
+     * Withdraws the starts on a possibly disconnected machine that were not sent yet, for example
+     * because they are not stored yet: their tasks would start only to end with the machine's
+     * lease.
      */
     private void withdrawUnsentStarts(Machine machine, double nowSeconds) {
         for (TaskAttempt attempt : machine.attempts().copy()) {
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
@@ -43,8 +43,8 @@
      * Handles a restart of the worker, which then numbers its messages from 1 again. Its previous
      * tasks have ended, but the restarted worker may still execute commands that were sent before,
      * or copies of them. So its attempts stay charged until the machine is terminated, or a lease
-     * counted from now has expired. The termination is requested, and heartbeats get no response
-     * any more.
+     * counted from now has expired. The termination is requested, and heartbeats are refused, so
+     * that the worker's lease is not renewed.
      */
     public void onWorkerRestarted(Machine machine, double nowSeconds) {
         if (machine.reachability().hasRestarted()) {
@@ -59,7 +59,10 @@
         machine.transitionTo(Machine.State.TERMINATING, nowSeconds);
     }
 
-    /** Handles an instance that failed and will not run again, though the cloud still lists it. */
+    /**
+     * Handles an instance that failed and will not run again, though the cloud still lists it: its
+     * tasks have ended, and heartbeats that still arrive are refused.
+     */
     public void onInstanceStopped(Machine machine, double nowSeconds) {
         machine.contact().endAllEpochs();
         attempts.removeAll(machine, nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
@@ -21,10 +21,10 @@
  *
  * <p>A machine is related to a job's image if it has the image cached or has an attempt that needs
  * it, see {@link ImageLocations}. Unrelated machines of the same type, zone and purchasing model
- * (spot or on-demand), with equal free resources, equally many concurrent fetches and the same hold
- * have the same cost for the job. They form an equivalence class, of which only the first machine
- * is ranked. Related machines are ranked individually. Between two tasks of a job, only machines
- * that changed since are evaluated again.
+ * (spot or on-demand), with equal free resources, equally many concurrent fetches and the same
+ * hold, and all or none of them unallocated, have the same cost for the job. They form an
+ * equivalence class, of which only the first machine is ranked. Related machines are ranked
+ * individually. Between two tasks of a job, only machines that changed since are evaluated again.
  *
  * <p>Exception: failures of the job on individual machines are not part of the equivalence class,
  * so the result may differ if the job failed on a machine that is not related to its image.
@@ -35,7 +35,8 @@
      * machine is not related to the job's image.
      *
      * @param unallocated whether no attempt occupies resources of the machine
-     * @param heldForJob the job that the machine is held for; null if it is not held
+     * @param heldForJob the job that the machine is held for; null if it is not held, or the hold
+     *     has expired
      */
     private record EquivalenceClass(
             MachineType type,
@@ -251,7 +252,9 @@
         for (RankedMachine cheapest = queue.peek(); cheapest != null; cheapest = queue.peek()) {
             boolean upToDate = isUpToDate(cheapest, job);
             // Tasks of the job that were placed since may exclude the machine, by the job's zone
-            // constraints. It then stays excluded for the rest of the run.
+            // constraints. It then stays excluded for the rest of the run, and so does the group
+            // that
+            // it represents, as all machines of a group are in one zone.
             if (upToDate && offer.allows(job, cheapest.machine)) {
                 return cheapest.machine;
             }
@@ -308,8 +311,8 @@
     }
 
     /**
-     * Ranks the first machine of a group that is not related to the job's image, if a task of the
-     * job may start on it.
+     * Ranks the first of those machines of a group that are not related to the job's image, if a
+     * task of the job may start on the machines of the group.
      *
      * @param fromIndex index in the group at which the search starts
      */
@@ -335,7 +338,10 @@
                 group);
     }
 
-    /** The first machine of a group that is not related to the job's image; null if none. */
+    /**
+     * The first of those machines of a group, from an index on, that are not related to the job's
+     * image; null if there is none.
+     */
     private Machine findUnrelated(EquivalentMachines group, int fromIndex, Job job) {
         for (int i = fromIndex; i < group.positions.size(); i++) {
             Machine machine = machines.get(group.positions.getInt(i));
--- a/src/main/java/io/kelphoist/scheduler/placement/PlacementScorer.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/PlacementScorer.java
@@ -41,7 +41,8 @@
 
     /**
      * Whether the job's constraints allow one more task on machines of this type, zone and
-     * purchasing model (spot or on-demand). Machine-specific failures are not checked.
+     * purchasing model (spot or on-demand). The job's failures and exited attempts on individual
+     * machines are not checked.
      */
     public static boolean isAllowed(Job job, MachineType type, int zone, boolean spot) {
         JobSpec spec = job.spec();
--- a/src/main/java/io/kelphoist/scheduler/preemption/PreemptionPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/PreemptionPlan.java
@@ -9,7 +9,8 @@
  *
  * @param slots one slot per task to be placed, cheapest first; never empty
  * @param costSeconds expected delay until the start plus the weighted cost of the work lost by
- *     preemption, in seconds
+ *     preemption, in seconds: for a gang the highest of each of the two over all slots, for other
+ *     jobs those of the cheapest slot
  */
 public record PreemptionPlan(List<TaskSlot> slots, double costSeconds) {
     /**
--- a/src/main/java/io/kelphoist/scheduler/preemption/PreemptionSearch.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/PreemptionSearch.java
@@ -75,7 +75,8 @@
     }
 
     /**
-     * Returns the cheapest plan for a job; empty if the job cannot be placed even with preemption.
+     * Returns the cheapest plan for a job; empty if the job cannot be placed, even with preemption,
+     * on the machines that are searched.
      *
      * @param maxFetchGbPerSecond the highest rate at which any machine type fetches images
      * @param costLimitSeconds machines on which the image fetch alone takes this long or longer are
@@ -89,7 +90,8 @@
             double costLimitSeconds,
             double nowSeconds) {
         // The shortest fetch on a machine that neither has the image cached nor has a task attempt
-        // that uses it. If the cost limit is no higher, only the other machines can be cheaper.
+        // that uses it. If the cost limit is no higher, only machines that reference the image can
+        // be cheaper.
         double minFetchSeconds = job.spec().imageSizeGb() / maxFetchGbPerSecond;
         Collection<Machine> eligibleMachines =
                 costLimitSeconds <= minFetchSeconds
@@ -110,8 +112,8 @@
     }
 
     /**
-     * Adds a slot for each task that fits on the machine, each with the cheapest preemptible tasks
-     * that must be stopped for it as victims.
+     * Adds a slot for each task that fits on the machine. The victims of a slot are as many as it
+     * needs, in the order of {@link #findPreemptible}.
      */
     private void addSlots(Machine machine) {
         double fetchSeconds = PlacementScorer.fetchSeconds(job, machine);
--- a/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
@@ -104,9 +104,10 @@
 
     /**
      * Whether machines may be held and tasks preempted for the job now. Excluded are job arrays
-     * beyond their team's guarantee, jobs that have not waited long enough, jobs of which a task
-     * has run (of a gang: in its current attempt), jobs that declined free resources in this run,
-     * and suspect jobs, whose tasks failed on several machines.
+     * beyond their team's guarantee, jobs that have not waited long enough, jobs whose last search
+     * found no plan or whose last hold ended unused a short time ago, jobs of which a task has run
+     * (of a gang: in its current attempt), jobs that declined free resources in this run, and jobs
+     * that are suspected faulty.
      */
     private static boolean mayPreempt(Job job, double nowSeconds) {
         double minWaitSeconds =
@@ -247,9 +248,10 @@
 
     /**
      * Whether a job starts sooner by preempting other tasks than by starting on free resources and
-     * fetching its image there; always true while machines are held for the job, and always false
-     * for suspect jobs and short fetches. Tasks with a deadline are not preempted if the job meets
-     * the start objective of its class without that.
+     * fetching its image there; the cost of the lost work counts as delay. False for a fetch
+     * shorter than {@link #MIN_AVOIDED_FETCH_SECONDS} and for a job that is suspected faulty;
+     * otherwise true while machines are held for the job. Tasks with a deadline are not preempted
+     * if the job meets the start objective of its class without that.
      *
      * @param fetchSeconds expected duration of the image fetch without preemption
      */
--- a/src/main/java/io/kelphoist/scheduler/reachability/DeliveryOutcome.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/DeliveryOutcome.java
@@ -11,7 +11,10 @@
     REFUSED,
     /** No connection was established, so the request cannot be delivered later. */
     NOT_SENT,
-    /** Nothing was sent: this controller is not the leader, or all its connections are in use. */
+    /**
+     * Nothing was sent: this controller is not the leader, has no connection to spare or no address
+     * of the worker, or withholds all of the commands.
+     */
     NOT_ATTEMPTED,
     /** There was no response, so the outcome is unknown: commands may be executed minutes later. */
     NO_RESPONSE
--- a/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
@@ -8,9 +8,9 @@
  *
  * <p>Heartbeats that arrive do not prove that responses arrive. A worker that gets no response
  * within 4 s sends its next heartbeat to the next controller, and its lease expires although each
- * of its heartbeats was received and got a response. The worker is proven to receive messages by a
- * response to a command or a probe, or if its next heartbeat, with no message in between, goes to
- * the controller that responded to the last one.
+ * of its heartbeats was received and a response to it was sent. The worker is proven to receive
+ * messages by a response to a direct request, or if its next heartbeat, with no message in between,
+ * goes to the controller that responded to the last one.
  *
  * <p>A heartbeat that is no newer than the newest one received is a delayed copy, or the worker
  * restarted within a short time and numbers its messages from 1 again. A probe distinguishes the
@@ -23,8 +23,9 @@
         /** There is no sign that the worker does not receive what is sent to it. */
         REACHABLE,
         /**
-         * A request or response was not delivered, or its outcome is unknown: no tasks are started
-         * on the machine until the worker is proven to receive messages.
+         * A request to the worker was not delivered or got no response, or an earlier leader
+         * replicated the machine as possibly disconnected: no tasks are started on the machine
+         * until the worker is proven to receive messages.
          */
         SUSPECTED,
         /** Suspected for longer than a lease, while its heartbeats arrived. */
@@ -83,8 +84,9 @@
     private boolean restarted;
 
     /**
-     * A heartbeat of a new agent epoch that was received before the previous lease can have
-     * expired. Kept until the outcome of a probe shows whether to apply it; null: none.
+     * A heartbeat of a new agent epoch that was received before the lease of the previous one can
+     * have expired, unless a response was lost. Kept until the outcome of a probe shows whether to
+     * apply it; null: none.
      */
     private Heartbeat implausibleHeartbeat;
 
@@ -111,7 +113,10 @@
         return isSuspected() ? nowSeconds - suspectedAtSeconds : 0;
     }
 
-    /** Called when a request to the worker was not delivered, or got no response. */
+    /**
+     * Called when a request to the worker was not delivered or got no response, or an earlier
+     * leader replicated the machine as possibly disconnected.
+     */
     public void onDeliveryFailed(double nowSeconds) {
         if (state == State.REACHABLE) {
             transitionTo(State.SUSPECTED, nowSeconds);
@@ -284,7 +289,7 @@
 
     /**
      * Called when the worker is known to have restarted: its machine is terminated, and its
-     * heartbeats get no response.
+     * heartbeats are refused.
      */
     public void markRestarted() {
         restarted = true;
--- a/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
@@ -16,7 +16,7 @@
     /** The sequence number of the newest message; 0: none was received. */
     private long sequenceNumber;
 
-    /** Heartbeats of this agent epoch and earlier ones are ignored. */
+    /** Heartbeats of this agent epoch and earlier ones are refused; 0: none are. */
     private long endedAgentEpoch;
 
     /** The agent epoch that an earlier leader replicated; 0: none. */
@@ -28,7 +28,10 @@
      */
     private double lastPossibleResponseAtSeconds;
 
-    /** When the last heartbeat was received that is not a copy. */
+    /**
+     * When the last heartbeat was received that is not a copy; at first, when the machine was
+     * added.
+     */
     private double lastHeartbeatAtSeconds;
 
     /**
@@ -98,19 +101,19 @@
         reachability.resetNewestHeartbeat();
     }
 
-    /** Whether heartbeats of this agent epoch are ignored. */
+    /** Whether heartbeats of this agent epoch are refused. */
     public boolean isEpochEnded(long epoch) {
         return epoch <= endedAgentEpoch;
     }
 
     /**
-     * Ends the present agent epoch: heartbeats of it and of earlier ones are ignored from now on.
+     * Ends the present agent epoch: heartbeats of it and of earlier ones are refused from now on.
      */
     public void endCurrentEpoch() {
         endedAgentEpoch = Math.max(endedAgentEpoch, agentEpoch);
     }
 
-    /** Ends all agent epochs: all heartbeats are ignored from now on. */
+    /** Ends all agent epochs: all heartbeats are refused from now on. */
     public void endAllEpochs() {
         endedAgentEpoch = Long.MAX_VALUE;
     }
@@ -157,7 +160,9 @@
         lastPossibleResponseAtSeconds = nowSeconds;
     }
 
-    /** Called when a response may have been sent, or the lease may have begun, until now. */
+    /**
+     * Called when a response may have been sent, or a lease may have begun, at any time until now.
+     */
     public void onResponsePossiblySent(double nowSeconds) {
         lastPossibleResponseAtSeconds = Math.max(lastPossibleResponseAtSeconds, nowSeconds);
     }
@@ -177,17 +182,16 @@
     /**
      * Updates {@link #isPossiblyDisconnected}.
      *
+     * @param maxIntervalSeconds the longest regular interval between two heartbeats
      * @param maxDelaySeconds a heartbeat that is not received within the interval plus this delay
      *     is overdue
      */
     public void updateConnectivity(
-            double heartbeatIntervalSeconds, double maxDelaySeconds, double nowSeconds) {
+            double maxIntervalSeconds, double maxDelaySeconds, double nowSeconds) {
         possiblyDisconnected =
                 reachability.isSuspected()
                         || nowSeconds
-                                > lastHeartbeatAtSeconds
-                                        + heartbeatIntervalSeconds
-                                        + maxDelaySeconds;
+                                > lastHeartbeatAtSeconds + maxIntervalSeconds + maxDelaySeconds;
     }
 
     // ---- direct commands ----
--- a/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
@@ -34,9 +34,15 @@
 
     /** Why a task stopped. The names are values of trace attributes. */
     enum Cause {
-        /** The leader stopped it: for more urgent work, a better placement, or a cancellation. */
+        /**
+         * The leader stopped it, for example for more urgent work, a better placement, a
+         * termination notice or a cancellation.
+         */
         STOPPED,
-        /** Its machine's lease expired, or the machine was terminated or restarted. */
+        /**
+         * Its machine's lease expired, or the machine failed or was terminated, for example after
+         * its worker restarted.
+         */
         MACHINE_GONE,
         /** It ended with an error. */
         FAILED,
