--- a/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
@@ -21,8 +21,8 @@
         /** Requested from the cloud; its worker has not sent a heartbeat yet. */
         BOOTING,
         /**
-         * Adopted from a record, the instance list or a heartbeat; its worker has not acknowledged
-         * this term yet.
+         * Adopted from a record, a replicated state, the instance list or a heartbeat; its worker
+         * has not acknowledged this term yet.
          */
         JOINING,
         /** Its worker has sent a message with the fencing token of this term. */
--- a/src/main/java/io/kelphoist/scheduler/images/ImageCache.java
+++ b/src/main/java/io/kelphoist/scheduler/images/ImageCache.java
@@ -56,7 +56,8 @@
 
     /**
      * Records that an image was used, and removes the least recently used images that no longer fit
-     * in the cache. Returns whether the image was not recorded as cached before.
+     * in the cache; the used image is kept even if it does not fit. Returns whether the image was
+     * not recorded as cached before.
      */
     public boolean recordUse(int image, double sizeGb, ImageSizes sizes) {
         int position = cached.indexOf(image);
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/StopEnforcer.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/StopEnforcer.java
@@ -27,9 +27,9 @@
     }
 
     /**
-     * Stops tasks on a machine with a termination notice, as late as a checkpoint can still be
-     * saved before the cloud terminates the machine. A checkpointed task that is not of a gang and
-     * has too little time left to save is not stopped.
+     * Stops tasks on a machine with a termination notice: those of services at once, others as late
+     * as a checkpoint can still be saved before the cloud terminates the machine. A checkpointed
+     * task that is not of a gang and has too little time left to save is not stopped.
      */
     void applyTerminationNotice(Machine machine, double nowSeconds) {
         if (!machine.hasTerminationNotice()) {
