--- a/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
@@ -66,9 +66,9 @@
 
     /**
      * A controller responded to a request of this term. The caller must have applied the
-     * cancellations in the statement. A statement that does not cover the whole time since the
-     * watermark, because the controller's process or its list started later, does not advance the
-     * watermark.
+     * cancellations in the statement. The statement advances the progress of that controller only
+     * if it is complete and covers the whole time since the progress. It does not cover that time
+     * if the controller's process or its list started later.
      *
      * @param sentAtSeconds when the request was sent
      */
--- a/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
@@ -24,7 +24,7 @@
      * @param incarnation identifies the process of the controller
      * @param coveredSeconds length of the covered time, measured by the controller's own clock
      * @param lastSequenceNumber sequence number of the newest of {@code jobIds}, which the leader
-     *     acknowledges
+     *     acknowledges; without any, the one up to which the leader has acknowledged
      * @param complete false if the list holds more cancellations than the statement, so that the
      *     statement covers no time
      * @param jobIds the cancelled jobs, oldest confirmation first
@@ -133,7 +133,8 @@
         if (leaderTerm < newestTerm) {
             return Optional.empty();
         }
-        // Sequence numbers of another process, and numbers not yet assigned, acknowledge nothing.
+        // A sequence number of another process acknowledges nothing. One that is not assigned yet
+        // acknowledges only what has been confirmed so far.
         long acknowledgedHere =
                 acknowledgedIncarnation == incarnation
                         ? Math.min(acknowledgedSequenceNumber, lastSequenceNumber)
--- a/src/main/java/io/kelphoist/delegation/DelegationRecord.java
+++ b/src/main/java/io/kelphoist/delegation/DelegationRecord.java
@@ -9,8 +9,8 @@
  */
 public record DelegationRecord(String peerName, double startsAtSeconds) {
     /**
-     * Returns a write that clears the stored record: there is no delegation of the controller whose
-     * start the next leader needs to read.
+     * Returns a write that clears the stored record. Without a record, the next leader assumes that
+     * a delegation of the controller started with the next leader's own term at the latest.
      */
     static DelegationRecord cleared(String peerName) {
         return new DelegationRecord(peerName, Double.NaN);
--- a/src/main/java/io/kelphoist/delegation/DelegationTiming.java
+++ b/src/main/java/io/kelphoist/delegation/DelegationTiming.java
@@ -13,8 +13,9 @@
  * the error of clocks and timers. If the remaining time is too short, delegation is disabled.
  *
  * @param delegationSeconds duration of a delegation; 0 if delegation is disabled
- * @param renewalWindowSeconds how long after the cancellation watermark leases may be renewed and
- *     tasks started, by the leader as well as by delegates
+ * @param renewalWindowSeconds how long after the cancellation watermark the leader may renew leases
+ *     and start tasks. A delegation starts at the watermark at the latest and lasts no longer than
+ *     this, so that delegates renew no lease later either
  * @param leaderSilenceSeconds how long a controller must have received no message of the leader
  *     before it renews leases under a delegation
  */
--- a/src/main/java/io/kelphoist/delegation/HeldDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/HeldDelegation.java
@@ -4,9 +4,10 @@
 
 /**
  * State machine of the delegation that this controller holds. While the delegation is {@link
- * State#ACTIVE}, because no message of a leader arrives, the controller may renew the worker leases
- * in its zone. It responds with the fencing token that the workers already hold and sends no
- * commands: it never starts or stops a task under a delegation.
+ * State#ACTIVE}, because no message of a leader arrives or because this controller offered it to
+ * itself, the controller may renew the worker leases in its zone. It responds with the fencing
+ * token that the workers already hold and sends no commands: it never starts or stops a task under
+ * a delegation.
  *
  * <p>Owns the state of the held delegation. Performs no I/O: events and the time (this process's
  * monotonic clock, in seconds) are passed in. Confined to the controller's event loop.
@@ -20,9 +21,12 @@
         NONE,
         /** A delegation is held, and a message of the leader arrived recently. */
         HELD,
-        /** A delegation is held, and no message of the leader arrives: leases may be renewed. */
+        /**
+         * Leases may be renewed: a delegation is held, and no message of the leader arrives, or it
+         * was offered by this controller to itself.
+         */
         ACTIVE,
-        /** The duration of the delegation has ended. */
+        /** The duration of the delegation has ended, or it was revoked. */
         EXPIRED
     }
 
--- a/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
+++ b/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
@@ -168,10 +168,10 @@
     /**
      * Returns the records to write now. For a controller that stopped responding, the record
      * contains the latest start of its delegation, so that the next leader need not assume that the
-     * delegation started with its own term. For a controller that responds again, the record is
-     * cleared. A controller gets no offer until its record is cleared, so that a record never
-     * contains a start that is too early. Records are therefore written only when a controller
-     * stops or resumes responding.
+     * delegation started with its own term. For a controller that responds again, and for this
+     * controller, the record is cleared. A controller gets no offer until its record is cleared, so
+     * that a record never contains a start that is too early. Records are therefore written only
+     * when a controller stops or resumes responding, or after it was elected.
      */
     public List<DelegationRecord> dueRecords(double nowSeconds) {
         List<DelegationRecord> due = new ArrayList<>();
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -39,7 +39,10 @@
         ABSENT,
         /** A write of the record is in flight. */
         WRITING,
-        /** The latest start of the delegation is stored: no newer delegation may be offered. */
+        /**
+         * The latest start of the delegation is stored, or may be, as the outcome of a write is
+         * unknown: no newer delegation may be offered.
+         */
         PRESENT
     }
 
@@ -87,8 +90,9 @@
     private double lastRenewalAtSeconds = Double.NEGATIVE_INFINITY;
 
     /**
-     * Machines whose leases the peer cannot have renewed by then, because every delegation that it
-     * held excluded them.
+     * Machines whose leases the peer cannot have renewed by then, because the delegations that it
+     * held excluded them. Once a newer renewal is possible, one that is longer ago than twice the
+     * duration of a delegation is disregarded.
      */
     private ImmutableSet<String> notRenewedMachines = ImmutableSet.of();
 
@@ -206,8 +210,9 @@
             offeredExclusions = ImmutableSet.of();
             return newOffer(term, DelegationOffer.REVOKED_START_SECONDS);
         }
-        // The delegation is shortened by the time from the watermark to the peer's clock reading,
-        // because the leader may not have received the cancellations acknowledged in that time.
+        // The delegation is shortened by the time from the watermark to the response with the
+        // peer's clock, because the leader may not have received the cancellations acknowledged in
+        // that time.
         double watermarkLagSeconds = Math.max(0, lastResponseAtSeconds - watermarkSeconds);
         offeredStartAtSeconds = lastResponseAtSeconds - watermarkLagSeconds;
         offeredExclusions = ImmutableSet.copyOf(exclusions);
@@ -249,7 +254,7 @@
 
     /**
      * Whether the peer has not responded for {@link #RECORD_AFTER_SILENCE_SECONDS}, while its
-     * delegation may not have expired.
+     * delegation may still be valid.
      */
     private boolean isUnresponsive(double nowSeconds, double termStartedAtSeconds) {
         double unresponsiveSinceSeconds =
--- a/src/main/java/io/kelphoist/delegation/PeerStatus.java
+++ b/src/main/java/io/kelphoist/delegation/PeerStatus.java
@@ -8,8 +8,8 @@
  * @param uptimeSeconds time since the process started
  * @param sinceRenewalSeconds time since it last renewed a lease under a delegation; infinite if
  *     this process never did
- * @param sequenceNumber the newest offer of the requesting leader's term that it accepted; 0 if
- *     there is none
+ * @param sequenceNumber sequence number of the newest offer of the requesting leader's term that
+ *     the controller accepted; 0 if there is none
  */
 public record PeerStatus(
         long incarnation,
--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -9,10 +9,10 @@
  * The leader election of one controller.
  *
  * <p>The leader holds the leader key in the state store, which is bound to a short lease. It is
- * authorized to act while that lease is valid at the maximum clock drift, or while it holds valid
- * grants of all other controllers, so that workers' leases do not expire during an outage of the
- * state store. A candidate first stops giving grants and waits until the last one that it gave has
- * expired. So does a controller after its start, because grants are not stored.
+ * authorized to act while that lease is valid even at the maximum clock drift, or while it holds
+ * valid grants of all other controllers, so that workers' leases do not expire during an outage of
+ * the state store. A candidate first stops giving grants and waits until the last one that it gave
+ * has expired. Grants are not stored, so a new process assumes that one was given at its start.
  *
  * <p>Performs no I/O and reads no clock: events are passed in with their time, in seconds of the
  * monotonic clock, and requests go to {@link Actions}. Not thread-safe: confined to the event loop.
@@ -20,9 +20,9 @@
 public final class Election {
     /** The roles of a controller. Only {@link #transitionTo} changes the role. */
     public enum State {
-        /** Another controller leads, or the leader is not determined yet. Gives grants. */
+        /** Another controller leads or may lead, or candidacy must be delayed. Gives grants. */
         FOLLOWER,
-        /** There is no leader. Gives no grants, and waits until its last one has expired. */
+        /** Knows of no leader. Gives no grants, and waits until its last one has expired. */
         CANDIDATE,
         /** Has requested the leader key from the state store. */
         ACQUIRING,
@@ -74,7 +74,7 @@
     /** A leader that resigned does not become a candidate again for this long. */
     private static final double RESIGNATION_COOLDOWN_SECONDS = 15;
 
-    /** Candidacy delay without a current replica, or if another one is the preferred successor. */
+    /** Candidacy delay in favor of the preferred successor or of those with a current replica. */
     private static final double LESS_PREFERRED_DELAY_SECONDS = 0.4;
 
     private static final double ACQUISITION_RETRY_SECONDS = 0.2;
@@ -110,14 +110,14 @@
     /** When the leader key was first read as absent after it had named a leader. */
     private double leaderKeyAbsentSinceSeconds = Double.NEGATIVE_INFINITY;
 
-    /** Whether a key read or a handover has set {@link #leader} since the last resignation. */
+    /** Whether a key read or a handover has set {@link #leader} since the start or resignation. */
     private boolean leaderKeyLoaded;
 
     private String leader;
 
     private long leaderTerm;
 
-    /** Whether there was an earlier term. Without one, no grant can be outstanding. */
+    /** False if the last key read had no last term: before the first term there are no grants. */
     private boolean hasEarlierTerm = true;
 
     /** The result of {@link #isLeader} at the last tick as the leader. */
@@ -150,7 +150,7 @@
         return state;
     }
 
-    /** Returns the holder of the leader key; null if there is none or it is not loaded. */
+    /** Returns the holder of the leader key; null if none, not loaded, or its term has ended. */
     public String leader() {
         return state == State.LEADER ? self : leader;
     }
@@ -233,8 +233,8 @@
      * grant for an older term must expire: its leader may not have learned that it was replaced,
      * and the controller that refused it grants may have restarted and give them again.
      *
-     * @param isPreferred whether this controller is the preferred successor. Any other one waits
-     *     for a short delay before it becomes a candidate, in case the preferred successor is down
+     * @param isPreferred whether this controller is the preferred successor. The others become
+     *     candidates after a short delay, because the preferred successor may be down
      */
     public void onTermEnded(long endedTerm, boolean isPreferred, double nowSeconds) {
         if (endedTerm < givenGrants.newestTerm()
--- a/src/main/java/io/kelphoist/election/GivenGrants.java
+++ b/src/main/java/io/kelphoist/election/GivenGrants.java
@@ -52,7 +52,8 @@
     }
 
     /**
-     * Whether the last grant has expired by the receiver's clock too, at the maximum clock drift.
+     * Whether the last grant that was not voided has expired by the receiver's clock too, even at
+     * the maximum clock drift.
      */
     boolean haveExpired(double nowSeconds) {
         return nowSeconds
--- a/src/main/java/io/kelphoist/election/ReceivedGrants.java
+++ b/src/main/java/io/kelphoist/election/ReceivedGrants.java
@@ -29,7 +29,7 @@
                 Math::max);
     }
 
-    /** Whether a grant of every other controller is still valid, at the maximum clock drift. */
+    /** Whether a grant of every other controller is valid, even at the maximum clock drift. */
     boolean areAllValid(double nowSeconds) {
         for (String peer : peers) {
             if (nowSeconds >= expiresAtSeconds.getOrDefault(peer, 0.0)) {
--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -23,8 +23,9 @@
  * carries the fencing token of the term, and the machine responds with a heartbeat. From its
  * response on, the machine refuses the commands of earlier leaders. If a machine does not respond,
  * all task attempts that are recorded for it are assumed to be running until its worker lease has
- * expired at the maximum clock drift. Decisions are therefore based only on the records and on
- * these heartbeats; the list of machines only determines which machines receive a status request.
+ * expired even at the maximum clock drift. Which attempts may be running is therefore determined
+ * only by the records and by these heartbeats; the replica and the instance list are only hints
+ * about where to send status requests.
  *
  * <p>Owns the state of the failover and of the status requests. Performs no I/O: events and times,
  * in seconds of the event loop's clock, are passed in. Confined to one thread.
@@ -107,8 +108,8 @@
     private static final Logger LOG = LoggerFactory.getLogger(Failover.class);
 
     /**
-     * After this many requests with a wrong agent epoch, the machine's regular heartbeat is awaited
-     * instead.
+     * After this many requests with a wrong agent epoch no more are sent to a machine. The failover
+     * does not wait for it: its attempts are assumed to be running until its regular heartbeat.
      */
     private static final int MAX_REQUESTS_PER_MACHINE = 3;
 
@@ -144,7 +145,8 @@
      * Starts the failover of a term.
      *
      * @param term the term, whose number is the fencing token of the status requests
-     * @param timeoutSeconds maximum time to wait for the machines: one round of heartbeats
+     * @param timeoutSeconds time from the election until the machines that have not responded are
+     *     no longer waited for: one round of heartbeats
      * @param listLagSeconds usual upper bound on the delay until the cloud's instance list contains
      *     a new machine
      * @param maxInFlight maximum number of status requests without a response. It limits the rate
@@ -244,10 +246,10 @@
 
     /**
      * Whether machines may be requested from the cloud. The machines that an earlier leader
-     * requested shortly before the failover may not be in the instance list yet; no machine is
-     * requested until the usual delay of that list has passed, so that they are not requested
-     * twice. This wait is skipped if the records contain no outstanding starts of an earlier
-     * leader.
+     * requested shortly before the failover may not be in the instance list yet, and must not be
+     * requested twice. None is requested until the usual delay of that list has passed since the
+     * election, or the timeout if no list was loaded. There is no wait after a complete replica was
+     * applied, nor after a failover that found no outstanding starts of an earlier leader.
      */
     @Override
     public boolean mayScaleOut(double nowSeconds) {
@@ -291,8 +293,8 @@
     }
 
     /**
-     * Whether a machine may still respond. A machine that is in the records, but whose address is
-     * still missing after the machine list was loaded, cannot receive a request.
+     * Whether a machine may still respond. A machine with recorded attempts, but without an address
+     * even after the machine list was loaded, cannot receive a request.
      */
     private boolean isPending(Machine machine, StatusRequest request) {
         boolean canBeRequested =
@@ -373,7 +375,8 @@
      * A status request has ended.
      *
      * @param outcome how the delivery of the request ended
-     * @param heartbeat the machine's response; null if it did not respond
+     * @param heartbeat the heartbeat in the response; null if there was no response. That of
+     *     another machine, to which the address was reassigned, counts as no response
      */
     public void onStatusRequestOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
--- a/src/main/java/io/kelphoist/failover/PromotionCheck.java
+++ b/src/main/java/io/kelphoist/failover/PromotionCheck.java
@@ -1,7 +1,8 @@
 package io.kelphoist.failover;
 
 /**
- * The checks that must pass before the first scheduling decision of a term. Each check is logged
+ * The checks of a term: {@link #LIST} must pass before the first machine is requested from the
+ * cloud, and the others before the first task is placed, started or stopped. Each check is logged
  * when it passes. The names are values of a metric label and therefore part of the operators'
  * interface.
  */
@@ -19,9 +20,9 @@
      */
     ORDERS,
     /**
-     * Each machine that may run a task has responded under the fencing token of the term. The tasks
-     * of any other machine are assumed to be running until its worker lease has expired at the
-     * maximum clock drift.
+     * Each machine that may run a task has responded under the fencing token of the term, or its
+     * tasks are assumed to be running until its worker lease has expired even at the maximum clock
+     * drift.
      */
     MACHINES,
     /** The list of machines in the cloud is complete enough to request further machines. */
--- a/src/main/java/io/kelphoist/failover/package-info.java
+++ b/src/main/java/io/kelphoist/failover/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The failover, from the election of a leader to its first scheduling decision: the checks that
- * must pass, and the status requests to machines that they need.
+ * must pass, and the status requests that are sent to machines for them.
  *
  * <p>Owns the state of one failover. Performs no I/O: events and times are passed in. It runs on
  * the event loop, and must not depend on leadership, the state store or wire formats.
