--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -245,8 +245,9 @@
     }
 
     /**
-     * Statements of a new process and incomplete statements do not advance the watermark beyond the
-     * last read of the records.
+     * An incomplete statement, and a statement of a process that started after the watermark, do
+     * not advance the watermark. After the records were read again, statements of the new process
+     * advance it.
      */
     @Test
     void incompleteStatementsDoNotAdvanceTheWatermark() {
@@ -319,8 +320,8 @@
     }
 
     /**
-     * Sequence numbers of another process, and numbers that were never assigned, acknowledge no
-     * cancellation.
+     * A sequence number of another process acknowledges nothing. A number that is not assigned yet
+     * acknowledges the cancellations confirmed so far, but none that is confirmed later.
      */
     @Test
     void acknowledgementsOfAnotherProcessAreIgnored() {
--- a/src/test/java/io/kelphoist/delegation/DelegationNetwork.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationNetwork.java
@@ -60,8 +60,8 @@
         long incarnation = to.incarnation();
         Runnable message =
                 () -> {
-                    // A restarted process has new connections. In the worst case it still receives
-                    // messages that were sent on an old connection.
+                    // A restarted process has new connections. The worst case is simulated: it
+                    // still receives messages that were sent on an old connection.
                     if (to.isUp() && to.incarnation() >= incarnation) {
                         onArrival.run();
                     }
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -169,7 +169,7 @@
 
     /**
      * Returns the machines to exclude from delegation: the worker is excluded if it runs a task of
-     * a cancelled job, or if its heartbeats have been missing for too long.
+     * a cancelled job, or if the leader has not renewed its lease for too long.
      */
     private Set<String> excludedMachines() {
         boolean isCancelled = worker.isTaskRunning() && hasReceivedCancellation;
--- a/src/test/java/io/kelphoist/election/ElectionCounters.java
+++ b/src/test/java/io/kelphoist/election/ElectionCounters.java
@@ -8,15 +8,15 @@
     enum Counter {
         /** A controller was elected. */
         TERMS,
-        /** A leader resigned and sent handover messages. */
+        /** A leader resigned and started the handover. */
         HANDOVERS,
-        /** The leader key was acquired by a transaction that was committed after its timeout. */
+        /** The leader key was acquired by a transaction that was delayed and had no response. */
         DELAYED_ACQUISITIONS,
         /** The leader key was acquired by a transaction whose response was lost. */
         ACQUISITIONS_WITHOUT_RESPONSE,
         /**
-         * A simulation step in which a controller led by grants alone, because it did not hold the
-         * leader key or the state store was down.
+         * A simulation step in which a controller led although it did not hold the leader key or
+         * the state store was down: by its lease, while that was still valid, or by grants alone.
          */
         STEPS_LED_WITHOUT_KEY_OR_STORE
     }
--- a/src/test/java/io/kelphoist/election/ElectionSimulation.java
+++ b/src/test/java/io/kelphoist/election/ElectionSimulation.java
@@ -12,7 +12,7 @@
  * each step that at most one controller leads.
  *
  * <p>The faults are: clocks drift; messages are delayed in one direction or both; processes freeze,
- * crash and restart immediately; leases do not expire during an outage of the state store;
+ * crash and restart after a delay; leases do not expire during an outage of the state store;
  * transactions get no response and are committed after a delay; the state store refuses the
  * requests of one controller. Times are in seconds of simulated true time, which the controllers
  * cannot read.
@@ -133,7 +133,7 @@
         store.setDelayedTransactions(perTen);
     }
 
-    /** Sets how many of ten requests to the state store are carried out without a response. */
+    /** Sets how many of ten acquisitions and lease renewals are carried out without a response. */
     public void setLostResponses(int perTen) {
         store.setLostResponses(perTen);
     }
--- a/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
@@ -102,9 +102,10 @@
     }
 
     /**
-     * The leader changes at least ten times within two minutes, also during an outage of the state
-     * store. Jobs are cancelled and queried shortly before and after each change, and copies of
-     * heartbeats are delivered to the next leader.
+     * The leader changes ten times within two minutes; in two further rounds the state store is
+     * down, so that no new leader can be elected. Jobs are cancelled immediately before each change
+     * and cancelled and queried after it, and copies of heartbeats are delivered to the next
+     * leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
--- a/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Submits four jobs of one task per second for three minutes and cancels a quarter of them within
- * seconds, at the smallest write limit of any deployment (15 changes per second, 8 per
- * transaction), with a failover in the middle. The rules of {@link SafetyChecker} must hold, every
- * job must end, and every job that is not cancelled must start in time: high-priority jobs within
- * 10 s of their acceptance, the others within 15 s.
+ * Submits four jobs per second, of one task each, for three minutes and cancels a quarter of them
+ * within seconds, with a failover in the middle. The write limit is the smallest of any deployment
+ * (15 changes per second, 8 per transaction) or lower. The rules of {@link SafetyChecker} must
+ * hold, every job must end, and every job that is not cancelled must start in time: high-priority
+ * jobs within 10 s of their acceptance, the others within 15 s.
  */
 class JobStreamSimulationTest {
     private static final int SECONDS = 180;
--- a/src/test/java/io/kelphoist/failover/Leadership.java
+++ b/src/test/java/io/kelphoist/failover/Leadership.java
@@ -99,7 +99,7 @@
 
     abstract void setStateStoreDown(boolean down);
 
-    /** Sets how many of ten requests to the state store are carried out without a response. */
+    /** Sets how many of ten acquisitions and lease renewals are carried out without a response. */
     abstract void setLostResponses(int perTen);
 
     abstract void setLeaderRefusedByStore(boolean refused);
--- a/src/test/java/io/kelphoist/failover/SafetyChecker.java
+++ b/src/test/java/io/kelphoist/failover/SafetyChecker.java
@@ -87,10 +87,10 @@
     }
 
     /** A leader must not start a job whose acknowledged cancellation it has received. */
-    void checkNoCancelledStart(List<WorkerCommand> commands, int knownCancellations) {
+    void checkNoCancelledStart(List<WorkerCommand> commands, int receivedCancellations) {
         for (WorkerCommand command : commands) {
             if (command instanceof WorkerCommand.Start
-                    && cancellations.firstContain(knownCancellations, command.jobId())) {
+                    && cancellations.firstContain(receivedCancellations, command.jobId())) {
                 throw new AssertionError(
                         "leader starts a job whose cancellation it has received: command="
                                 + command
@@ -102,8 +102,9 @@
 
     /**
      * A leader must not start a task by a direct command on a machine whose heartbeats have been
-     * missing for longer than {@link #MAX_HEARTBEAT_GAP_SECONDS}. Only heartbeats renew the worker
-     * lease, so the task would be stopped when the lease expires.
+     * missing for longer than {@link #MAX_HEARTBEAT_GAP_SECONDS}, unless the leader received the
+     * instance list within that time. Only heartbeats renew the worker lease, so the task would be
+     * stopped when the lease expires.
      */
     void checkHeartbeatsBeforeStart(CommandDelivery delivery) {
         SimulatedWorker worker = delivery.worker();
--- a/src/test/java/io/kelphoist/failover/SimulatedJobs.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedJobs.java
@@ -60,8 +60,8 @@
     }
 
     /**
-     * Creates one of the jobs that are stored before a run starts: job arrays, services and gangs
-     * of two tasks.
+     * Creates one of the jobs that are stored before a run starts: job arrays, services and gangs,
+     * of two tasks each.
      */
     JobSpec createInitialJob(int number) {
         boolean isGang = number >= SimulatedTasks.FIRST_GANG;
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -176,7 +176,7 @@
 
     /**
      * Returns when it last received the instance list, which contains machines whose heartbeats are
-     * lost too.
+     * lost too; the start of its term if it received none.
      */
     double listedAtSeconds() {
         return listedAtSeconds;
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -25,7 +25,7 @@
     private static final int FRONT_ENDS = 3;
     private static final int MAX_VALUE_KILOBYTES = 4;
 
-    /** Delay before a request is sent again that must be retried later. */
+    /** Delay after which a request with the response {@code RetryLater} is sent again. */
     private static final double RETRY_SECONDS = 1;
 
     /** A request that can be sent to any front end. */
--- a/src/test/java/io/kelphoist/failover/SimulatedWorker.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedWorker.java
@@ -121,7 +121,10 @@
 
     // ---- faults ----
 
-    /** Sets whether all messages to and from this worker are lost. */
+    /**
+     * Sets whether no message reaches this worker or arrives from it. Requests to it remain in
+     * flight and may be delivered later.
+     */
     void setPartitioned(boolean partitioned) {
         this.partitioned = partitioned;
     }
@@ -130,7 +133,10 @@
         return partitioned;
     }
 
-    /** Sets whether messages to this worker are lost while its heartbeats arrive. */
+    /**
+     * Sets whether no message reaches this worker while its heartbeats arrive. Responses to them
+     * are lost; requests to it remain in flight and may be delivered later.
+     */
     void setInboundBlocked(boolean blocked) {
         inboundBlocked = blocked;
     }
--- a/src/test/java/io/kelphoist/failover/SimulationContext.java
+++ b/src/test/java/io/kelphoist/failover/SimulationContext.java
@@ -24,8 +24,8 @@
     }
 
     /**
-     * Returns the only random number generator of the run. The order of draws determines the run,
-     * so it must not change.
+     * Returns the only random number generator of the run. The order of draws is part of the run: a
+     * change of it changes what a seed simulates.
      */
     Random random() {
         return random;
@@ -47,7 +47,7 @@
         nowSeconds += STEP_SECONDS;
     }
 
-    /** Disables the random loss of messages from now on. */
+    /** Disables the random loss of responses to heartbeats and to scale-out requests. */
     void disableRandomFaults() {
         randomFaultsDisabled = true;
     }
