--- a/src/main/java/io/kelphoist/records/PackedRecords.java
+++ b/src/main/java/io/kelphoist/records/PackedRecords.java
@@ -40,8 +40,8 @@
     }
 
     /**
-     * A page with a smaller fraction of free bytes gets no new entries: each of its writes would
-     * add only few of them.
+     * A page with a smaller fraction of free bytes is not chosen as {@link #openPage}, unless it
+     * has no entries: each of its writes would add only few new entries.
      */
     private static final double MIN_FREE_FRACTION = 0.25;
 
@@ -65,7 +65,9 @@
             new Reference2ObjectOpenHashMap<>();
     private int pageByteLimit;
 
-    /** The page that was last chosen for a new entry; null if none was. */
+    /**
+     * The page that was last chosen for new entries, and gets more while they fit; null if none.
+     */
     private RecordPage<E> openPage;
 
     private int writesInFlight;
@@ -80,8 +82,8 @@
      * Creates records without entries.
      *
      * @param pageByteLimit the most bytes of a page
-     * @param writeIntervalSeconds seconds between two writes; pages that are written at the same
-     *     time are separate writes, each followed by one interval
+     * @param writeIntervalSeconds seconds between two writes; after several pages were written at
+     *     the same time, the next write follows after one interval for each of them
      * @param entryBytes an upper bound of the bytes of an entry's stored form
      * @param isCurrent whether an entry still belongs in the next write of its page
      * @param writer writes the pages
@@ -292,8 +294,8 @@
     }
 
     /**
-     * Handles the outcome of a page write. A page that may not be stored is written again, except
-     * one that is too large and cannot be split.
+     * Handles the outcome of a page write. A page that is not known to be stored is written again,
+     * except one that is too large and cannot be split.
      *
      * @return the entries of the write; empty if no write of this page was in flight
      */
--- a/src/main/java/io/kelphoist/scheduler/SchedulerState.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerState.java
@@ -45,7 +45,7 @@
      * Creates the scheduler of a term, without jobs and machines.
      *
      * @param delegatedRenewals when delegates may have renewed a machine's lease
-     * @param promotionGate the conditions for the first decision
+     * @param promotionGate the conditions for scheduling decisions and for requesting machines
      * @param term the leader's term, which is its fencing token
      * @param machineTypes the machine types of the cloud that are known at this time
      */
@@ -131,7 +131,7 @@
         return components.imageCatalog.describeCached(machine.name(), machine.images().cached());
     }
 
-    /** The states, to be replicated to followers, of machines that are up or about to be up. */
+    /** The machines that are up, draining, joining or booting, as replicated to followers. */
     public List<ReplicatedMachine> replicatedMachines() {
         return MachineReplication.describe(machines.all(), components.context.catalog().zones());
     }
@@ -177,7 +177,10 @@
         components.stateRecovery.onProgressLoaded(pageNumber, stored);
     }
 
-    /** Restores the images that an earlier term stored as cached on a machine, at any time. */
+    /**
+     * Restores the images that an earlier term stored as cached on a machine. May be called at any
+     * time, also after {@link #onRecordsLoaded}.
+     */
     public void onImagesLoaded(int pageNumber, CachedImages images) {
         components.stateRecovery.onImagesLoaded(pageNumber, images);
     }
@@ -280,7 +283,7 @@
 
     // ---- cloud ----
 
-    /** Adds machine types that the cloud offers; a type replaces a previous one of its name. */
+    /** Adds machine types that the cloud offers; each replaces the one of the same name, if any. */
     public void addMachineTypes(Collection<MachineType> newTypes) {
         components.context.catalog().addTypes(newTypes);
     }
@@ -312,7 +315,7 @@
 
     // ---- time ----
 
-    /** Runs the work that is due and the decisions. Called often and after each input event. */
+    /** Does the work that is due, and makes decisions. Called often and after each input event. */
     public void tick(double nowSeconds) {
         components.leaseMonitor.run(nowSeconds);
         components.jobEndWriter.storeDueEnds();
--- a/src/main/java/io/kelphoist/scheduler/StateRecovery.java
+++ b/src/main/java/io/kelphoist/scheduler/StateRecovery.java
@@ -56,8 +56,8 @@
 
     /**
      * Restores a start that an earlier term recorded. The task is presumed to run on the machine
-     * until the machine sends a heartbeat or its lease has expired. No task without a record can
-     * run there, because each start is recorded before it is sent.
+     * until the machine sends a heartbeat under this term or its lease has expired. No task without
+     * a record can run there, because each start is recorded before it is sent.
      */
     void onStartLoaded(int pageNumber, RecordedStart start, double nowSeconds) {
         MachineType machineType = catalog.type(start.machineType());
@@ -95,9 +95,10 @@
     }
 
     /**
-     * Restores a machine from the state that an earlier leader replicated, which is only a hint
-     * that a status request must be sent to it. Its lease is measured from now, because it is
-     * unknown when an earlier leader last acknowledged a heartbeat of it.
+     * Restores a machine from the state that an earlier leader replicated. That state is only a
+     * hint as to which machines status requests are to be sent to. The lease of a machine that was
+     * not registered is measured from now, because it is unknown when an earlier leader last
+     * acknowledged a heartbeat of it.
      */
     void onReplicatedMachine(ReplicatedMachine replicated, double nowSeconds) {
         MachineType machineType = catalog.type(replicated.machineType());
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/AttemptReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/AttemptReconciler.java
@@ -43,7 +43,10 @@
         this.startIntentLog = startIntentLog;
     }
 
-    /** Ends the attempts of earlier agent epochs, because the worker has started a new one. */
+    /**
+     * Ends the attempts of earlier agent epochs. The worker has started a new epoch, so no task of
+     * an earlier one is on the machine any more.
+     */
     void endAgentEpoch(Machine machine, long newAgentEpoch, double nowSeconds) {
         int previousAttemptCount = machine.attempts().size();
         for (TaskAttempt attempt : machine.attempts().copy()) {
@@ -99,7 +102,7 @@
         } else if (attempt.state() == TaskAttempt.State.STARTING) {
             // A start command in a response to a heartbeat is executed before the worker's next
             // heartbeat or never. A direct command without a response may be executed at any later
-            // time, so an attempt with such a command stays until a worker lists it.
+            // time, so an attempt with such a command stays until the worker lists it.
             if (attempt.isStopping() && !attempt.mayStartArrive()) {
                 attempts.remove(attempt, nowSeconds);
             }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatResponder.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatResponder.java
@@ -31,6 +31,7 @@
                 addStartAndStop(commands, attempt);
             }
         }
+        // Only if no message newer than this heartbeat has been received from the machine.
         if (heartbeat.isNewerThan(machine.agentEpoch(), machine.contact().sequenceNumber() - 1)) {
             addForTasksOfUnregisteredJobs(commands, jobs, machine, heartbeat.tasks());
         }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
@@ -29,7 +29,10 @@
     /** Delay before a job is placed again after a refusal for any other reason. */
     private static final double REFUSED_RETRY_SECONDS = 0.5;
 
-    /** A machine on which tasks of this many different jobs failed is treated as faulty. */
+    /**
+     * A machine on which tasks of this many different jobs failed is treated as faulty. Jobs that
+     * are suspected faulty themselves are not counted.
+     */
     private static final int FAULTY_MACHINE_FAILED_JOBS = 2;
 
     private final AttemptLifecycle attempts;
@@ -221,7 +224,7 @@
     private static void onFailed(TaskAttempt attempt, double nowSeconds) {
         Job job = attempt.job();
         Machine machine = attempt.machine();
-        boolean wasSuspect = job.isSuspectedFaulty();
+        boolean wasSuspectedFaulty = job.isSuspectedFaulty();
         job.failures().onTaskFailed(machine.recordFailure(job), nowSeconds);
         LOG.info(
                 "task failed: job={} task={} machine={} jobErrors={} failedMachines={}",
@@ -230,7 +233,7 @@
                 machine.name(),
                 job.failures().errorCount(),
                 job.failures().failedMachineCount());
-        if (job.isSuspectedFaulty() && !wasSuspect) {
+        if (job.isSuspectedFaulty() && !wasSuspectedFaulty) {
             LOG.warn(
                     "job fails on every machine, limiting it to one task or gang at a time: job={}",
                     job.spec().id());
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/package-info.java
@@ -8,8 +8,8 @@
  *
  * <p>Owns whether a worker has seen a newer term ({@link
  * io.kelphoist.scheduler.heartbeats.HeartbeatSenderResolver}); all other state that it changes
- * belongs to packages below it, mainly {@code cluster}, {@code reachability} and {@code lifecycle}.
- * Must not depend on packages that place tasks or scale the cluster, except for the boot times that
- * it reports to {@code autoscaling}.
+ * belongs to packages that this one depends on, mainly {@code cluster}, {@code reachability} and
+ * {@code lifecycle}. Must not depend on packages that place tasks or scale the cluster, except for
+ * the boot times that it reports to {@code autoscaling}.
  */
 package io.kelphoist.scheduler.heartbeats;
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
@@ -32,7 +32,10 @@
     /** How many ends of jobs are cached; others are read from the state store. */
     private static final int MAX_CACHED_ENDS = 20_000;
 
-    /** The most cancellation writes in flight, and the most record reads requested at a time. */
+    /**
+     * The most cancellation writes in flight, and the most record reads that one call of {@link
+     * #sendDueRequests} requests.
+     */
     private static final int MAX_REQUESTS = 32;
 
     private static final double READ_RETRY_SECONDS = 5;
@@ -46,11 +49,11 @@
     private final Cache<String, JobEnd> endsByJobId =
             CacheBuilder.newBuilder().maximumSize(MAX_CACHED_ENDS).concurrencyLevel(1).build();
 
-    /** The dependents of each job that is not recorded as ended, by the id of that job. */
+    /** The dependents of each job whose end is not cached, by the id of that job. */
     private final Object2ObjectOpenHashMap<String, Set<Job>> dependentsByJobId =
             new Object2ObjectOpenHashMap<>();
 
-    /** When to read the records of dependencies for which no record was received. */
+    /** When to read the record of each dependency that is not registered and has no cached end. */
     private final Map<String, Double> readDueAtSecondsByJobId = new HashMap<>();
 
     /** Jobs whose cancellation is not stored yet. */
@@ -153,15 +156,15 @@
     }
 
     /**
-     * Whether the cancellation of the job was received, even if the job itself was never
-     * registered: a record older than the cancellation must not register it.
+     * Whether the cancellation of the job was received and is still cached, even if the job itself
+     * was never registered: a record older than the cancellation must not register it.
      */
     boolean isCancelled(String jobId) {
         JobEnd end = endsByJobId.getIfPresent(jobId);
         return end != null && !end.done;
     }
 
-    /** Removes the edges of a job that has ended to its dependencies. */
+    /** Removes a job that has ended from the dependents of its dependencies. */
     private void removeDependent(Job job) {
         for (String dependencyId : job.spec().dependencies()) {
             Set<Job> otherDependents = dependentsByJobId.get(dependencyId);
@@ -228,7 +231,10 @@
         }
     }
 
-    /** Returns whether the urgency of the job has changed. */
+    /**
+     * Recomputes the urgency of a job from its own description and its open dependents. Returns
+     * whether the urgency has changed.
+     */
     private boolean recomputeUrgency(Job dependency) {
         Priority priority = dependency.priority();
         double latestFinishAtSeconds = dependency.latestFinishAtSeconds();
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobEndWriter.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobEndWriter.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * Requests that the ends of jobs whose tasks are all done are stored, and repeats each request
- * until the state store has confirmed it.
+ * Requests that the ends of jobs whose tasks are all done are stored. A request that failed or has
+ * an unknown outcome is repeated until the state store has confirmed an end of the job.
  */
 public final class JobEndWriter {
     private final SchedulerOutput output;
--- a/src/main/java/io/kelphoist/scheduler/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/package-info.java
@@ -9,7 +9,8 @@
  * scheduler requires of its environment in {@code spi}; the records that it stores in {@code
  * records}; decisions in {@code placement}, {@code preemption}, {@code allocation} and {@code
  * autoscaling}; the handling of input events in {@code lifecycle}, {@code jobrecords} and {@code
- * heartbeats}. No subpackage uses this package.
+ * heartbeats}. No subpackage uses this package. {@code ArchitectureTest} lists the subpackages from
+ * the lowest up.
  *
  * <p>This package and its subpackages use no I/O, no clock and no randomness, so that a simulation
  * with the same inputs gives the same outputs. They depend only on {@code model} and {@code
--- a/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
@@ -64,6 +64,7 @@
             boolean alreadyOnPage = pages.contains(machine);
             pages.restore(unclaimed.pageNumber, machine);
             if (alreadyOnPage) {
+                // The entry has grown by the restored images and must be written with them.
                 pages.put(machine);
             }
         }
--- a/src/main/java/io/kelphoist/scheduler/records/ProgressRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/ProgressRecords.java
@@ -96,7 +96,7 @@
                 Integer.highestOneBit(bytesForTasks * TASKS_PER_ENCODED_BYTE));
     }
 
-    /** Adds an entry that an earlier term stored, whose segments may have been larger. */
+    /** Adds an entry that an earlier term stored. Segments of that term may have been larger. */
     public void restore(int pageNumber, Job job, int firstTask) {
         int endTask = Math.min(firstTask + MAX_TASKS_PER_SEGMENT, job.spec().tasks());
         for (int task = firstTask; task < endTask; task += tasksPerSegment) {
--- a/src/main/java/io/kelphoist/scheduler/records/StartIntentLog.java
+++ b/src/main/java/io/kelphoist/scheduler/records/StartIntentLog.java
@@ -95,7 +95,7 @@
 
     /**
      * Handles the outcome of a page write: marks the attempts in it as recorded if it was stored.
-     * Returns the machines of these attempts.
+     * Returns the machines of these attempts, whatever the outcome.
      */
     public Set<Machine> onPageWritten(int pageNumber, PageWriteOutcome outcome) {
         Set<Machine> machines = new ReferenceLinkedOpenHashSet<>();
--- a/src/test/java/io/kelphoist/scheduler/ScenarioLine.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioLine.java
@@ -59,7 +59,7 @@
         return isFirstOf(index, "true", "false");
     }
 
-    /** Whether the word is the first of two alternatives; any other word than these is an error. */
+    /** Whether the word is the first of two alternatives; a word that is neither is an error. */
     boolean isFirstOf(int index, String first, String second) {
         String word = word(index);
         if (!word.equals(first) && !word.equals(second)) {
--- a/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
@@ -205,7 +205,9 @@
                 .collect(Collectors.joining(" "));
     }
 
-    /** The tasks that may run on each machine according to all stored pages. */
+    /**
+     * The tasks that may run on each machine, according to the last requested write of each page.
+     */
     String recordedStarts() {
         Map<String, Set<String>> tasksByMachine = new TreeMap<>();
         for (List<TaskAttempt> page : recordedStartsByPage.values()) {
--- a/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
+++ b/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
@@ -37,8 +37,9 @@
 
 /**
  * Benchmark of the scheduler for different numbers of machines; a program, not a test. The emulated
- * workers, cloud and state store respond immediately. Command: {@code mvn -q test-compile exec:java
- * -Dexec.mainClass=io.kelphoist.scheduler.SchedulerBenchmark -Dexec.classpathScope=test}
+ * workers and state store respond immediately; requests to the cloud are ignored, because all
+ * machines are up from the start or come up by themselves. Command: {@code mvn -q test-compile
+ * exec:java -Dexec.mainClass=io.kelphoist.scheduler.SchedulerBenchmark -Dexec.classpathScope=test}
  */
 public final class SchedulerBenchmark implements SchedulerOutput {
     private static final int[] MACHINE_COUNTS = {250, 500, 1000, 2000, 4000};
@@ -144,6 +145,7 @@
                 Map.of());
     }
 
+    /** The gate of a leader whose conditions for decisions and scale-out all hold. */
     private static final class OpenPromotionGate implements PromotionGate {
         @Override
         public boolean maySchedule(double atSeconds) {
@@ -298,7 +300,10 @@
         }
     }
 
-    /** Measures how long the next leader takes to load all records and one round of heartbeats. */
+    /**
+     * Measures how long the next leader takes to load all records, to handle one heartbeat from
+     * each machine and to make its first decisions, in milliseconds.
+     */
     private double measureFailover() {
         long startNanos = System.nanoTime();
         startTerm(2);
