--- a/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
+++ b/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
@@ -36,9 +36,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Benchmark of the scheduler for different numbers of machines; a program, not a test. The emulated
- * workers and state store respond immediately; requests to the cloud are ignored, because all
- * machines are up from the start or come up by themselves. Command: {@code mvn -q test-compile
+ * Benchmark of the scheduler for different numbers of machines; a program, not a test. Emulated
+ * workers and state store respond at once; cloud requests are ignored. {@code mvn -q test-compile
  * exec:java -Dexec.mainClass=io.kelphoist.scheduler.SchedulerBenchmark -Dexec.classpathScope=test}
  */
 public final class SchedulerBenchmark implements SchedulerOutput {
@@ -300,10 +299,7 @@
         }
     }
 
-    /**
-     * Measures how long the next leader takes to load all records, to handle one heartbeat from
-     * each machine and to make its first decisions, in milliseconds.
-     */
+    /** Milliseconds in which the next leader loads all records and handles a heartbeat round. */
     private double measureFailover() {
         long startNanos = System.nanoTime();
         startTerm(2);
