--- a/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
+++ b/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
@@ -299,7 +299,7 @@
         }
     }
 
-    /** Milliseconds in which the next leader loads all records and handles a heartbeat round. */
+    /** Returns how many ms a new leader takes to load all records and handle a heartbeat round. */
     private double measureFailover() {
         long startNanos = System.nanoTime();
         startTerm(2);
