--- a/src/main/java/io/kelphoist/leadership/LeaderTerm.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTerm.java
@@ -32,7 +32,7 @@
     record Identity(long number, long version, double startedAtSeconds) {}
 
     /** The components that are created for each term. */
-    record Parts(
+    record Components(
             Failover failover,
             SchedulerState schedulerState,
             TermRecordStore store,
@@ -74,7 +74,7 @@
             LeaderContext context,
             ReplicationHandlers replication,
             CloudGateway cloudGateway,
-            Parts parts) {
+            Components parts) {
         this.identity = identity;
         this.election = election;
         this.context = context;
--- a/src/main/java/io/kelphoist/leadership/LeaderTermFactory.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTermFactory.java
@@ -49,7 +49,7 @@
     LeaderTerm start(long termNumber, long termVersion, Election election) {
         LeaderTerm.Identity identity =
                 new LeaderTerm.Identity(termNumber, termVersion, context.nowSeconds());
-        LeaderTerm.Parts parts = newParts(identity, election);
+        LeaderTerm.Components parts = newParts(identity, election);
         LeaderTerm term =
                 new LeaderTerm(
                         identity, election, context, replication, systems.cloudGateway(), parts);
@@ -59,7 +59,7 @@
         return term;
     }
 
-    private LeaderTerm.Parts newParts(LeaderTerm.Identity identity, Election election) {
+    private LeaderTerm.Components newParts(LeaderTerm.Identity identity, Election election) {
         TermRecordStore store = newStore(identity, election);
         WorkerCommandSender commandSender =
                 new WorkerCommandSender(
@@ -78,7 +78,7 @@
                         identity.number(),
                         systems.cloudGateway().machineTypes());
         output.attach(schedulerState, failover);
-        return new LeaderTerm.Parts(failover, schedulerState, store, output);
+        return new LeaderTerm.Components(failover, schedulerState, store, output);
     }
 
     private TermRecordStore newStore(LeaderTerm.Identity identity, Election election) {
--- a/src/main/java/io/kelphoist/model/ReplicatedMachine.java
+++ b/src/main/java/io/kelphoist/model/ReplicatedMachine.java
@@ -10,7 +10,7 @@
  * @param hasReported whether the worker has sent a heartbeat; otherwise the machine is booting
  * @param drainedAsFaulty whether the leader drains the machine because it is faulty
  * @param possiblyDisconnected whether the worker has missed a heartbeat
- * @param commandUnanswered whether a command to the worker has had no response yet
+ * @param commandOutcomeUnknown whether a command to the worker has had no response yet
  * @param launchedAtSeconds when the machine was launched, on the monotonic clock of the controller
  *     that holds this object
  * @param terminationAtSeconds when the cloud will terminate the machine, on the same clock;
@@ -26,7 +26,7 @@
         boolean hasReported,
         boolean drainedAsFaulty,
         boolean possiblyDisconnected,
-        boolean commandUnanswered,
+        boolean commandOutcomeUnknown,
         double launchedAtSeconds,
         double terminationAtSeconds) {
     /** Returns the same state with its times converted to a clock that is ahead by an offset. */
@@ -41,7 +41,7 @@
                 hasReported,
                 drainedAsFaulty,
                 possiblyDisconnected,
-                commandUnanswered,
+                commandOutcomeUnknown,
                 launchedAtSeconds + offsetSeconds,
                 terminationAtSeconds + offsetSeconds);
     }
--- a/src/main/java/io/kelphoist/model/SchedulingPolicy.java
+++ b/src/main/java/io/kelphoist/model/SchedulingPolicy.java
@@ -12,7 +12,7 @@
  * @param leaseSeconds duration of a worker lease
  * @param gangPeerTimeoutSeconds time within which tasks of a gang detect that another task of the
  *     gang is no longer running
- * @param holdRetryDelaySeconds after the hold of a machine for a job expired, how long no other
+ * @param machineHoldBackoffSeconds after the hold of a machine for a job expired, how long no other
  *     machine is held for that job
  * @param localityWaitSeconds how long a job array waits for a machine that has its image in the
  *     cache
@@ -34,7 +34,7 @@
         double heartbeatIntervalSeconds,
         double leaseSeconds,
         double gangPeerTimeoutSeconds,
-        double holdRetryDelaySeconds,
+        double machineHoldBackoffSeconds,
         double localityWaitSeconds,
         double machineHoldSeconds,
         double gangHoldSeconds,
--- a/src/main/java/io/kelphoist/peer/ReplicationCodec.java
+++ b/src/main/java/io/kelphoist/peer/ReplicationCodec.java
@@ -36,7 +36,7 @@
     private static final int FLAG_HAS_REPORTED = 1;
     private static final int FLAG_DRAINED_AS_FAULTY = 2;
     private static final int FLAG_POSSIBLY_DISCONNECTED = 4;
-    private static final int FLAG_COMMAND_UNANSWERED = 8;
+    private static final int FLAG_COMMAND_OUTCOME_UNKNOWN = 8;
     private static final int FLAG_SPOT = 16;
 
     /**
@@ -76,7 +76,7 @@
                     (machine.hasReported() ? FLAG_HAS_REPORTED : 0)
                             | (machine.drainedAsFaulty() ? FLAG_DRAINED_AS_FAULTY : 0)
                             | (machine.possiblyDisconnected() ? FLAG_POSSIBLY_DISCONNECTED : 0)
-                            | (machine.commandUnanswered() ? FLAG_COMMAND_UNANSWERED : 0)
+                            | (machine.commandOutcomeUnknown() ? FLAG_COMMAND_OUTCOME_UNKNOWN : 0)
                             | (machine.spot() ? FLAG_SPOT : 0);
             ArrayNode node =
                     target.addArray()
@@ -158,7 +158,7 @@
                 (flags & FLAG_HAS_REPORTED) != 0,
                 (flags & FLAG_DRAINED_AS_FAULTY) != 0,
                 (flags & FLAG_POSSIBLY_DISCONNECTED) != 0,
-                (flags & FLAG_COMMAND_UNANSWERED) != 0,
+                (flags & FLAG_COMMAND_OUTCOME_UNKNOWN) != 0,
                 machine.path(LAUNCHED_AT_INDEX).asDouble(),
                 machine.path(TERMINATION_AT_INDEX).asDouble(Double.POSITIVE_INFINITY));
     }
--- a/src/main/java/io/kelphoist/replication/MachineStateDigests.java
+++ b/src/main/java/io/kelphoist/replication/MachineStateDigests.java
@@ -19,7 +19,7 @@
     private static final int REPORTED_BIT = 2;
     private static final int FAULTY_BIT = 4;
     private static final int DISCONNECTED_BIT = 8;
-    private static final int UNANSWERED_BIT = 16;
+    private static final int OUTCOME_UNKNOWN_BIT = 16;
 
     private final long[] digests = new long[SHARD_COUNT];
 
@@ -52,7 +52,7 @@
                 + (machine.hasReported() ? REPORTED_BIT : 0)
                 + (machine.drainedAsFaulty() ? FAULTY_BIT : 0)
                 + (machine.possiblyDisconnected() ? DISCONNECTED_BIT : 0)
-                + (machine.commandUnanswered() ? UNANSWERED_BIT : 0);
+                + (machine.commandOutcomeUnknown() ? OUTCOME_UNKNOWN_BIT : 0);
     }
 
     /** Returns the digest of a shard; 0 if the shard has no machines. */
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -143,7 +143,7 @@
             Job job = hold.job();
             if (job.isActive() && job.tasks().hasPending()) {
                 job.capacityAcquisition()
-                        .postponeMachineHold(nowSeconds + policy.holdRetryDelaySeconds());
+                        .postponeMachineHold(nowSeconds + policy.machineHoldBackoffSeconds());
             }
             hold.end();
         }
--- a/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
@@ -233,7 +233,7 @@
      */
     public void applyReplicated(ReplicatedMachine replicated, boolean awaitsFirstHeartbeat) {
         replicatedAgentEpoch = replicated.agentEpoch();
-        previousLeaderCommandOutcomeUnknown = replicated.commandUnanswered();
+        previousLeaderCommandOutcomeUnknown = replicated.commandOutcomeUnknown();
         if (replicated.possiblyDisconnected() && awaitsFirstHeartbeat) {
             reachability.onDeliveryFailed(lastHeartbeatAtSeconds);
         }
