--- a/src/main/java/io/kelphoist/leadership/CancellationReplication.java
+++ b/src/main/java/io/kelphoist/leadership/CancellationReplication.java
@@ -43,7 +43,10 @@
     /** The term led here; empty while no term is led here or its records are not loaded. */
     private Optional<LoadedTerm> loadedTerm = Optional.empty();
 
-    /** The last {@link #watermarkSeconds} of the term led here; NaN while no term is led here. */
+    /**
+     * The last {@link #watermarkSeconds} of the term led here; NaN while no term is led here or its
+     * records are not loaded.
+     */
     private volatile double lastWatermarkSeconds = Double.NaN;
 
     /**
@@ -143,8 +146,8 @@
 
     /**
      * The watermark: every cancellation that any controller confirmed to a user before this moment,
-     * on the loop's clock, has been received here. While this controller leads, it has also been
-     * applied to the scheduler.
+     * on the loop's clock, has been received here. While a term with loaded records is led here, it
+     * has also been applied to the scheduler. Otherwise it was received with the records of jobs.
      */
     public double watermarkSeconds() {
         if (loadedTerm.isEmpty()) {
@@ -181,7 +184,10 @@
 
     // ---- for the metrics ----
 
-    /** Age of the last {@link #watermarkSeconds} in seconds; NaN while no term is led here. */
+    /**
+     * Age of the last {@link #watermarkSeconds} in seconds; NaN while no term is led here or its
+     * records are not loaded.
+     */
     public double watermarkAgeSeconds() {
         return loop.nowSeconds() - lastWatermarkSeconds;
     }
--- a/src/main/java/io/kelphoist/leadership/CloudGateway.java
+++ b/src/main/java/io/kelphoist/leadership/CloudGateway.java
@@ -21,8 +21,9 @@
 /**
  * Passes requests of the current term's scheduler to the cloud, and the responses back to the
  * scheduler. Owns this controller's list of machine types, which the leader stores in the state
- * store for the other controllers. Responses about instances that arrive after the end of the term
- * that sent the request are discarded. Runs on the event loop.
+ * store for the other controllers. A response to an instance list, scale-out or scale-in request
+ * that arrives after the end of the term that sent the request is discarded. Runs on the event
+ * loop.
  */
 public final class CloudGateway {
     private static final Logger LOG = LoggerFactory.getLogger(CloudGateway.class);
@@ -142,6 +143,7 @@
 
     private void applyFetchedTypes(List<MachineType> fetched) {
         if (fetched.isEmpty()) {
+            // Makes the next request due after the retry interval.
             typesFetchedAtSeconds =
                     eventLoop.nowSeconds() - TYPES_REFRESH_SECONDS + TYPES_RETRY_SECONDS;
             return;
@@ -213,7 +215,10 @@
                 });
     }
 
-    /** Requests that the cloud terminate machines. The outcome goes to the current scheduler. */
+    /**
+     * Requests that the cloud terminate machines. The outcome goes to the scheduler of the current
+     * term.
+     */
     void scaleIn(List<String> machines) {
         Optional<CurrentTerm> requestingTerm = currentTerm;
         List<String> machineNames = new ArrayList<>(machines);
--- a/src/main/java/io/kelphoist/leadership/GrantExchange.java
+++ b/src/main/java/io/kelphoist/leadership/GrantExchange.java
@@ -21,9 +21,9 @@
  */
 public final class GrantExchange implements LeaderElector.GrantMessages {
     /**
-     * A replica of the records whose last update is older is not considered current. The state
-     * store holds a watch request of a follower for up to 4 seconds, so a current replica may lag
-     * that much.
+     * The replica of the records is not considered current if for this long no read or watch
+     * request of it has succeeded. This is longer than the 4 seconds for which the state store may
+     * hold a watch request of a follower while nothing changes.
      */
     private static final double MAX_REPLICA_LAG_SECONDS = 5;
 
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -68,7 +68,7 @@
 
         /**
          * Returns the last changes of machine state in the ended term, for the handover message to
-         * a peer.
+         * a peer; empty if machine state is not replicated.
          */
         Optional<MachineStateUpdate> handoverUpdate(String peer);
 
@@ -88,8 +88,8 @@
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     /**
-     * After this long without a grant request of the leader the keys are read at an interval,
-     * because the watch may report changes late.
+     * After this long without a grant request or a change of the leader the keys are read at an
+     * interval, because the watch may report changes late.
      */
     private static final double LEADER_SILENCE_SECONDS = 1.0;
 
--- a/src/main/java/io/kelphoist/leadership/LeaderTerm.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTerm.java
@@ -74,16 +74,16 @@
             LeaderContext context,
             ReplicationHandlers replication,
             CloudGateway cloudGateway,
-            Components parts) {
+            Components components) {
         this.identity = identity;
         this.election = election;
         this.context = context;
         this.replication = replication;
         this.cloudGateway = cloudGateway;
-        this.failover = parts.failover;
-        this.schedulerState = parts.schedulerState;
-        this.store = parts.store;
-        this.output = parts.output;
+        this.failover = components.failover;
+        this.schedulerState = components.schedulerState;
+        this.store = components.store;
+        this.output = components.output;
     }
 
     /** The scheduler of this term. */
@@ -151,8 +151,10 @@
     }
 
     /**
-     * Applies a confirmed cancellation: a controller has acknowledged it to a user, so it is
-     * stored, even if its record cannot be read from here at the moment.
+     * Applies a confirmed cancellation: a controller has acknowledged it to a user, or is about to,
+     * so it is stored, even if its record cannot be read from here at the moment. The version of
+     * that record is not known here; the highest possible one makes the scheduler accept the
+     * cancellation as newer than any record of the job that it has.
      */
     private void onCancellationConfirmed(String jobId) {
         JobRecord cancelled = new JobRecord(jobId, null, JobStatus.CANCELLED, 0, Long.MAX_VALUE);
@@ -163,9 +165,9 @@
     // ---- leading ----
 
     /**
-     * Advances the failover and runs the scheduler, which decides nothing until the failover is
-     * complete. From then on also reconciles the scheduler's jobs with their records at an
-     * interval.
+     * Advances the failover and runs the scheduler, which neither places tasks nor scales the
+     * cluster until the failover is complete. From then on also reconciles the scheduler's jobs
+     * with their records at an interval.
      */
     public void decide(double nowSeconds) {
         failover.advance(schedulerState.machines(), nowSeconds);
--- a/src/main/java/io/kelphoist/leadership/LeaderTermFactory.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTermFactory.java
@@ -49,17 +49,22 @@
     LeaderTerm start(long termNumber, long termVersion, Election election) {
         LeaderTerm.Identity identity =
                 new LeaderTerm.Identity(termNumber, termVersion, context.nowSeconds());
-        LeaderTerm.Components parts = newParts(identity, election);
+        LeaderTerm.Components components = newComponents(identity, election);
         LeaderTerm term =
                 new LeaderTerm(
-                        identity, election, context, replication, systems.cloudGateway(), parts);
-        systems.cloudGateway().onTermStarted(parts.schedulerState(), parts.store());
-        replication.machineStates().onTermStarted(parts.failover());
+                        identity,
+                        election,
+                        context,
+                        replication,
+                        systems.cloudGateway(),
+                        components);
+        systems.cloudGateway().onTermStarted(components.schedulerState(), components.store());
+        replication.machineStates().onTermStarted(components.failover());
         term.start();
         return term;
     }
 
-    private LeaderTerm.Components newParts(LeaderTerm.Identity identity, Election election) {
+    private LeaderTerm.Components newComponents(LeaderTerm.Identity identity, Election election) {
         TermRecordStore store = newStore(identity, election);
         WorkerCommandSender commandSender =
                 new WorkerCommandSender(
--- a/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
@@ -25,19 +25,20 @@
          * This controller has acquired the leadership.
          *
          * @param revision revision at which the leadership keys were written
-         * @param sentAtSeconds when the lease was requested, from when on its duration is counted
+         * @param sentAtSeconds when the lease was requested; its duration is counted from then on
          */
         void onAcquired(long term, long leaseId, long revision, double sentAtSeconds);
 
         /**
-         * The leader key is held already, normally by another controller; followed by {@link
-         * #onFailed}.
+         * The leader key exists already. It names another controller, or this one if it is still
+         * attached to the lease of an earlier attempt or process. Followed by {@link #onFailed}.
          */
         void onHeldByOther(LeaderRecord leader);
 
         /**
-         * The attempt has failed. If a lease was created, its revocation has been requested,
-         * without waiting for the outcome.
+         * The attempt has failed. If it received a lease, the revocation of that lease has been
+         * requested, without waiting for the outcome. A lease whose creation had an unknown outcome
+         * is not revoked.
          */
         void onFailed();
     }
--- a/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
+++ b/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
@@ -76,8 +76,10 @@
     // ---- as the leader ----
 
     /**
-     * Starts a term that is led here, which ends a held delegation of an earlier term. Returns when
-     * leases may have been renewed under delegations, for the scheduler of the term.
+     * Starts a term that is led here, which ends a held delegation of an earlier term.
+     *
+     * @return tells the scheduler of the term until when leases may have been renewed under
+     *     delegations
      */
     DelegatedRenewals onElected(long term, double nowSeconds) {
         heldDelegation.onTermObserved(term);
--- a/src/main/java/io/kelphoist/leadership/MachineStateReplication.java
+++ b/src/main/java/io/kelphoist/leadership/MachineStateReplication.java
@@ -37,7 +37,7 @@
     /** The publisher of the term that is led here; empty while none is or if not enabled. */
     private Optional<MachineStatePublisher> publisher = Optional.empty();
 
-    /** The publisher of the last term that ended here. */
+    /** The publisher of the last term that ended here; empty if none ended or if not enabled. */
     private Optional<MachineStatePublisher> lastTermPublisher = Optional.empty();
 
     /** The failover of the term that is led here; empty while none is. */
@@ -187,7 +187,7 @@
 
     /**
      * Number of changes that the follower with the greatest lag has not acknowledged; 0 while no
-     * term is led here.
+     * term is led here, and if machine state is not replicated.
      */
     public long maxFollowerLag() {
         return publisher.isPresent() ? publisher.get().maxLag() : 0;
--- a/src/main/java/io/kelphoist/leadership/RecordReplication.java
+++ b/src/main/java/io/kelphoist/leadership/RecordReplication.java
@@ -236,7 +236,8 @@
     }
 
     /**
-     * Seconds since the last response of the state store to a read or watch of any kind of record.
+     * Seconds since the last successful response of the state store to a read or watch of any kind
+     * of record; infinite if there was none.
      */
     public double lagSeconds() {
         return eventLoop.nowSeconds() - lastUpdateAtSeconds;
--- a/src/main/java/io/kelphoist/leadership/StartPages.java
+++ b/src/main/java/io/kelphoist/leadership/StartPages.java
@@ -12,7 +12,8 @@
     private StartPages() {}
 
     /**
-     * Encodes a page of attempts that may be running on machines.
+     * Encodes a page of attempts that may be running, or may soon be started, on their machines: a
+     * start is stored before its start command is sent.
      *
      * @param zoneName returns the name of a zone by its index
      */
--- a/src/main/java/io/kelphoist/leadership/TermRecordStore.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordStore.java
@@ -38,7 +38,7 @@
     private static final double READ_RETRY_SECONDS = 0.2;
     private static final double MILLIS_PER_SECOND = 1000.0;
 
-    /** Estimated size of the machine types in a transaction; they take less. */
+    /** Size assumed for the machine types in a transaction; they take less. */
     private static final int MAX_MACHINE_TYPES_BYTES = 1000;
 
     private final StateStoreReader stateReader;
@@ -47,7 +47,7 @@
     private final LongSupplier wallClockMillis;
     private final int maxValueBytes;
 
-    /** Set when the records are loaded, before anything is stored. */
+    /** Set when the records are loaded, before any write whose outcome it receives. */
     private SchedulerState schedulerState;
 
     /**
@@ -163,7 +163,10 @@
         }
     }
 
-    /** Reads a job's record, and reports to the scheduler either the record or that none exists. */
+    /**
+     * Reads a job's record, and reports to the scheduler either the record or that none exists.
+     * Reports neither if the read failed or the record is malformed.
+     */
     public void readJob(String jobId) {
         stateReader.get(
                 StateStoreKeys.jobKey(jobId),
@@ -277,8 +280,9 @@
     }
 
     /**
-     * Reads the record of a job whose end was not stored or may not be: the job may have been
-     * cancelled, or its end may be stored already. Also checks whether a newer term is the cause.
+     * Reads the record of a job after the write of its end failed or had an unknown outcome: the
+     * job may have been cancelled, or its end may be stored already. Also checks whether a newer
+     * term is the cause.
      */
     private void readAfterFailedWrite(String jobId) {
         stateReader.get(
--- a/src/main/java/io/kelphoist/leadership/TermRecordWriter.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordWriter.java
@@ -77,7 +77,7 @@
      * record's version before it calls the handler, so that the caller may write the record again
      * at once.
      *
-     * @param urgency urgent if users wait for the outcome
+     * @param urgency urgent if a user or another operation waits for the outcome
      */
     void writeLeaderRecord(
             RecordMutation mutation,
--- a/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
+++ b/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
@@ -16,6 +16,7 @@
  * after the end of the term are discarded. Runs on the event loop.
  */
 final class WorkerCommandSender {
+    /** A request without commands, to which the worker responds with a heartbeat. */
     private static final List<WorkerCommand> STATUS_REQUEST = List.of();
 
     private static final DeliveryOutcome NOT_ATTEMPTED = DeliveryOutcome.NOT_ATTEMPTED;
@@ -95,9 +96,9 @@
     }
 
     /**
-     * Sends commands to a machine. Nothing is sent if this controller is not the leader at the
-     * moment, if the machine's address is unknown, or if there are only task starts and these are
-     * withheld. Such commands are sent with the next heartbeat response.
+     * Sends commands to a machine, except task starts while these are withheld. Sends nothing if no
+     * command is left, if this controller is not the leader at the moment, or if the machine's
+     * address is unknown. Commands that are not sent go with the next heartbeat response.
      */
     void sendCommands(Machine machine, long agentEpoch, List<WorkerCommand> commands) {
         List<WorkerCommand> permitted = context.renewalGate().permittedCommands(commands);
--- a/src/main/java/io/kelphoist/model/ReplicatedMachine.java
+++ b/src/main/java/io/kelphoist/model/ReplicatedMachine.java
@@ -10,7 +10,8 @@
  * @param hasReported whether the worker has sent a heartbeat; otherwise the machine is booting
  * @param drainedAsFaulty whether the leader drains the machine because it is faulty
  * @param possiblyDisconnected whether the worker has missed a heartbeat
- * @param commandOutcomeUnknown whether a command to the worker has had no response yet
+ * @param commandOutcomeUnknown whether commands to the worker are in flight, or a task start was
+ *     sent to it whose outcome is unknown
  * @param launchedAtSeconds when the machine was launched, on the monotonic clock of the controller
  *     that holds this object
  * @param terminationAtSeconds when the cloud will terminate the machine, on the same clock;
--- a/src/main/java/io/kelphoist/model/SchedulingPolicy.java
+++ b/src/main/java/io/kelphoist/model/SchedulingPolicy.java
@@ -12,13 +12,13 @@
  * @param leaseSeconds duration of a worker lease
  * @param gangPeerTimeoutSeconds time within which tasks of a gang detect that another task of the
  *     gang is no longer running
- * @param machineHoldBackoffSeconds after the hold of a machine for a job expired, how long no other
- *     machine is held for that job
- * @param localityWaitSeconds how long a job array waits for a machine that has its image in the
- *     cache
+ * @param machineHoldBackoffSeconds pause after an expired machine hold before a machine is held
+ *     again for the same job
+ * @param localityWaitSeconds maximum time for which a job array waits for a machine that has its
+ *     image in the cache
  * @param machineHoldSeconds maximum time for which a machine is held for a job
  * @param gangHoldSeconds maximum time for which resources are reserved for a gang
- * @param headroom share of machines that should be free
+ * @param headroom free resources to keep on on-demand machines, as a share of the machines in use
  * @param idleBeforeScaleInSeconds how long a machine must be idle before it is terminated to scale
  *     in
  * @param maxRecordBytes maximum size of a value in the state store
--- a/src/main/java/io/kelphoist/peer/GrantClient.java
+++ b/src/main/java/io/kelphoist/peer/GrantClient.java
@@ -56,7 +56,8 @@
      * Checks whether another controller is reachable. The probe is an empty request for task
      * events: every version responds to it, and it changes nothing at the receiver.
      *
-     * @param onResponse called if there is a response, also if its status is an error
+     * @param onResponse called if a response that can be decoded arrives, also if its status is an
+     *     error
      */
     public void probe(String peer, Runnable onResponse) {
         peers.call(
--- a/src/main/java/io/kelphoist/peer/HandoverMessage.java
+++ b/src/main/java/io/kelphoist/peer/HandoverMessage.java
@@ -9,9 +9,9 @@
  *
  * @param endedTerm the term that ended; 0 if the field is missing or is not a number
  * @param sender the name of the former leader; empty if the field is missing
- * @param preferredSuccessor the controller that should lead next; empty if the former leader does
- *     not know of any controller that is better prepared than the others, or if its version does
- *     not send the field
+ * @param preferredSuccessor the controller that should lead next; empty if no controller has
+ *     acknowledged machine state in the ended term, so that the former leader knows of none that is
+ *     better prepared than the others, or if its version does not send the field
  * @param machineStateUpdate the last changes of machines in the ended term; empty if machine state
  *     is not replicated
  */
--- a/src/main/java/io/kelphoist/peer/LeaderState.java
+++ b/src/main/java/io/kelphoist/peer/LeaderState.java
@@ -11,8 +11,8 @@
  * optional: some parts are not due with every request, and a leader of an older version omits those
  * that its version does not have.
  *
- * @param taskCounts the task counts of all jobs with started tasks, by job id; the map is not
- *     copied and must not be modified
+ * @param taskCounts the task counts of jobs with done or running tasks, by job id, up to a maximum
+ *     number of jobs; the map is not copied and must not be modified
  * @param machineStateUpdate the changes of machines that the receiver has not acknowledged
  * @param acknowledgedCancellations which of the cancellations that the receiver confirmed to users
  *     the leader has recorded
--- a/src/main/java/io/kelphoist/peer/ReplicationCodec.java
+++ b/src/main/java/io/kelphoist/peer/ReplicationCodec.java
@@ -94,7 +94,8 @@
     }
 
     /**
-     * Decodes an update; empty if the field or one of its sequence numbers or its clock is missing.
+     * Decodes an update; empty if the field, one of its sequence numbers or its clock is missing or
+     * malformed.
      */
     public static Optional<MachineStatePublisher.MachineStateUpdate> decodeUpdate(JsonNode node) {
         if (!node.path("after").isIntegralNumber()
--- a/src/main/java/io/kelphoist/peer/TaskEventCodec.java
+++ b/src/main/java/io/kelphoist/peer/TaskEventCodec.java
@@ -104,8 +104,8 @@
     private static void encodeType(JobEventType type, ObjectNode node) {
         if (type instanceof JobEventType.WaitingForDependencies) {
             node.put("what", "waiting");
-        } else if (type instanceof JobEventType.CapacityReserved held) {
-            node.put("what", "held").put("machines", held.machineCount());
+        } else if (type instanceof JobEventType.CapacityReserved reserved) {
+            node.put("what", "held").put("machines", reserved.machineCount());
         } else if (type instanceof JobEventType.Started started) {
             node.put("what", "started")
                     .put("task", started.task())
--- a/src/main/java/io/kelphoist/replication/RecordReplica.java
+++ b/src/main/java/io/kelphoist/replication/RecordReplica.java
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Notes that all records of a kind are applied as of a revision. */
+    /** All records of a kind have been applied as of a revision. A lower revision is ignored. */
     public void advanceRevision(RecordKind kind, long revision) {
         revisions.merge(kind, revision, Math::max);
     }
--- a/src/main/java/io/kelphoist/worker/WorkerClient.java
+++ b/src/main/java/io/kelphoist/worker/WorkerClient.java
@@ -27,7 +27,8 @@
     /** Receives the outcome of a request to a worker, on the event loop. */
     public interface CommandCallback {
         /**
-         * Called once when the request has ended.
+         * Called once when the request has ended, from within {@link #sendCommands} if no
+         * connection is available.
          *
          * @param heartbeat the status of the machine and its tasks in the worker's response; null
          *     if there was no usable response
--- a/src/test/java/io/kelphoist/heartbeat/HeartbeatRouterTest.java
+++ b/src/test/java/io/kelphoist/heartbeat/HeartbeatRouterTest.java
@@ -36,18 +36,19 @@
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 106.5));
         router.onRelayEnded("vm-1", true, 106.5);
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 108));
-        assertEquals(REDIRECT, router.route("vm-1", LEADER, true, secondsAfterSuccessfulRelay()));
+        assertEquals(REDIRECT, router.route("vm-1", LEADER, true, relayAndReturnNextSeconds()));
     }
 
-    private double secondsAfterSuccessfulRelay() {
+    /** Reports a successful relay at 139 s, and returns when the next heartbeat arrives. */
+    private double relayAndReturnNextSeconds() {
         router.onRelayEnded("vm-1", true, 139);
         return 140;
     }
 
     /**
      * The controller in the third zone responds to the worker, but redirects it once to the leader,
-     * to which the worker cannot connect. So one redirect to this controller is not enough to give
-     * it up.
+     * to which the worker cannot connect. So the redirects to this controller have failed only
+     * after the second one. One is enough if the controller is in the leader's zone.
      */
     @Test
     void redirectsTwiceToControllerInThirdZone() {
--- a/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
@@ -40,7 +40,9 @@
  * must have stopped.
  */
 class CancellationReplicationTest {
+    /** With these durations the renewal window is 19.36 seconds. */
     private static final DelegationTiming TIMING = DelegationTiming.of(42, 22);
+
     private static final List<WorkerCommand> COMMANDS =
             List.of(
                     new WorkerCommand.Start("job-9", 0, 1),
@@ -242,6 +244,7 @@
             assertEquals(countBefore + 1, counters.malformedMessages(), malformedStatement);
         }
         leader.onGrantResponse("p", decode("{}"), nowSeconds);
+        // The statement of an unknown controller is applied, but does not advance the watermark.
         leader.onGrantResponse(
                 "not-a-peer", decode("{\"told\":{" + validFields + "}}"), nowSeconds);
         leader.onGrantResponse("p", decode("{\"told\":null}"), nowSeconds);
--- a/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
@@ -81,6 +81,10 @@
                 "the replica must not be current as of a future moment");
     }
 
+    /**
+     * Runs the action that {@code step % 16} selects, with the argument {@code step / 16}, and then
+     * advances the time.
+     */
     private void runStep(int step) {
         int argument = step / 16;
         switch (step % 16) {
--- a/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
+++ b/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
@@ -121,8 +121,7 @@
     void lateWriteDoesNotReplaceNewerPage(int salt) throws MalformedMessageException {
         startFirstTerm(salt);
         storeProgressWithLateWrite(1);
-        // A page has at most one write in flight, so the next one waits for the outcome of this
-        // one.
+        // A page has at most one write in flight, so the next write waits for this one's outcome.
         state.advance(1);
         store.storeProgress(0, firstTasksDone(5));
         state.advance(1.5);
--- a/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
+++ b/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
@@ -124,7 +124,7 @@
         }
         assertEquals(4000, replica.size());
         assertTrue(updates <= 28, updates + " updates, expected at most 28");
-        // Without updates the replica lags; the update of a newer leader without machines clears
+        // Without updates the replica lags. The update of a newer leader without machines clears
         // it.
         assertEquals(MachineStateReplica.State.LAGGING, replica.state(updates + 10));
         assertTrue(replica.isComplete(), "replica is not complete, but only updates are missing");
