--- a/src/main/java/io/kelphoist/cli/Main.java
+++ b/src/main/java/io/kelphoist/cli/Main.java
@@ -226,7 +226,7 @@
 
     private static String describe(PlatformSettings settings) {
         return "settings are fine: "
-                + settings.node()
+                + settings.controllerName()
                 + " of "
                 + settings.controllerCount()
                 + " controllers, "
--- a/src/main/java/io/kelphoist/config/PlatformSettings.java
+++ b/src/main/java/io/kelphoist/config/PlatformSettings.java
@@ -10,7 +10,7 @@
  * The platform's settings of a controller: its addresses, its peers, and the systems that it
  * depends on with their limits.
  *
- * @param node name of this controller
+ * @param controllerName name of this controller
  * @param zone zone of this controller; empty if unknown
  * @param listenAddress host and port on which this controller listens for users and workers
  * @param peerListenAddress host and port on which it listens for the other controllers
@@ -25,7 +25,7 @@
  *     may differ by twice as much
  */
 public record PlatformSettings(
-        String node,
+        String controllerName,
         String zone,
         String listenAddress,
         String peerListenAddress,
@@ -44,11 +44,11 @@
     /**
      * Another controller.
      *
-     * @param node its name
+     * @param name its name
      * @param zone its zone; empty if unknown
      * @param address host and port on which it listens for controllers
      */
-    public record Peer(String node, String zone, String address) {}
+    public record Peer(String name, String zone, String address) {}
 
     /**
      * The intervals and timeouts of workers.
@@ -95,7 +95,7 @@
     /** Returns the zones of the other controllers, by name. */
     public Map<String, String> peerZones() {
         Map<String, String> zonesByNode = new LinkedHashMap<>();
-        peers.forEach(peer -> zonesByNode.put(peer.node(), peer.zone()));
+        peers.forEach(peer -> zonesByNode.put(peer.name(), peer.zone()));
         return zonesByNode;
     }
 
--- a/src/main/java/io/kelphoist/config/PlatformSettingsReader.java
+++ b/src/main/java/io/kelphoist/config/PlatformSettingsReader.java
@@ -73,9 +73,9 @@
                             peerSettings.text("label"),
                             peerSettings.textOrEmpty("site"),
                             peerSettings.address("peer_addr"));
-            if (!nodes.add(peer.node())) {
+            if (!nodes.add(peer.name())) {
                 throw peerSettings.invalid(
-                        "label", "'" + peer.node() + "' is the label of another controller");
+                        "label", "'" + peer.name() + "' is the label of another controller");
             }
             peers.add(peer);
         }
--- a/src/main/java/io/kelphoist/controller/BrokerUpdates.java
+++ b/src/main/java/io/kelphoist/controller/BrokerUpdates.java
@@ -43,7 +43,7 @@
     }
 
     /** Submits the latest transient event of each job, which replace those submitted before. */
-    void submitSnapshot(List<TransientEvent> events) {
+    void submitEventReset(List<TransientEvent> events) {
         submitBatch(target -> target.resetTransientEvents(events, loop.nowSeconds()));
     }
 
--- a/src/main/java/io/kelphoist/controller/ControllerFactory.java
+++ b/src/main/java/io/kelphoist/controller/ControllerFactory.java
@@ -152,7 +152,7 @@
         Map<String, HttpHostClient> clients = new HashMap<>();
         for (PlatformSettings.Peer peer : settings.peers()) {
             clients.put(
-                    peer.node(),
+                    peer.name(),
                     newHttpClient(peer.address(), HttpExchanges.JSON, MAX_CONNECTIONS_PER_PEER));
         }
         return new PeerClient(clients, this::onMalformedResponse);
@@ -226,8 +226,8 @@
     private LeaderElector newElector(ExternalSystems systems, PeerClient peerClient) {
         LeaderElector.Parameters parameters =
                 new LeaderElector.Parameters(
-                        settings.node(),
-                        settings.peers().stream().map(PlatformSettings.Peer::node).toList(),
+                        settings.controllerName(),
+                        settings.peers().stream().map(PlatformSettings.Peer::name).toList(),
                         operatorSettings.leaderLeaseMillis(),
                         operatorSettings.grantMillis(),
                         startedAtSeconds);
--- a/src/main/java/io/kelphoist/controller/ControllerProcess.java
+++ b/src/main/java/io/kelphoist/controller/ControllerProcess.java
@@ -91,7 +91,7 @@
         components.workerConnections().setIncomingConnectionCount(statistics::getActiveConnections);
         LOG.info(
                 "controller started: node={} listenAddress={} peerListenAddress={}",
-                settings.node(),
+                settings.controllerName(),
                 settings.listenAddress(),
                 settings.peerListenAddress());
         return new ControllerProcess(worker, server, controller, eventFeed, traceRecorder);
@@ -133,7 +133,7 @@
         }
         JobTracer tracer =
                 new JobTracer(
-                        components.settings().node(),
+                        components.settings().controllerName(),
                         SpanProcessors.forEndpoint(operatorSettings.traceCollector().get()));
         JobTraceRecorder recorder = new JobTraceRecorder(tracer, System::currentTimeMillis);
         worker.getIoThread()
--- a/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
+++ b/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
@@ -100,7 +100,7 @@
             // The update is dropped; the next response is a snapshot.
             polledPosition = UNKNOWN_POSITION;
         } else if (update.isSnapshot()) {
-            brokerUpdates.submitSnapshot(update.events());
+            brokerUpdates.submitEventReset(update.events());
         } else if (!update.events().isEmpty()) {
             brokerUpdates.submitEvents(update.events());
         }
--- a/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
+++ b/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
@@ -92,7 +92,7 @@
             loop.schedule(BATCH_DELAY_SECONDS * BrokerUpdates.MAX_PENDING_BATCHES, this::flush);
         } else if (hasDroppedEvents) {
             hasDroppedEvents = false;
-            brokerUpdates.submitSnapshot(eventLog.get().snapshot());
+            brokerUpdates.submitEventReset(eventLog.get().snapshot());
         } else if (!batch.isEmpty()) {
             brokerUpdates.submitEvents(batch);
         }
--- a/src/main/java/io/kelphoist/events/EventDelivery.java
+++ b/src/main/java/io/kelphoist/events/EventDelivery.java
@@ -119,7 +119,7 @@
         while (record != null) {
             TransientEvent latest = jobs.latestTransientEvent(record.id());
             if (latest != null) {
-                send(subscription, JobEvent.of(record, latest).asSnapshot());
+                send(subscription, JobEvent.of(record, latest).asCurrentState());
                 return true;
             }
             record = subscription.nextResyncRecord(jobs.jobLog());
@@ -153,7 +153,7 @@
 
     private void send(Subscription subscription, JobEvent event) {
         deliveredEvents++;
-        if (event.isSnapshot()) {
+        if (event.reportsCurrentState()) {
             mergedEvents++;
         }
         subscription.subscriber().onEvent(event, subscription.cursor());
--- a/src/main/java/io/kelphoist/events/JobEvent.java
+++ b/src/main/java/io/kelphoist/events/JobEvent.java
@@ -8,8 +8,8 @@
  * One event of a job as it is delivered to a subscriber.
  *
  * @param owner null if the job's record has no owner
- * @param isSnapshot whether the event reports the job's current state in place of events that were
- *     merged or may have been missed
+ * @param reportsCurrentState whether the event reports the job's current state in place of events
+ *     that were merged or may have been missed
  * @param doneTasks number of the job's tasks that were done at the time of the event, 0 if unknown
  * @param runningTasks number of the job's tasks that ran at the time of the event, 0 if unknown
  * @param atMillis time of the event in ms since the epoch
@@ -18,7 +18,7 @@
         String jobId,
         JobOwner owner,
         JobEventType type,
-        boolean isSnapshot,
+        boolean reportsCurrentState,
         int doneTasks,
         int runningTasks,
         long atMillis) {
@@ -33,7 +33,7 @@
                 record.id(),
                 record.owner(),
                 type,
-                /* isSnapshot= */ false,
+                /* reportsCurrentState= */ false,
                 /* doneTasks= */ 0,
                 /* runningTasks= */ 0,
                 record.timestampMillis());
@@ -61,15 +61,21 @@
                 event.jobId(),
                 record.owner(),
                 event.type(),
-                /* isSnapshot= */ false,
+                /* reportsCurrentState= */ false,
                 event.doneTasks(),
                 event.runningTasks(),
                 event.atMillis());
     }
 
     /** Returns this event marked as the state that replaces the job's earlier events. */
-    JobEvent asSnapshot() {
+    JobEvent asCurrentState() {
         return new JobEvent(
-                jobId, owner, type, /* isSnapshot= */ true, doneTasks, runningTasks, atMillis);
+                jobId,
+                owner,
+                type,
+                /* reportsCurrentState= */ true,
+                doneTasks,
+                runningTasks,
+                atMillis);
     }
 }
--- a/src/main/java/io/kelphoist/events/Subscription.java
+++ b/src/main/java/io/kelphoist/events/Subscription.java
@@ -276,7 +276,7 @@
         Map<String, JobEvent> latest = new LinkedHashMap<>();
         for (JobEvent event : transientEvents) {
             latest.remove(event.jobId());
-            latest.put(event.jobId(), event.asSnapshot());
+            latest.put(event.jobId(), event.asCurrentState());
         }
         transientEvents = new ArrayDeque<>(latest.values());
     }
--- a/src/main/java/io/kelphoist/grpc/GrpcMessageCodec.java
+++ b/src/main/java/io/kelphoist/grpc/GrpcMessageCodec.java
@@ -133,7 +133,7 @@
                         .setJob(event.jobId())
                         .setTeam(team(event.owner()))
                         .setJobClass(jobClass(event.owner()))
-                        .setPresent(event.isSnapshot())
+                        .setPresent(event.reportsCurrentState())
                         .setDone(event.doneTasks())
                         .setRunning(event.runningTasks())
                         .setAtMs(event.atMillis());
--- a/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
+++ b/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
@@ -61,7 +61,7 @@
         this.isEnabled = isEnabled;
         this.members =
                 new LeaseDelegations.Members(
-                        settings.node(), settings.zone(), settings.peerZones());
+                        settings.controllerName(), settings.zone(), settings.peerZones());
         this.startedAtSeconds = startedAtSeconds;
         this.clockErrorMillis = settings.clockErrorMillis();
         // Random, because after a quick restart an incarnation taken from a clock that was set back
--- a/src/test/java/io/kelphoist/events/EventBrokerTest.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerTest.java
@@ -90,7 +90,7 @@
         assertEquals(
                 new JobEventType.Started(99, "m"), slow.events.get(slow.events.size() - 1).type());
         assertTrue(
-                slow.events.stream().anyMatch(JobEvent::isSnapshot),
+                slow.events.stream().anyMatch(JobEvent::reportsCurrentState),
                 () -> "expected an event marked as snapshot, received " + slow.events);
     }
 
