--- a/src/main/java/io/kelphoist/cli/LocalClusterCommand.java
+++ b/src/main/java/io/kelphoist/cli/LocalClusterCommand.java
@@ -60,7 +60,8 @@
     }
 
     /**
-     * Runs the command. Returns an exit code only if the arguments are invalid or it can't start.
+     * Runs the command. Returns an exit code only if help is requested, the arguments are invalid
+     * or the cluster can't start; otherwise it runs until the process is stopped.
      */
     static int run(String[] args, PrintStream out) {
         return new CommandLine(new LocalClusterCommand(out)).execute(args);
--- a/src/main/java/io/kelphoist/config/OperatorSettings.java
+++ b/src/main/java/io/kelphoist/config/OperatorSettings.java
@@ -11,14 +11,15 @@
  *
  * @param leaderLeaseMillis time to live of the leader lease at the state store
  * @param grantMillis how long a grant lasts, a controller's promise not to lead
- * @param machineHoldBackoffSeconds pause after an expired machine hold before a machine is held
- *     again for the same job
+ * @param machineHoldBackoffSeconds pause after a machine hold has ended before another machine is
+ *     held for the same job, if the job still has tasks that have not started
  * @param localityWaitSeconds longest wait of an array task for a machine that caches its image
  * @param machineHoldSeconds longest time for which a machine is held for a task that fits on no
  *     machine yet
  * @param gangHoldSeconds longest time for which resources are reserved for a gang before there are
- *     enough for all its tasks
- * @param headroom free resources to keep on on-demand machines, as a share of the machines in use
+ *     enough for all its tasks; after that, none are reserved for it for as long
+ * @param headroom free resources to keep on on-demand machines, as a share of the machines in use,
+ *     but at least one machine's worth; 0: no free resources are kept
  * @param idleSeconds how long a machine is idle before it is terminated
  * @param leaseDelegation whether leaders delegate lease renewals, so that a controller in a
  *     partitioned zone goes on renewing the leases of the workers there
--- a/src/main/java/io/kelphoist/controller/ControllerMetrics.java
+++ b/src/main/java/io/kelphoist/controller/ControllerMetrics.java
@@ -145,7 +145,7 @@
                 c -> c.elector().election().state() == Election.State.LEADER ? 1 : 0);
         registerGauge(
                 "kelphoist.term",
-                "Last term that this controller led",
+                "Newest term that this controller led since its process started; 0 if none",
                 c -> c.elector().election().term());
     }
 
--- a/src/main/java/io/kelphoist/controller/JobObservers.java
+++ b/src/main/java/io/kelphoist/controller/JobObservers.java
@@ -51,8 +51,8 @@
     }
 
     /**
-     * Passes on an event of a job's tasks. The event feed, whose events users receive, gets only
-     * events of the current term.
+     * Passes on an event of a job's tasks. The event feed gets it only while this controller has a
+     * current term, so that users receive no events of a term that has ended.
      */
     void onTaskEvent(Job job, TaskEvent event) {
         if (traceRecorder.isPresent()) {
--- a/src/main/java/io/kelphoist/controller/PeerRoutes.java
+++ b/src/main/java/io/kelphoist/controller/PeerRoutes.java
@@ -36,7 +36,7 @@
     public void handleRequest(HttpServerExchange exchange) {
         switch (exchange.getRequestPath()) {
             case PeerPaths.GRANT -> receiveMessage(exchange, this::onGrantRequest);
-            case PeerPaths.HANDOVER -> receiveMessage(exchange, this::onTermEnded);
+            case PeerPaths.HANDOVER -> receiveMessage(exchange, this::onHandover);
             case PeerPaths.EVENTS -> receiveMessage(exchange, this::onEventsRequest);
             case PeerPaths.HEARTBEAT ->
                     HttpExchanges.receiveBody(
@@ -67,7 +67,7 @@
         return GrantCodec.encodeResponseBody(response);
     }
 
-    private byte[] onTermEnded(byte[] message) throws MalformedMessageException {
+    private byte[] onHandover(byte[] message) throws MalformedMessageException {
         components.grantExchange().onPeerTermEnded(HandoverCodec.decode(message));
         return HandoverCodec.encodeResponseBody();
     }
--- a/src/main/java/io/kelphoist/events/JobEvent.java
+++ b/src/main/java/io/kelphoist/events/JobEvent.java
@@ -10,10 +10,10 @@
  * @param owner null if the job's record has no owner
  * @param reportsCurrentState whether the event reports the job's current state in place of events
  *     that were merged or may have been missed
- * @param doneTasks number of the job's tasks that were done when the state was reported. 0 if no
- *     task was done, if the number is unknown, and always in a final event
- * @param runningTasks number of the job's tasks that were running when the state was reported. 0 if
- *     no task was running, if the number is unknown, and always in a final event
+ * @param doneTasks number of the job's tasks that are done, as the leader last reported it; 0 also
+ *     if the leader has not reported it, and always 0 in a final event
+ * @param runningTasks number of the job's tasks that are running, as the leader last reported it; 0
+ *     also if the leader has not reported it, and always 0 in a final event
  * @param atMillis time of the event in ms since the epoch, by the wall clock. For the acceptance
  *     and for the end of a cancelled job, when the job was accepted; for the end of a done job,
  *     when the end was stored; 0 if the job's record has no timestamp
--- a/src/main/java/io/kelphoist/grpc/TlsCredentials.java
+++ b/src/main/java/io/kelphoist/grpc/TlsCredentials.java
@@ -117,8 +117,8 @@
                     files.clientCa().orElse(null));
         } catch (IOException | GeneralSecurityException | RuntimeException e) {
             LOG.error(
-                    "reload of TLS files failed, previous credentials kept: certificate={} key={} clientCa={}"
-                            + " error={}",
+                    "reload of TLS files failed, previous credentials kept: certificate={} key={}"
+                            + " clientCa={} error={}",
                     files.certificate(),
                     files.key(),
                     files.clientCa().orElse(null),
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -65,9 +65,8 @@
     }
 
     /**
-     * A client that resumes from its last cursor. The cursor is null before the first message, and
-     * the subscription is null while the client is disconnected. The demand is the number of events
-     * that the client is ready for.
+     * A client that resumes from its last cursor, null before the first message. Its subscription
+     * is null while it is disconnected. The demand is the number of events that it is ready for.
      */
     final class Client implements Subscriber {
         private final SubscriptionFilter filter;
