--- a/src/main/java/io/kelphoist/controller/Controller.java
+++ b/src/main/java/io/kelphoist/controller/Controller.java
@@ -152,7 +152,7 @@
 
     @Override
     public void onTermEnded() {
-        LOG.info("leadership ended");
+        LOG.info("leadership ended: term={}", elector.election().term());
         MDC.remove(TERM_LOG_FIELD);
         terms.end();
         components.observers().onTermEnded();
--- a/src/main/java/io/kelphoist/controller/JobRecordReader.java
+++ b/src/main/java/io/kelphoist/controller/JobRecordReader.java
@@ -85,7 +85,10 @@
             admission.beforeResponse(record);
             return Optional.of(record);
         } catch (MalformedMessageException e) {
-            LOG.error("malformed job record: key={} error={}", stored.key(), e.getMessage());
+            LOG.error(
+                    "malformed job record left out of event streams: key={} error={}",
+                    stored.key(),
+                    e.getMessage());
             return Optional.empty();
         }
     }
