--- a/src/main/java/io/kelphoist/cli/ClientCommand.java
+++ b/src/main/java/io/kelphoist/cli/ClientCommand.java
@@ -53,7 +53,7 @@
             paramLabel = "HOW",
             defaultValue = "table",
             description =
-                    "Format of the output: table, or json. Each line is a job's state or an event; in json, it is one object.")
+                    "Format of the output: table, or json. Each line is a job's state, an event or the state of the stream; in json, it is one object.")
     private JobPrinter.Format format;
 
     @Option(
--- a/src/main/java/io/kelphoist/cli/WatchCommand.java
+++ b/src/main/java/io/kelphoist/cli/WatchCommand.java
@@ -35,7 +35,9 @@
             description = "Resume after this cursor, with the same jobs, team and class.")
     private String cursor;
 
-    @Option(names = "--cursors", description = "Show the cursor of each message.")
+    @Option(
+            names = "--cursors",
+            description = "Show the cursor of each line of a table; json always has it.")
     private boolean showCursors;
 
     WatchCommand(PrintStream out) {
