--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -65,8 +65,8 @@
     }
 
     /**
-     * A client that resumes from its last cursor; the cursor is null before the first message, the
-     * subscription while disconnected. The demand is the number of events that it is ready for.
+     * A client that resumes from its last cursor, null before the first message. Its subscription
+     * is null while it is disconnected. The demand is the number of events that it is ready for.
      */
     final class Client implements Subscriber {
         private final SubscriptionFilter filter;
