--- a/src/main/java/io/kelphoist/statestore/GroupCommitter.java
+++ b/src/main/java/io/kelphoist/statestore/GroupCommitter.java
@@ -20,10 +20,11 @@
  * Group commit: writes that are queued at the same time share transactions, within the limits of
  * the state store.
  *
- * <p>Normally one transaction is in flight at a time. Further ones are sent while the newest one
- * has had no response for longer than {@link #SLOW_TRANSACTION_SECONDS}. Transactions may be
- * executed in any order, also seconds later, since each is conditional on the versions of the keys
- * that it changes. Urgent writes, for whose outcome users wait, are sent before the others.
+ * <p>Normally one transaction is in flight at a time. Another one is sent when the newest one has
+ * had no response for {@link #SLOW_TRANSACTION_SECONDS}, up to {@link #MAX_IN_FLIGHT}. Transactions
+ * may be executed in any order, also seconds later: a write is conditional on the versions of the
+ * keys that it changes, unless its order does not matter. Urgent writes, for whose outcome users or
+ * other operations wait, are sent before the others.
  *
  * <p>Owns the queues of writes and the limit on their rate. Methods and callbacks run on the event
  * loop.
@@ -33,13 +34,15 @@
     public enum Outcome {
         /** The write is stored. */
         STORED,
-        /** One of the write's conditions does not hold. */
+        /**
+         * One of the write's own conditions does not hold, or the store did not say which does not.
+         */
         CONFLICT,
         /** The write was not executed and will not be executed later. */
         NOT_EXECUTED,
         /**
-         * The store rejected the write, usually since it exceeds a size limit; repeating it
-         * unchanged would fail again.
+         * The store rejected the write as invalid, which is taken to mean that it exceeds a size
+         * limit; repeating it unchanged would fail again.
          */
         TOO_LARGE,
         /**
@@ -70,7 +73,7 @@
      *
      * @param sizeBytes estimated size of the write in a transaction
      * @param expiresAtSeconds time after which the write is no longer sent and ends with {@link
-     *     Outcome#NOT_EXECUTED}
+     *     Outcome#NOT_EXECUTED}; checked only while the write is the first one in its queue
      */
     public record Write(
             List<VersionCondition> conditions,
@@ -91,7 +94,7 @@
         void onOutcome(Outcome outcome, long revision);
     }
 
-    /** Upper bound of the size of a key and its conditions in a transaction. */
+    /** Upper bound of the size in a transaction of a write's key and conditions, without values. */
     public static final int KEY_OVERHEAD_BYTES = 200;
 
     /**
@@ -110,8 +113,14 @@
      */
     private static final double SLOW_TRANSACTION_SECONDS = 0.25;
 
+    /**
+     * Added to the delay of the check whether a transaction is slow, so that it is slow by then.
+     */
     private static final double SLOW_CHECK_MARGIN_SECONDS = 0.001;
+
+    /** After a pause, the mutations of this many seconds at the rate limit may be sent at once. */
     private static final double WRITE_BURST_SECONDS = 0.9;
+
     private static final double MIN_PAUSE_SECONDS = 0.01;
 
     /** No transaction is sent for this long after the store did not execute one. */
@@ -126,7 +135,7 @@
 
     /**
      * Maximum number of writes per transaction; lowered after the store rejected a transaction of
-     * several writes.
+     * several writes as invalid, and unlimited again after it so rejected a single write.
      */
     private int maxBatchSize = Integer.MAX_VALUE;
 
@@ -142,7 +151,8 @@
     /**
      * Creates a committer.
      *
-     * @param mutationsPerSecond mutations per second that the store allows
+     * @param mutationsPerSecond this controller's share of the mutations per second that the store
+     *     allows
      * @param maxMutations mutations per transaction that the store allows
      */
     public GroupCommitter(
@@ -223,9 +233,10 @@
     }
 
     /**
-     * Charges the writes of a batch to the write rate limit and returns those that may be sent now:
-     * all of them; otherwise the first one alone, instead of all of them later; if the limit does
-     * not allow even that, none, after which sending pauses until it does.
+     * Returns the writes of a batch that may be sent now, and charges them to the write rate limit:
+     * all of them if the limit allows it, otherwise only the first one, which need not wait until
+     * the limit allows all. If the limit does not allow even the first one, returns none and pauses
+     * sending until it does.
      */
     private List<Write> withinWriteLimit(List<Write> batch, double nowSeconds) {
         int mutationCount = 0;
@@ -307,7 +318,7 @@
     /**
      * Handles a transaction that the store rejected as invalid, of which no write was executed.
      * Several writes are sent again in smaller batches. A write that was rejected alone is itself
-     * too large, so the limit on the batch size is lifted.
+     * the cause, so the limit on the batch size is lifted.
      */
     private void onTooLarge(List<Write> batch, String reason) {
         if (batch.size() > 1) {
@@ -330,7 +341,10 @@
         write.listener().onOutcome(Outcome.TOO_LARGE, 0);
     }
 
-    /** Ends the writes whose own conditions do not hold, and queues the others again. */
+    /**
+     * Ends the writes whose own conditions do not hold, and queues the others again. If the store
+     * named no failed key, all writes end with {@link Outcome#CONFLICT}.
+     */
     private void onConflict(List<Write> batch, Set<String> failedKeys) {
         List<Write> retried = new ArrayList<>();
         List<Write> conflicted = new ArrayList<>();
--- a/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
+++ b/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
@@ -20,6 +20,7 @@
     /** Users wait 2 s for a response, of which the wait for the rate limit may take only a part. */
     private static final double MAX_WAIT_SECONDS = 0.5;
 
+    /** After a pause, the reads of this many seconds at the rate limit may be sent at once. */
     private static final double BURST_SECONDS = 0.5;
 
     private final StateStoreReader reader;
@@ -62,8 +63,9 @@
     }
 
     /**
-     * Runs a read now or when the rate limit allows it. Reads run in the order of the calls, since
-     * a read that waits has taken its token already.
+     * Runs a read now or when the rate limit allows it; rejects it at once if it would have to wait
+     * longer than {@link #MAX_WAIT_SECONDS}. Reads run in the order of the calls, since a read that
+     * waits has taken its token already.
      */
     private void runWithinLimit(Runnable read, Runnable onRejected) {
         double nowSeconds = loop.nowSeconds();
--- a/src/main/java/io/kelphoist/statestore/RecordWatcher.java
+++ b/src/main/java/io/kelphoist/statestore/RecordWatcher.java
@@ -15,8 +15,12 @@
  * Watches the records below a prefix: reads a snapshot, and then the changes after its revision. If
  * changes may have been missed, it reads a new snapshot.
  *
- * <p>One request is in flight at a time, so that the listener receives all changes in order. Owns
- * the revision up to which records were delivered to the listener. Runs on the event loop.
+ * <p>One request is in flight at a time, so that the listener receives all changes in order. The
+ * exception is a watch request that is still in flight during {@link #catchUp}: if its response
+ * arrives after {@link #watch} was called again, the listener receives changes that it has received
+ * before, so that it must compare versions.
+ *
+ * <p>Owns the revision up to which records were delivered to the listener. Runs on the event loop.
  */
 public final class RecordWatcher {
     /** Receives the watched records. Called on the event loop. */
@@ -46,7 +50,7 @@
     private static final Logger LOG = LoggerFactory.getLogger(RecordWatcher.class);
     private static final double RETRY_DELAY_SECONDS = 0.25;
 
-    /** The value of {@link #deliveredRevision} before a snapshot was read. */
+    /** The value of {@link #deliveredRevision} if a snapshot must be read first. */
     private static final long NO_REVISION = -1;
 
     private final StateStoreWatcher watcher;
@@ -58,8 +62,8 @@
 
     /**
      * Incremented when a call replaces or stops the current activity: timers and reads of an
-     * earlier generation have no further effect. The response to a watch request is used in any
-     * generation.
+     * earlier generation have no further effect. Watch requests have no generation: their response
+     * is used if this object is watching when it arrives.
      */
     private long generation;
 
@@ -75,8 +79,8 @@
     private boolean watching;
 
     /**
-     * Whether the store holds a request for changes. Never more than one is sent at a time, since
-     * each occupies a connection on both sides.
+     * Whether a watch request is in flight, which the store may hold. Never more than one is sent
+     * at a time, since each occupies a connection on both sides.
      */
     private boolean watchInFlight;
 
@@ -124,7 +128,7 @@
 
     /**
      * Stops watching and calls back once the listener has received all records as of a moment after
-     * this call.
+     * this call. Does not call back if another method is called before that.
      */
     public void catchUp(Runnable onCaughtUp) {
         watching = false;
@@ -171,7 +175,8 @@
             return;
         }
         if (watchInFlight) {
-            // The response to the request in flight has all changes, and onWatchResponse goes on.
+            // The response to the request in flight has all changes since that request, or is
+            // discarded with its revision; in either case onWatchResponse sends the next request.
             return;
         }
         watchInFlight = true;
--- a/src/main/java/io/kelphoist/statestore/StateStoreClient.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreClient.java
@@ -21,22 +21,38 @@
 /**
  * Client of the state store, the consensus-backed key-value store.
  *
- * <p>All requests are charged to the store's rate limit; urgent requests and watch requests are
- * sent at once even if they exceed it. Owns this rate limit and the time since when requests have
- * been failing. Methods and callbacks run on the event loop.
+ * <p>All requests are charged to this controller's share of the store's rate limit; urgent requests
+ * and watch requests are sent at once even if they exceed it. Owns the rate limiter and the time
+ * since when requests have been failing. Methods and callbacks run on the event loop.
+ *
+ * <p>A request fails if it gets no response, a malformed one, status {@link
+ * StateStoreResponses#SERVICE_UNAVAILABLE} or a status that the protocol does not have. A request
+ * that is rejected by a rate limit, the store's or this client's, neither fails nor ends a series
+ * of failures.
  */
 public final class StateStoreClient implements StateStoreWatcher, StateStoreWriter {
     private static final int REQUEST_TIMEOUT_MILLIS = 1500;
 
     /**
-     * A watch request times out this long after its hold time, by which the store should respond.
+     * Added to the hold time of a watch request to obtain its timeout. The hold time is the maximum
+     * time that the store holds the request before it responds.
      */
     private static final int WATCH_TIMEOUT_MARGIN_MILLIS = 3000;
 
+    /** After a pause, the requests of this many seconds at the rate limit may be sent at once. */
     private static final double REQUEST_BURST_SECONDS = 0.8;
+
+    /**
+     * A request that would have to wait longer than this for the rate limit is rejected. Checked
+     * anew at each attempt, so that a request may wait longer in total: a request that waits does
+     * not reserve a token, and others may take it.
+     */
     private static final double MAX_RATE_LIMIT_WAIT_SECONDS = 2.0;
 
-    /** A request that exceeds the rate limit is sent this long after the limit allows it. */
+    /**
+     * Added to the computed wait of a request that exceeds the rate limit, so that a token is
+     * available when the request is tried again, unless another request has taken it.
+     */
     private static final double RATE_LIMIT_RETRY_MARGIN_SECONDS = 0.005;
 
     /**
@@ -46,10 +62,10 @@
     private static final double RATE_LIMITED_PAUSE_SECONDS = 0.1;
 
     /**
-     * Requests are assumed to have been failing since this long after the last success at the
-     * latest, even if the first failure is noticed later.
+     * When a request fails, requests are assumed to have been failing at the latest since this long
+     * after the last usable response, since a failure may be noticed much later than it began.
      */
-    private static final double FAILURE_BACKDATE_SECONDS = 1;
+    private static final double MAX_SECONDS_FROM_RESPONSE_TO_FAILURE = 1;
 
     private final HttpHostClient client;
     private final HttpHostClient urgentClient;
@@ -57,7 +73,12 @@
     private final EventLoop loop;
     private final TokenBucket requestLimiter;
     private final Consumer<String> onMalformedResponse;
-    private double lastSuccessAtSeconds;
+
+    /**
+     * When the last usable response was received: a success or a rejection by the store that could
+     * be decoded. Before the first one, when this client was created.
+     */
+    private double lastUsableResponseAtSeconds;
 
     /** Time since when requests have been failing; NaN if they are not failing. */
     private double failingSinceSeconds = Double.NaN;
@@ -69,7 +90,7 @@
      * @param urgentClient connections for requests that must not wait behind others: for leases,
      *     writes and leadership keys
      * @param watchClient connections for watch requests, which the store holds
-     * @param requestsPerSecond the store's rate limit
+     * @param requestsPerSecond this controller's share of the store's rate limit
      * @param onMalformedResponse receives the log fields of each response that can't be decoded;
      *     the outcome of its request is unknown
      */
@@ -86,28 +107,35 @@
         this.watchClient = watchClient;
         this.loop = loop;
         this.requestLimiter = new TokenBucket(requestsPerSecond, REQUEST_BURST_SECONDS);
-        this.lastSuccessAtSeconds = loop.nowSeconds();
+        this.lastUsableResponseAtSeconds = loop.nowSeconds();
     }
 
-    /** Returns for how many seconds requests have been failing; 0 if they are not failing. */
+    /**
+     * Returns for how many seconds requests have been failing; 0 if none has failed since the last
+     * usable response.
+     */
     public double failingForSeconds() {
         return Double.isNaN(failingSinceSeconds) ? 0 : loop.nowSeconds() - failingSinceSeconds;
     }
 
     @Override
     public void get(String key, Consumer<StateStoreResult<StoredRecord>> callback) {
-        send(StateStoreRequests.get(key), false, StateStoreResponses.record(key), callback);
+        send(
+                StateStoreRequests.get(key),
+                /* urgent= */ false,
+                StateStoreResponses.record(key),
+                callback);
     }
 
     /** Reads the records page by page, with one request for each page. */
     @Override
     public void readAll(String prefix, Consumer<Optional<StateSnapshot>> callback) {
-        new SnapshotRead(prefix, false, callback).requestPage("");
+        new SnapshotRead(prefix, /* urgent= */ false, callback).requestPage("");
     }
 
     /** As {@link #readAll}, but with urgent requests, for reads on which an election waits. */
     public void readAllUrgently(String prefix, Consumer<Optional<StateSnapshot>> callback) {
-        new SnapshotRead(prefix, true, callback).requestPage("");
+        new SnapshotRead(prefix, /* urgent= */ true, callback).requestPage("");
     }
 
     @Override
@@ -117,7 +145,7 @@
             Consumer<StateStoreResult<Long>> callback) {
         send(
                 StateStoreRequests.transaction(conditions, mutations),
-                true,
+                /* urgent= */ true,
                 StateStoreResponses.revision(),
                 callback);
     }
@@ -130,7 +158,7 @@
     public void createLease(long timeToLiveMillis, Consumer<StateStoreResult<Long>> callback) {
         send(
                 StateStoreRequests.createLease(timeToLiveMillis),
-                true,
+                /* urgent= */ true,
                 StateStoreResponses.createdLeaseId(),
                 callback);
     }
@@ -139,7 +167,7 @@
     public void renewLease(long leaseId, Consumer<StateStoreResult<Long>> callback) {
         send(
                 StateStoreRequests.renewLease(leaseId),
-                true,
+                /* urgent= */ true,
                 StateStoreResponses.requestedLeaseId(leaseId),
                 callback);
     }
@@ -155,7 +183,7 @@
     public void revokeLease(long leaseId, Runnable onCompleted) {
         send(
                 StateStoreRequests.revokeLease(leaseId),
-                true,
+                /* urgent= */ true,
                 StateStoreResponses.requestedLeaseId(leaseId),
                 result -> onCompleted.run());
     }
@@ -165,7 +193,7 @@
             String prefix, long afterRevision, Consumer<StateStoreResult<StoredChanges>> callback) {
         send(
                 StateStoreRequests.changes(prefix, afterRevision),
-                false,
+                /* urgent= */ false,
                 StateStoreResponses.changes(),
                 callback);
     }
@@ -203,8 +231,9 @@
     }
 
     /**
-     * Schedules a request that exceeds the rate limit now, or rejects it if it would have to wait
-     * too long.
+     * Handles a request that exceeds the rate limit at this time: tries it again when a token is
+     * expected to be available, or rejects it if that is more than {@link
+     * #MAX_RATE_LIMIT_WAIT_SECONDS} away.
      */
     private <T> void defer(
             HttpRequest request,
@@ -218,7 +247,7 @@
         }
         loop.schedule(
                 waitSeconds + RATE_LIMIT_RETRY_MARGIN_SECONDS,
-                () -> send(request, false, decoder, callback));
+                () -> send(request, /* urgent= */ false, decoder, callback));
     }
 
     private <T> StateStoreResult<T> toResult(
@@ -261,7 +290,7 @@
         try {
             StateStoreResult<T> result =
                     StateStoreResponses.decodeResponse(response.status(), response.body(), decoder);
-            lastSuccessAtSeconds = loop.nowSeconds();
+            lastUsableResponseAtSeconds = loop.nowSeconds();
             failingSinceSeconds = Double.NaN;
             return result;
         } catch (MalformedMessageException e) {
@@ -274,7 +303,9 @@
     private void recordFailure() {
         if (Double.isNaN(failingSinceSeconds)) {
             failingSinceSeconds =
-                    Math.min(loop.nowSeconds(), lastSuccessAtSeconds + FAILURE_BACKDATE_SECONDS);
+                    Math.min(
+                            loop.nowSeconds(),
+                            lastUsableResponseAtSeconds + MAX_SECONDS_FROM_RESPONSE_TO_FAILURE);
         }
     }
 
@@ -286,8 +317,9 @@
         private final List<StoredRecord> records = new ArrayList<>();
 
         /**
-         * Revision of the first page: at a later page's revision, earlier pages may miss changes.
-         * Negative until the first page is read.
+         * Revision of the first page, which becomes the revision of the snapshot. That of a later
+         * page would be too high: the earlier pages do not include changes made after they were
+         * read. Negative until the first page is read.
          */
         private long revision = -1;
 
@@ -306,6 +338,7 @@
         }
 
         private void onPage(StateStoreResult<Optional<StateStoreResponses.Page>> result) {
+            // An empty value is a response without a list of records.
             if (!(result instanceof StateStoreResult.Success<Optional<StateStoreResponses.Page>> ok)
                     || ok.value().isEmpty()) {
                 callback.accept(Optional.empty());
@@ -316,6 +349,7 @@
             if (revision < 0) {
                 revision = page.revision();
             }
+            // Without any record there is no key after which the next page could be requested.
             if (page.hasNext() && !records.isEmpty()) {
                 requestPage(records.get(records.size() - 1).key());
             } else {
--- a/src/main/java/io/kelphoist/statestore/TokenBucket.java
+++ b/src/main/java/io/kelphoist/statestore/TokenBucket.java
@@ -17,8 +17,8 @@
     /**
      * Creates a full bucket.
      *
-     * @param burstSeconds the bucket's capacity as a time: it holds the tokens of this many
-     *     seconds, but at least one
+     * @param burstSeconds the bucket's capacity as a time: it holds as many tokens as are added in
+     *     this time, but at least one
      */
     public TokenBucket(double tokensPerSecond, double burstSeconds) {
         this.tokensPerSecond = tokensPerSecond;
--- a/src/main/java/io/kelphoist/statestore/WriteBatch.java
+++ b/src/main/java/io/kelphoist/statestore/WriteBatch.java
@@ -14,13 +14,13 @@
  * Writes that share one transaction.
  *
  * <p>The first write is always added, regardless of its size. Further writes are added only within
- * the limits of a transaction, and only if they neither mutate a key of the batch nor expect
- * another version of a key than the batch does.
+ * the limits of a transaction, and only if they neither mutate a key that the batch mutates nor
+ * expect another version of a key than the batch does.
  */
 final class WriteBatch {
     private static final int MAX_BYTES = 48 * 1024;
 
-    /** Maximum number of conditions of a transaction, per mutation that a transaction may have. */
+    /** A transaction may have this many times as many conditions as it may have mutations. */
     private static final int MAX_CONDITIONS_PER_MUTATION = 4;
 
     private final int maxWrites;
@@ -35,7 +35,7 @@
      * Creates an empty batch.
      *
      * @param maxWrites maximum number of writes per transaction
-     * @param maxMutations mutations per transaction that the store allows
+     * @param maxMutations maximum number of mutations per transaction that the store allows
      */
     WriteBatch(int maxWrites, int maxMutations) {
         this.maxWrites = maxWrites;
--- a/src/main/java/io/kelphoist/statestore/package-info.java
+++ b/src/main/java/io/kelphoist/statestore/package-info.java
@@ -6,7 +6,7 @@
  * io.kelphoist.statestore.RecordWatcher} watches the records below a prefix. Messages and stored
  * values are in {@link io.kelphoist.statestore.protocol}.
  *
- * <p>The package owns the rate limits of requests and writes and the queues of writes. It depends
+ * <p>The package owns the rate limiters of requests and writes and the queues of writes. It depends
  * on the protocol and the HTTP client, and must not depend on the scheduler, leadership or the
  * controller. All code of the package runs on the event loop.
  */
--- a/src/main/java/io/kelphoist/statestore/protocol/RecordCodec.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/RecordCodec.java
@@ -256,8 +256,8 @@
     }
 
     /**
-     * Decodes the latest possible start of a lease delegation, by the wall clock; NaN if the record
-     * is cleared.
+     * Decodes the latest possible start of a lease delegation: wall-clock time in ms since the
+     * epoch, or NaN if the record is cleared.
      */
     public static double decodeDelegation(StoredRecord record) {
         JsonNode startMillis = record.value().path("base");
--- a/src/main/java/io/kelphoist/statestore/protocol/RecordMutation.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/RecordMutation.java
@@ -8,7 +8,7 @@
  *
  * @param value the value to store; null to delete the key
  * @param leaseId the lease that the key is attached to, so that the store deletes the key when the
- *     lease expires; {@link #NO_LEASE} for none
+ *     lease expires or is revoked; {@link #NO_LEASE} for none
  */
 public record RecordMutation(String key, ObjectNode value, long leaseId) {
     /** Lease id of a mutation that attaches the key to no lease. */
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreRequests.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreRequests.java
@@ -69,7 +69,7 @@
         return HttpRequest.post("/leases", MessageEncoding.encodeCbor(message));
     }
 
-    /** Extends a lease by its time to live. */
+    /** Renews a lease: it expires one time to live after the renewal. */
     public static HttpRequest renewLease(long leaseId) {
         byte[] emptyMessage = MessageEncoding.encodeCbor(MessageEncoding.newObject());
         return HttpRequest.post("/leases/" + leaseId + "/renew", emptyMessage);
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreResponses.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreResponses.java
@@ -55,7 +55,7 @@
 
     private StateStoreResponses() {}
 
-    /** Decodes the response to a request for one key, which does not repeat the key. */
+    /** Decodes the response to a request for one key; the key is taken from the request. */
     public static Decoder<StoredRecord> record(String key) {
         return body -> new StoredRecord(key, body.path("value"), version(body), leaseId(body));
     }
--- a/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
+++ b/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
@@ -119,7 +119,10 @@
         assertEquals(2, outcomes.size());
     }
 
-    /** After a transaction exceeded the store's rate limit, no other is sent for 0.15 s. */
+    /**
+     * After a transaction exceeded the store's rate limit, no other is sent for 0.15 s, regardless
+     * of the transactions in flight.
+     */
     @Test
     void pausesAfterARateLimitedTransaction() {
         write("a");
--- a/src/test/java/io/kelphoist/statestore/StateStoreFaults.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreFaults.java
@@ -6,12 +6,16 @@
     private int lateWritesPerTen;
     private int lostResponsesPerTen;
 
-    /** Returns whether the store is down. */
+    /** Returns whether the store is down, that is, unavailable to all controllers. */
     public boolean isDown() {
         return down;
     }
 
-    /** Sets whether the store is down: no request of any controller is executed then. */
+    /**
+     * Sets whether the store is down. While it is, requests that arrive are not executed and held
+     * watch requests get no response. A transaction that was chosen to be late or without response
+     * when it was sent is applied even then.
+     */
     public void setDown(boolean down) {
         this.down = down;
     }
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -29,7 +29,7 @@
     /** A key's value and the revision of its last change. */
     public record Item(String key, ObjectNode value, long revision) {}
 
-    /** The outcome of a transaction without response is unknown to its client after this time. */
+    /** A transaction without response ends after this time, with an unknown outcome. */
     private static final double REQUEST_TIMEOUT_SECONDS = 1.5;
 
     /** A watch request times out this long after its hold time. */
@@ -37,7 +37,7 @@
 
     private static final double WATCH_POLL_SECONDS = 0.05;
 
-    /** Maximum delay of a request, and of its response. */
+    /** Maximum delay of a request until it is processed, and of its response after that. */
     private static final double MAX_DELAY_SECONDS = 29 / 60.0;
 
     private final ScheduledEvents events = new ScheduledEvents();
@@ -174,7 +174,7 @@
         schedule(delay(), () -> handler.accept(result));
     }
 
-    // ---- requests of a controller that is never unreachable alone ----
+    // ---- requests of a controller to which the store is available unless it is down ----
 
     @Override
     public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
@@ -209,12 +209,12 @@
         viewFor(() -> false).awaitChanges(prefix, after, holdMillis, handler);
     }
 
-    /** Returns one controller's view; requests fail while {@code unreachable} returns true. */
+    /** Returns one controller's view; the store is unavailable to it while {@code unreachable}. */
     public View viewFor(BooleanSupplier unreachable) {
         return new View(unreachable);
     }
 
-    /** The state store for one controller, to which it may be unavailable while others reach it. */
+    /** The state store as one controller reaches it. */
     public final class View implements StateStoreWatcher, StateStoreWriter {
         private final BooleanSupplier unreachable;
 
@@ -222,16 +222,16 @@
             this.unreachable = unreachable;
         }
 
-        private boolean isUnreachable() {
+        private boolean isUnavailable() {
             return faults.isDown() || unreachable.getAsBoolean();
         }
 
-        private void process(Runnable request, Runnable onUnreachable) {
+        private void process(Runnable request, Runnable onUnavailable) {
             schedule(
                     delay(),
                     () -> {
-                        if (isUnreachable()) {
-                            onUnreachable.run();
+                        if (isUnavailable()) {
+                            onUnavailable.run();
                         } else {
                             request.run();
                         }
@@ -303,13 +303,13 @@
             process(handler, () -> hold(prefix, after, nowSeconds + holdMillis / 1000.0, handler));
         }
 
-        /** Holds a watch request; an outage keeps it open until the client times out. */
+        /** Holds a watch request; an outage leaves it without a response until its timeout. */
         private void hold(
                 String prefix,
                 long after,
                 double until,
                 Consumer<StateStoreResult<StoredChanges>> handler) {
-            boolean isUnavailable = isUnreachable();
+            boolean isUnavailable = isUnavailable();
             if (isUnavailable && nowSeconds > until + WATCH_TIMEOUT_MARGIN_SECONDS) {
                 handler.accept(new StateStoreResult.OutcomeUnknown<>());
             } else if (!isUnavailable
@@ -328,12 +328,12 @@
                 List<VersionCondition> conditions,
                 List<RecordMutation> mutations,
                 Consumer<StateStoreResult<Long>> handler) {
-            if (!isUnreachable() && nextRandom(10) < faults.lateWritesPerTen()) {
+            if (!isUnavailable() && nextRandom(10) < faults.lateWritesPerTen()) {
                 schedule(
                         2 + nextRandom(100) / 10.0,
                         () -> lateWrites += apply(conditions, mutations) > 0 ? 1 : 0);
                 timeOut(handler);
-            } else if (!isUnreachable() && nextRandom(10) < faults.lostResponsesPerTen()) {
+            } else if (!isUnavailable() && nextRandom(10) < faults.lostResponsesPerTen()) {
                 schedule(delay(), () -> lostResponses += apply(conditions, mutations) > 0 ? 1 : 0);
                 timeOut(handler);
             } else {
