--- a/src/main/java/io/kelphoist/admission/Admission.java
+++ b/src/main/java/io/kelphoist/admission/Admission.java
@@ -31,21 +31,22 @@
     private static final double MAX_RECENT_AGE_RATIO = 0.25;
 
     /**
-     * State of the cluster on this controller that is not read from the state store by admission.
+     * What this controller knows of the cluster besides the job records, which admission reads from
+     * the state store itself.
      */
     public interface ClusterView {
         /** Returns all machine types; empty until they are loaded. */
         Collection<MachineType> machineTypes();
 
         /**
-         * Returns the latest task counts of a job, or empty if this controller has none: no task
-         * has started as far as it was informed.
+         * Returns the latest task counts of a job, or empty if no task has started as far as this
+         * controller knows.
          */
         Optional<TaskCounts> taskCounts(String jobId);
 
         /**
-         * Returns whether the controller's event loop is overloaded, so that queries must be
-         * deferred.
+         * Returns whether the controller's event loop is so far behind with its work that queries
+         * must be deferred.
          */
         default boolean isOverloaded() {
             return false;
@@ -61,7 +62,7 @@
     /** Access to the state store for users' requests. */
     public record StoreAccess(StateStoreReader reader, RecordWriter writer) {}
 
-    /** Receives each submission before it is handled. */
+    /** Receives each submission that could be decoded, before it is handled. */
     public interface SubmissionListener {
         /** Returns the callback that replaces the given one and must pass the result on to it. */
         Consumer<AdmissionResult> onSubmission(JobSpec job, Consumer<AdmissionResult> callback);
@@ -186,7 +187,7 @@
         return responder.deferralCount(reason);
     }
 
-    /** Returns the jobs whose queries are deferred repeatedly. May be called on any thread. */
+    /** Returns the jobs whose last query was deferred. May be called on any thread. */
     public UnansweredJobs unansweredJobs() {
         return queries.unansweredJobs();
     }
--- a/src/main/java/io/kelphoist/admission/AdmissionResult.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionResult.java
@@ -10,9 +10,9 @@
         QUEUED,
         /** At least one task runs according to this controller's task counts. */
         RUNNING,
-        /** All tasks have completed. */
+        /** All tasks are done; those of a gang are done once one of them is. */
         DONE,
-        /** The job was cancelled, by a user or with a job that it depends on. */
+        /** The job was cancelled, by a user or because a job that it depends on was cancelled. */
         CANCELLED;
 
         /** Returns whether a job stays in this phase for good. */
@@ -25,8 +25,10 @@
      * A job's state.
      *
      * @param owner null if the record does not name one, see {@link io.kelphoist.model.JobRecord}
-     * @param doneTasks number of completed tasks in this controller's task counts
-     * @param runningTasks number of running tasks in this controller's task counts
+     * @param doneTasks number of done tasks in this controller's task counts; 0 if the job has
+     *     ended
+     * @param runningTasks number of running tasks in this controller's task counts; 0 if the job
+     *     has ended
      * @param timestampMillis the record's timestamp in ms since the epoch, see {@link
      *     io.kelphoist.model.JobRecord}
      * @param revision the state store's revision of the record's last change
@@ -44,15 +46,18 @@
     record Accepted(JobStateView job) implements AdmissionResult {}
 
     /**
-     * The job exists: it was stored before this submission, or the request is a query or a
-     * cancellation.
+     * The job is stored, and the request is a query or a cancellation, or a submission that did not
+     * store it as far as this controller knows.
      */
     record Found(JobStateView job) implements AdmissionResult {}
 
     /** No job with the requested id is stored. */
     record NotFound() implements AdmissionResult {}
 
-    /** The submission is invalid: it would be rejected again if it were repeated unchanged. */
+    /**
+     * The submission is invalid. Repeated unchanged, it would be rejected again, unless the reason
+     * lies elsewhere and has changed: a dependency that was not accepted yet, or the machine types.
+     */
     record Rejected(Reason reason, String message) implements AdmissionResult {
         /** Why a submission was rejected. */
         public enum Reason {
@@ -63,7 +68,7 @@
         }
     }
 
-    /** The request was deferred: the user should repeat it after a delay. */
+    /** The request was deferred: the user should repeat it, unchanged, after a delay. */
     record RetryLater(DeferralReason reason, int retryAfterSeconds) implements AdmissionResult {}
 
     /**
@@ -74,8 +79,9 @@
         /** This controller has not loaded the machine types yet. */
         TYPES_UNKNOWN,
         /**
-         * The job's state is unknown: its record can't be read from the state store, or this
-         * version can't decode it.
+         * The state of the job or of a job that it depends on is unknown: the record can't be read
+         * from the state store at this time, what was read may be outdated, or this version can't
+         * decode it.
          */
         UNSURE,
         /** The write was not executed by the state store, or its outcome is unknown. */
--- a/src/main/java/io/kelphoist/admission/AdmissionRules.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionRules.java
@@ -29,7 +29,7 @@
     }
 
     /**
-     * Returns why the job can never run, as a message for the user, or empty if it can run.
+     * Returns why the job can never run, as a message for the user, or empty if it can.
      *
      * @param machineTypes all machine types that the cloud offers; must not be empty
      */
--- a/src/main/java/io/kelphoist/admission/DependencyStatus.java
+++ b/src/main/java/io/kelphoist/admission/DependencyStatus.java
@@ -6,6 +6,9 @@
     NONE_CANCELLED,
     /** A dependency is cancelled, so that the job can never run. */
     CANCELLED,
-    /** The record of a dependency can't be read from the state store at this time. */
+    /**
+     * The record of a dependency can't be read from the state store at this time, or what was read
+     * may be outdated.
+     */
     UNAVAILABLE
 }
--- a/src/main/java/io/kelphoist/admission/DependencyWalk.java
+++ b/src/main/java/io/kelphoist/admission/DependencyWalk.java
@@ -9,12 +9,16 @@
 import java.util.function.Consumer;
 
 /**
- * Breadth-first traversal of the jobs that a job depends on, which ends at the first cancelled one.
- * An instance is used for one traversal; it owns the set of jobs that were queued for a visit.
+ * Breadth-first traversal of the jobs that a job depends on, directly or through other jobs. It
+ * ends at the first one that is cancelled or whose record can't be read. An instance is used for
+ * one traversal; it owns the set of jobs that were queued for a visit.
  */
 final class DependencyWalk {
-    /** Bounds the number of reads for one response. The leader checks longer dependency chains. */
-    private static final int MAX_JOBS_VISITED = 64;
+    /**
+     * The dependencies of a visited job are added only if fewer jobs than this were queued so far.
+     * This bounds the number of reads for one response. The leader checks longer dependency chains.
+     */
+    private static final int MAX_QUEUED_BEFORE_ADDING = 64;
 
     private final JobLookup lookup;
     private final Consumer<DependencyStatus> callback;
@@ -30,7 +34,7 @@
     }
 
     /**
-     * Checks whether a job must be cancelled because one of its dependencies is cancelled. The
+     * Checks whether a job must be cancelled because a job that it depends on is cancelled. The
      * leader cancels such jobs. This check covers times when there is no leader or it is
      * unreachable, so that no job is reported as queued long after the cancellation of a dependency
      * was reported.
@@ -62,7 +66,7 @@
                 callback.accept(DependencyStatus.CANCELLED);
                 return;
             }
-            if (status == JobStatus.ACTIVE && seen.size() < MAX_JOBS_VISITED) {
+            if (status == JobStatus.ACTIVE && seen.size() < MAX_QUEUED_BEFORE_ADDING) {
                 enqueueUnseen(present.record().spec().dependencies());
             }
         }
--- a/src/main/java/io/kelphoist/admission/JobLookup.java
+++ b/src/main/java/io/kelphoist/admission/JobLookup.java
@@ -20,15 +20,15 @@
 
 /**
  * Reads job records for responses to users: from a cache if the cached record is guaranteed to be
- * current, otherwise from the state store. Owns the cache of finished jobs, the {@link
- * JobRecordCache} of unfinished jobs and the list of recent responses ({@link MonotonicReads}).
+ * current, otherwise from the state store. Owns the cache of ended jobs, the {@link JobRecordCache}
+ * of unfinished jobs and the list of recent responses ({@link MonotonicReads}).
  *
  * <p>Callbacks are called on the event loop, possibly before the call returns.
  */
 final class JobLookup {
     private static final Logger LOG = LoggerFactory.getLogger(JobLookup.class);
 
-    /** Maximum number of finished jobs that are cached. */
+    /** Maximum number of ended jobs that are cached. */
     static final int MAX_CACHED_JOBS = 4000;
 
     private final StateStoreReader store;
@@ -36,7 +36,7 @@
     private final double maxRecentAgeSeconds;
 
     /**
-     * Records of finished jobs. They never change, so they are valid also while the state store is
+     * Records of ended jobs. They never change, so they are valid also while the state store is
      * unavailable.
      */
     private final Cache<String, JobRecord> finalRecords =
@@ -60,7 +60,7 @@
 
     /**
      * Reads a job's record as of a moment after this call. If this controller has reported a newer
-     * record to a user by the time of the result, the result is that record.
+     * record to a user by then, the result is that record.
      */
     void read(String jobId, Consumer<JobReadResult> callback) {
         double requestedAtSeconds = loop.nowSeconds();
@@ -103,9 +103,9 @@
     }
 
     /**
-     * Reads a job's record that is no older than the maximum age given to the constructor: a job
-     * that is read as active may have ended since. Overlapping reads of the same job share one
-     * read.
+     * Reads a job's record that may be outdated by at most the maximum age given to the
+     * constructor, so that a job that is read as active may have ended since. Overlapping reads of
+     * the same job share one read.
      */
     void readRecent(String jobId, Consumer<JobReadResult> callback) {
         JobRecord cached = unfinishedRecords.getIfPresent(jobId);
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Passes on the result of a shared read. If the job was absent, reads it again, since it may
-     * have been accepted after the shared read was sent.
+     * Passes on the result of a shared read that was sent before this caller joined it. If the job
+     * was absent, reads it again, since it may have been accepted after that read was sent.
      */
     private void acceptOrReadIfAbsent(
             String jobId, JobReadResult result, Consumer<JobReadResult> callback) {
--- a/src/main/java/io/kelphoist/admission/JobReadResult.java
+++ b/src/main/java/io/kelphoist/admission/JobReadResult.java
@@ -11,8 +11,8 @@
     record Absent() implements JobReadResult {}
 
     /**
-     * The job has a record that this version can't decode. Its state is unknown; in a check of
-     * dependencies it is treated as not cancelled.
+     * The job has a record that this version can't decode. Its state is unknown; {@link
+     * DependencyWalk} treats it as not cancelled.
      */
     record Unreadable() implements JobReadResult {}
 
--- a/src/main/java/io/kelphoist/admission/JobRecordCache.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordCache.java
@@ -21,9 +21,9 @@
 /**
  * Caches the records of unfinished jobs and revalidates them for many readers at once. A reader
  * waits for the next revalidation: one request to the state store for all changes of jobs since the
- * revalidation before. Every reader begins to wait before the request is sent, so that the records
- * are as current as if each reader had read them separately. Users' polls, whose number grows with
- * the size of the deployment, therefore cost a bounded number of requests.
+ * previous revalidation. Every reader begins to wait before the request is sent, so that the
+ * records are as current as if each reader had read them separately. Users' polls, whose number
+ * grows with the size of the deployment, therefore cost a bounded number of requests.
  *
  * <p>A record is cached only if no change of it can have been missed: it was read, or written by
  * this controller, after the first revision of the cache's epoch, and no newer change of the same
@@ -50,12 +50,14 @@
 
     private static final int MAX_TRACKED_REVISIONS = 20_000;
 
-    /** Minimum time between the starts of two revalidations. */
+    /**
+     * Minimum time between the start of a successful revalidation and the start of the next one.
+     */
     private static final double REVALIDATION_INTERVAL_SECONDS = 0.02;
 
     /**
-     * If the last revalidation is longer ago than this, reading all changes since costs more than a
-     * reset.
+     * If the last successful revalidation is longer ago than this, reading all changes since costs
+     * more than a reset.
      */
     private static final double MAX_AGE_SECONDS = 5;
 
@@ -140,7 +142,10 @@
     }
 
     /**
-     * Caches an unfinished job's record from the response to a request that was sent in an epoch.
+     * Caches an unfinished job's record from a response, if no reset took place since the request
+     * was sent.
+     *
+     * @param requestEpoch the result of {@link #epoch} when the request was sent
      */
     void onRead(JobRecord record, long requestEpoch) {
         if (requestEpoch == epoch && hasRevision()) {
--- a/src/main/java/io/kelphoist/admission/JobRecordWriter.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordWriter.java
@@ -14,7 +14,7 @@
     private static final double WRITE_TIMEOUT_SECONDS = 3.0;
     private static final int BYTES_PER_KILOBYTE = 1024;
 
-    /** Bytes of a value that stay unused, so that a later change can add fields to the record. */
+    /** Bytes of a value that stay unused, for what later changes of the record add to it. */
     private static final int RESERVED_VALUE_BYTES = 256;
 
     private final Admission.RecordWriter writer;
@@ -54,7 +54,10 @@
         return new EncodedRecord(record, mutation);
     }
 
-    /** Returns whether the record fits the state store's limit on the size of a value. */
+    /**
+     * Returns whether the record fits the state store's limit on the size of a value, with {@link
+     * #RESERVED_VALUE_BYTES} to spare.
+     */
     boolean fits(EncodedRecord encoded) {
         return encoded.sizeBytes <= maxValueBytes;
     }
--- a/src/main/java/io/kelphoist/admission/MonotonicReads.java
+++ b/src/main/java/io/kelphoist/admission/MonotonicReads.java
@@ -20,7 +20,7 @@
     /** Maximum number of jobs whose last reported state is kept. */
     static final int MAX_ENTRIES = 4000;
 
-    /** Longer than any read takes. */
+    /** Time for which a reported state is kept. Longer than any read takes. */
     static final double RETENTION_SECONDS = 20;
 
     private record Response(JobRecord record, double reportedAtSeconds) {}
--- a/src/main/java/io/kelphoist/admission/QueryHandler.java
+++ b/src/main/java/io/kelphoist/admission/QueryHandler.java
@@ -9,7 +9,8 @@
 
 /**
  * Handles queries for a job's state. If the job depends on a cancelled job and no task of it has
- * started, the query cancels the job first, so that it is not reported as queued.
+ * started as far as this controller knows, the query cancels the job first, so that it is not
+ * reported as queued.
  */
 final class QueryHandler {
     private static final Logger LOG = LoggerFactory.getLogger(QueryHandler.class);
@@ -49,8 +50,8 @@
         if (!(result instanceof AdmissionResult.RetryLater)) {
             unansweredJobs.onQueryAnswered(jobId);
         } else if (unansweredJobs.onQueryDeferred(jobId, loop.nowSeconds())) {
-            // Queries for other jobs may succeed, so the cached record of this job may be the
-            // cause.
+            // If queries for other jobs succeed, the cause may be the cached record of this job.
+            // Without it, the next query reads the record from the state store.
             LOG.warn(
                     "queries deferred repeatedly, cached job record invalidated: job={} deferredSeconds={}",
                     jobId,
@@ -91,7 +92,7 @@
         private final JobRecord record;
         private final Consumer<AdmissionResult> callback;
 
-        /** Whether the check is completed within the call that starts it. */
+        /** True until the call that starts the check has returned. */
         private boolean completedSynchronously = true;
 
         DependencyCheck(JobRecord record, Consumer<AdmissionResult> callback) {
--- a/src/main/java/io/kelphoist/admission/SubmissionHandler.java
+++ b/src/main/java/io/kelphoist/admission/SubmissionHandler.java
@@ -173,7 +173,8 @@
                 "job accepted: job={} elapsedMillis={}",
                 stored.id(),
                 clocks.wallClockMillis().getAsLong() - stored.timestampMillis());
-        // Another controller may have cancelled the job before this outcome arrived.
+        // The outcome may have arrived late: another controller may have cancelled the job since,
+        // and this controller may have reported that.
         JobReadResult current =
                 lookup.ensureMonotonic(
                         stored.id(), new JobReadResult.Present(stored), sentAtSeconds);
--- a/src/main/java/io/kelphoist/admission/UnansweredJobs.java
+++ b/src/main/java/io/kelphoist/admission/UnansweredJobs.java
@@ -5,13 +5,15 @@
 import java.util.Map;
 
 /**
- * Tracks jobs whose queries are deferred repeatedly while queries for other jobs succeed, for
- * example because the job's cached record is wrong. The counts of deferred requests don't name the
- * jobs and so don't show this.
+ * Tracks the jobs whose last query was deferred, and for how long their queries have been deferred.
+ * This shows a job whose queries are deferred again and again while those for other jobs succeed,
+ * for example because the job's cached record is wrong; the counts of deferred requests, which
+ * don't name jobs, don't show it.
  *
  * <p>Modified on the event loop only; also read by the metrics thread, hence synchronized.
  */
 public final class UnansweredJobs {
+    /** Maximum number of tracked jobs; further jobs are not tracked. */
     private static final int MAX_JOBS = 1000;
 
     /**
@@ -20,7 +22,7 @@
      */
     private static final double INVALIDATION_INTERVAL_SECONDS = 10;
 
-    /** A job without a query for this long may be evicted when another job is added. */
+    /** A job without a query for longer than this may be evicted when another job is added. */
     private static final double RETENTION_SECONDS = 120;
 
     private static final class UnansweredJob {
@@ -74,19 +76,21 @@
         }
     }
 
-    /** Returns for how long queries for a job have been deferred; 0 if the job is not tracked. */
+    /**
+     * Returns the seconds since the first of a job's deferred queries; 0 if the job is not tracked.
+     */
     synchronized double deferredForSeconds(String jobId, double nowSeconds) {
         UnansweredJob job = jobs.get(jobId);
         return job == null ? 0 : nowSeconds - job.firstDeferredAtSeconds;
     }
 
-    /** Returns the number of tracked jobs: those whose last query was deferred. */
+    /** Returns the number of tracked jobs. */
     public synchronized int size() {
         return jobs.size();
     }
 
     /**
-     * Returns for how many seconds queries have been deferred for the job that was deferred first;
+     * Returns the seconds since the first deferred query of the job that has been tracked longest;
      * 0 if no job is tracked.
      */
     public synchronized double longestDeferralSeconds(double nowSeconds) {
--- a/src/main/java/io/kelphoist/wire/CloudCodec.java
+++ b/src/main/java/io/kelphoist/wire/CloudCodec.java
@@ -72,7 +72,7 @@
         return message;
     }
 
-    /** Encodes a scale-out request: a request for new instances. */
+    /** Encodes a scale-out request, which asks the cloud for new instances. */
     public static ObjectNode encodeScaleOutRequest(ScaleOutRequest request) {
         return MessageEncoding.newObject()
                 .put(FieldNames.SCALE_OUT_REQUEST, request.name())
@@ -119,6 +119,7 @@
             throws MalformedMessageException {
         ObjectNode message = MessageEncoding.decodeCbor(body);
         List<CloudInstance> instances = decodeInstances(message);
+        // Without instances there is no name after which the next page could be requested.
         boolean isLast = !decodeHasNextPage(message) || instances.isEmpty();
         return new InstanceListPage(afterName, isLast, instances);
     }
--- a/src/main/java/io/kelphoist/wire/HttpExchanges.java
+++ b/src/main/java/io/kelphoist/wire/HttpExchanges.java
@@ -87,7 +87,7 @@
         sendBody(exchange, status, JSON, body);
     }
 
-    /** Responds that the request is invalid, with the reason. */
+    /** Responds with a status that says that the request is invalid, and the reason in CBOR. */
     public static void sendError(HttpServerExchange exchange, int status, String reason) {
         sendCbor(exchange, status, MessageEncoding.newObject().put("error", reason));
     }
--- a/src/main/java/io/kelphoist/wire/JobCodec.java
+++ b/src/main/java/io/kelphoist/wire/JobCodec.java
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Validates a job that was not decoded from a message by the rules of {@link #decodeJob}, and
-     * returns it with defaults for missing values.
+     * Validates a job of another protocol by the rules of {@link #decodeJob}, and returns it in the
+     * form that {@link #decodeJob} returns, without duplicate dependencies.
      *
      * @throws MalformedMessageException if a field is invalid
      */
@@ -204,7 +204,7 @@
     /**
      * Encodes the response to a submission that stored the job.
      *
-     * @param state the job's state as users receive it
+     * @param state the name of the job's state in messages
      */
     public static ObjectNode encodeAccepted(String jobId, String state) {
         return MessageEncoding.newObject().put(FieldNames.NAME, jobId).put(FieldNames.STATE, state);
--- a/src/main/java/io/kelphoist/wire/JobStateMessage.java
+++ b/src/main/java/io/kelphoist/wire/JobStateMessage.java
@@ -3,8 +3,9 @@
 /**
  * A job's state in responses to users.
  *
- * @param doneTasks number of completed tasks
- * @param runningTasks number of running tasks
+ * @param doneTasks number of done tasks as far as the controller knows; 0 if the job has ended
+ * @param runningTasks number of running tasks as far as the controller knows; 0 if the job has
+ *     ended
  */
 public record JobStateMessage(String jobId, State state, int doneTasks, int runningTasks) {
     /** A job's state, with its name in messages. */
@@ -13,7 +14,7 @@
         QUEUED("queued"),
         /** At least one task runs. */
         RUNNING("running"),
-        /** All tasks have completed. */
+        /** All tasks are done; those of a gang are done once one of them is. */
         DONE("done"),
         /** The job was cancelled. */
         CANCELLED("aborted");
--- a/src/main/java/io/kelphoist/wire/WorkerCodec.java
+++ b/src/main/java/io/kelphoist/wire/WorkerCodec.java
@@ -22,7 +22,8 @@
      * Decodes the CBOR body of a heartbeat that a worker sent to this controller, and keeps the
      * message for a relay.
      *
-     * @throws MalformedMessageException if a field is missing or invalid
+     * @throws MalformedMessageException if the body is not a message, or a field is missing or
+     *     invalid
      */
     public static ReceivedHeartbeat decodeHeartbeatBody(byte[] body)
             throws MalformedMessageException {
@@ -33,7 +34,8 @@
     /**
      * Decodes the JSON body of a heartbeat that another controller relayed.
      *
-     * @throws MalformedMessageException if a field is missing or invalid
+     * @throws MalformedMessageException if the body is not a message, or a field is missing or
+     *     invalid
      */
     public static Heartbeat decodeRelayedHeartbeat(byte[] body) throws MalformedMessageException {
         return decodeHeartbeat(MessageEncoding.decodeJson(body));
@@ -156,7 +158,10 @@
         return message;
     }
 
-    /** Encodes commands that are sent to a worker in a request, before its next heartbeat. */
+    /**
+     * Encodes commands that a controller sends to a worker in a request, without waiting for the
+     * worker's next heartbeat.
+     */
     public static ObjectNode encodeCommands(
             long fencingToken, long agentEpoch, List<WorkerCommand> commands) {
         return encodeHeartbeatResponse(fencingToken, commands)
