--- a/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
@@ -36,8 +36,9 @@
  *
  * <p>Checks that no response is older than any response that was received before the request was
  * sent, nor than any earlier response of the same controller; that no accepted job is reported as
- * not found or rejected; that a job that depends on a cancelled one is reported as cancelled after
- * {@link #CANCELLATION_TIMEOUT_SECONDS}; and that a cancellation is recorded before it is reported.
+ * not found or rejected; that a job that depends on a cancelled one is reported only as cancelled
+ * if the request was sent later than {@link #CANCELLATION_TIMEOUT_SECONDS} after that cancellation
+ * was reported; and that a cancellation is recorded before it is reported.
  */
 class AdmissionSimulationTest {
     private static final int JOBS = 8;
@@ -58,7 +59,7 @@
 
     /** The admission of one controller, and what it has reported. */
     private final class Controller {
-        /** Cancelled jobs that were passed to the listener that runs before a state is reported. */
+        /** Ids of the cancelled jobs whose records were passed to {@link #beforeResponse}. */
         final Set<String> recordedCancellations = new HashSet<>();
 
         /** The last phase that this controller reported of each job. */
@@ -75,9 +76,9 @@
                         new FixedMachineTypes(List.of(TYPE)),
                         new AdmissionSettings(
                                 List.of(TEAM), List.of("a"), 4, CANCELLATION_TIMEOUT_SECONDS),
-                        this::onStatusReported);
+                        this::beforeResponse);
 
-        private void onStatusReported(JobRecord record) {
+        private void beforeResponse(JobRecord record) {
             if (record.status() == JobStatus.CANCELLED) {
                 recordedCancellations.add(record.id());
             }
@@ -94,7 +95,7 @@
     /** By job id: when it was first reported as cancelled. */
     private Map<String, Double> cancelledAtSeconds;
 
-    /** Jobs whose users query all controllers when they are first reported and when they end. */
+    /** Jobs whose users query all controllers on the first response and the first final one. */
     private Set<String> watchedJobs;
 
     /** Creates a new simulation for each try, since jqwik runs all tries on one instance. */
@@ -137,7 +138,10 @@
         /** Whether the job was not reported before, and a dependency was reported as cancelled. */
         private final boolean dependencyCancelled;
 
-        /** Whether the time to cancel the job with a dependency had expired before the request. */
+        /**
+         * Whether, when the request was sent, the cancellation of a dependency had been reported
+         * for longer than {@link #CANCELLATION_TIMEOUT_SECONDS}.
+         */
         private final boolean cancellationDue;
 
         private boolean hasResponse;
@@ -233,7 +237,7 @@
                     id + " was reported as cancelled before the cancellation was recorded");
             assertTrue(
                     !cancellationDue || phase == AdmissionResult.Phase.CANCELLED,
-                    id + ": expected CANCELLED in time after a dependency, was " + phase);
+                    id + ": expected CANCELLED, as a dependency long was, got " + phase);
         }
 
         private void recordPhase(AdmissionResult.Phase phase) {
@@ -338,7 +342,7 @@
                 }
                 assertTrue(
                         last[0] != null && !(last[0] instanceof AdmissionResult.RetryLater),
-                        "job-" + number + ": expected a state after all faults, was " + last[0]);
+                        "job-" + number + ": no response or deferred after all faults: " + last[0]);
             }
         }
     }
--- a/src/test/java/io/kelphoist/admission/FreshReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/FreshReadsTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against read results that are older than the request. It could happen when several reads
- * share one request to the state store, or are served from the cache, while the state store
- * responds late and out of order.
+ * Guards against read results that are older than the request, as could happen if several reads
+ * share one request to the state store or are served from the cache, while the state store responds
+ * late and out of order.
  */
 class FreshReadsTest {
     private static final int JOBS = 6;
@@ -168,7 +168,7 @@
     }
 
     /**
-     * The cache of finished jobs is filled with one job more than it holds. The evicted job is read
+     * The cache of ended jobs is filled with one job more than it holds. The evicted job is read
      * from the state store again, and is unavailable while the state store is.
      */
     @Test
--- a/src/test/java/io/kelphoist/admission/MonotonicReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/MonotonicReadsTest.java
@@ -58,7 +58,8 @@
         assertEquals(
                 new JobReadResult.Unavailable(), ensureMonotonic(new JobReadResult.Absent(), 0.5));
         assertEquals(new JobReadResult.Unavailable(), ensureMonotonic(active(1, 4), 1));
-        // The result of a read that was sent later is returned as it is, a final state always.
+        // A read that was sent after the newest evicted entry was reported keeps its result. A
+        // final state is returned in any case.
         assertEquals(active(1, 5), ensureMonotonic(active(1, 5), 1.01));
         JobReadResult done = new JobReadResult.Present(jobRecord(1, JobStatus.DONE, 6));
         assertEquals(done, ensureMonotonic(done, 0.5));
--- a/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
+++ b/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
@@ -11,7 +11,7 @@
     private final UnansweredJobs unansweredJobs = new UnansweredJobs();
 
     @Test
-    void deferredJobIsDueForARecheckEveryTenSeconds() {
+    void deferredJobIsDueForInvalidationEveryTenSeconds() {
         assertFalse(unansweredJobs.onQueryDeferred("job-1", 100));
         assertFalse(unansweredJobs.onQueryDeferred("job-1", 105));
         assertTrue(unansweredJobs.onQueryDeferred("job-1", 110));
