--- a/src/main/java/io/kelphoist/admission/AdmissionResult.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionResult.java
@@ -4,7 +4,10 @@
 
 /** The result of a user's request, which the HTTP and gRPC front ends translate into a response. */
 public sealed interface AdmissionResult {
-    /** A job's phase in responses to users. */
+    /**
+     * A job's phase in responses to users: the status in its record, of which {@code ACTIVE} is
+     * split by the job's task counts into queued and running.
+     */
     enum Phase {
         /** Accepted; no task runs according to this controller's task counts. */
         QUEUED,
--- a/src/main/java/io/kelphoist/admission/DependencyWalk.java
+++ b/src/main/java/io/kelphoist/admission/DependencyWalk.java
@@ -10,7 +10,7 @@
 
 /**
  * Breadth-first traversal of the jobs that a job depends on, directly or through other jobs. It
- * ends at the first one that is cancelled or whose record can't be read. An instance is used for
+ * ends at the first one that is cancelled or whose record is unavailable. An instance is used for
  * one traversal; it owns the set of jobs that were queued for a visit.
  */
 final class DependencyWalk {
--- a/src/main/java/io/kelphoist/statestore/GroupCommitter.java
+++ b/src/main/java/io/kelphoist/statestore/GroupCommitter.java
@@ -94,7 +94,7 @@
         void onOutcome(Outcome outcome, long revision);
     }
 
-    /** Upper bound of the size in a transaction of a write's key and conditions, without values. */
+    /** Upper bound of the size that a write's key and conditions add to that of its value. */
     public static final int KEY_OVERHEAD_BYTES = 200;
 
     /**
@@ -118,7 +118,7 @@
      */
     private static final double SLOW_CHECK_MARGIN_SECONDS = 0.001;
 
-    /** After a pause, the mutations of this many seconds at the rate limit may be sent at once. */
+    /** Burst size: as many mutations as the rate limit allows in this time may be sent at once. */
     private static final double WRITE_BURST_SECONDS = 0.9;
 
     private static final double MIN_PAUSE_SECONDS = 0.01;
@@ -135,7 +135,7 @@
 
     /**
      * Maximum number of writes per transaction; lowered after the store rejected a transaction of
-     * several writes as invalid, and unlimited again after it so rejected a single write.
+     * several writes as invalid, and unlimited again after it rejected a single write as invalid.
      */
     private int maxBatchSize = Integer.MAX_VALUE;
 
--- a/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
+++ b/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
@@ -20,7 +20,7 @@
     /** Users wait 2 s for a response, of which the wait for the rate limit may take only a part. */
     private static final double MAX_WAIT_SECONDS = 0.5;
 
-    /** After a pause, the reads of this many seconds at the rate limit may be sent at once. */
+    /** Burst size: as many reads as the rate limit allows in this time may be sent at once. */
     private static final double BURST_SECONDS = 0.5;
 
     private final StateStoreReader reader;
--- a/src/main/java/io/kelphoist/statestore/RecordWatcher.java
+++ b/src/main/java/io/kelphoist/statestore/RecordWatcher.java
@@ -16,9 +16,9 @@
  * changes may have been missed, it reads a new snapshot.
  *
  * <p>One request is in flight at a time, so that the listener receives all changes in order. The
- * exception is a watch request that is still in flight during {@link #catchUp}: if its response
- * arrives after {@link #watch} was called again, the listener receives changes that it has received
- * before, so that it must compare versions.
+ * exception is a watch request that is still in flight after {@link #stop} or {@link #catchUp}: if
+ * its response arrives after {@link #watch} was called again, the listener may receive changes that
+ * it has received before, so that it must compare versions.
  *
  * <p>Owns the revision up to which records were delivered to the listener. Runs on the event loop.
  */
@@ -63,7 +63,7 @@
     /**
      * Incremented when a call replaces or stops the current activity: timers and reads of an
      * earlier generation have no further effect. Watch requests have no generation: their response
-     * is used if this object is watching when it arrives.
+     * is used if this object is watching when it arrives and the revision was not discarded since.
      */
     private long generation;
 
@@ -175,8 +175,9 @@
             return;
         }
         if (watchInFlight) {
-            // The response to the request in flight has all changes since that request, or is
-            // discarded with its revision; in either case onWatchResponse sends the next request.
+            // The response to the request in flight has all changes since the revision that it
+            // names, or is dropped if that revision was discarded. In either case onWatchResponse
+            // schedules the next request.
             return;
         }
         watchInFlight = true;
--- a/src/main/java/io/kelphoist/statestore/StateStoreClient.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreClient.java
@@ -39,7 +39,7 @@
      */
     private static final int WATCH_TIMEOUT_MARGIN_MILLIS = 3000;
 
-    /** After a pause, the requests of this many seconds at the rate limit may be sent at once. */
+    /** Burst size: as many requests as the rate limit allows in this time may be sent at once. */
     private static final double REQUEST_BURST_SECONDS = 0.8;
 
     /**
@@ -62,8 +62,9 @@
     private static final double RATE_LIMITED_PAUSE_SECONDS = 0.1;
 
     /**
-     * When a request fails, requests are assumed to have been failing at the latest since this long
-     * after the last usable response, since a failure may be noticed much later than it began.
+     * When a request fails, requests are assumed to have been failing since this long after the
+     * last usable response at the latest, because a failure may be noticed late, for example only
+     * when a request times out.
      */
     private static final double MAX_SECONDS_FROM_RESPONSE_TO_FAILURE = 1;
 
