--- a/src/main/java/io/kelphoist/admission/JobLookup.java
+++ b/src/main/java/io/kelphoist/admission/JobLookup.java
@@ -230,7 +230,7 @@
             return new JobReadResult.Present(record);
         } catch (MalformedMessageException e) {
             LOG.error("malformed record of a job: job={} error={}", jobId, e.getMessage());
-            return new JobReadResult.Unreadable();
+            return new JobReadResult.Undecodable();
         }
     }
 
--- a/src/main/java/io/kelphoist/admission/JobReadResult.java
+++ b/src/main/java/io/kelphoist/admission/JobReadResult.java
@@ -14,7 +14,7 @@
      * The job has a record that this version can't decode. Its state is unknown; {@link
      * DependencyWalk} treats it as not cancelled.
      */
-    record Unreadable() implements JobReadResult {}
+    record Undecodable() implements JobReadResult {}
 
     /**
      * The record can't be read from the state store at this time, or what was read may be outdated.
