--- a/src/main/java/io/kelphoist/statestore/StateStoreClient.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreClient.java
@@ -295,7 +295,8 @@
             failingSinceSeconds = Double.NaN;
             return result;
         } catch (MalformedMessageException e) {
-            onMalformedResponse.accept("system=stateStore error=" + e.getMessage());
+            onMalformedResponse.accept(
+                    "system=stateStore status=" + response.status() + " error=" + e.getMessage());
             recordFailure();
             return new StateStoreResult.OutcomeUnknown<>();
         }
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreKeys.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreKeys.java
@@ -35,8 +35,8 @@
     public static final String DELEGATIONS_PREFIX = "q/";
 
     /**
-     * Added to a page number, of which the first digit is then dropped, so that all page numbers
-     * have six digits and keys sort by number.
+     * Added to a page number before it is written as text. Without its first digit, the sum is the
+     * page number with six digits, so that keys sort by page number.
      */
     private static final int PAGE_NUMBER_OFFSET = 1_000_000;
 
--- a/src/main/java/io/kelphoist/wire/FieldNames.java
+++ b/src/main/java/io/kelphoist/wire/FieldNames.java
@@ -2,8 +2,8 @@
 
 /**
  * Field names in messages to and from users, workers and the cloud. Each constant is named after
- * the field's meaning. Fields whose name is their meaning have no constant; the codecs use their
- * names directly.
+ * the field's meaning. Fields whose names already say what they mean have no constant; the codecs
+ * use these names directly.
  */
 final class FieldNames {
     static final String AGENT_EPOCH = "watch";
--- a/src/main/java/io/kelphoist/wire/HttpResponseReader.java
+++ b/src/main/java/io/kelphoist/wire/HttpResponseReader.java
@@ -26,6 +26,7 @@
         this.buffers = buffers;
         this.responseChannel = exchange.getResponseChannel();
         this.status = exchange.getResponse().getResponseCode();
+        // Any Connection header is taken as the host's intention to close the connection.
         this.keepAlive =
                 exchange.getResponse().getResponseHeaders().getFirst(Headers.CONNECTION) == null;
     }
