--- a/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
+++ b/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
@@ -173,22 +173,22 @@
      * that a record never contains a start that is too early. Records are therefore written only
      * when a controller stops or resumes responding, or after it was elected.
      */
-    public List<DelegationRecord> dueRecords(double nowSeconds) {
-        List<DelegationRecord> due = new ArrayList<>();
+    public List<DelegationRecordWrite> dueRecordWrites(double nowSeconds) {
+        List<DelegationRecordWrite> due = new ArrayList<>();
         if (!isEnabled) {
             return due;
         }
         if (ownRecordState == RecordState.PRESENT) {
             ownRecordTransitionTo(RecordState.WRITING);
-            due.add(DelegationRecord.cleared(localName));
+            due.add(DelegationRecordWrite.clearing(localName));
         }
         peers.forEach(
                 (peerName, peer) -> {
                     if (peer.isClearDue(nowSeconds)) {
-                        due.add(DelegationRecord.cleared(peerName));
+                        due.add(DelegationRecordWrite.clearing(peerName));
                         peer.onRecordWriting();
                     } else if (peer.isRecordDue(nowSeconds, startedAtSeconds)) {
-                        due.add(new DelegationRecord(peerName, peer.latestStartAtSeconds()));
+                        due.add(new DelegationRecordWrite(peerName, peer.latestStartAtSeconds()));
                         peer.onRecordWriting();
                     }
                 });
@@ -196,17 +196,17 @@
     }
 
     /**
-     * A write of a record of {@link #dueRecords} ended.
+     * A write of a record of {@link #dueRecordWrites} ended.
      *
      * @param isOutcomeKnown false if it is unknown whether the record was stored; a record is then
      *     assumed to be present
      */
-    public void onRecordStored(DelegationRecord record, boolean isOutcomeKnown) {
-        boolean isCleared = isOutcomeKnown && record.isCleared();
-        if (record.peerName().equals(localName)) {
+    public void onRecordWritten(DelegationRecordWrite record, boolean isOutcomeKnown) {
+        boolean isCleared = isOutcomeKnown && record.clearsRecord();
+        if (record.controllerName().equals(localName)) {
             ownRecordTransitionTo(isCleared ? RecordState.ABSENT : RecordState.PRESENT);
         } else {
-            peers.get(record.peerName()).onRecordWritten(isCleared);
+            peers.get(record.controllerName()).onRecordWritten(isCleared);
         }
     }
 
--- a/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
+++ b/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
@@ -2,7 +2,7 @@
 
 import io.kelphoist.config.PlatformSettings;
 import io.kelphoist.delegation.DelegationOffer;
-import io.kelphoist.delegation.DelegationRecord;
+import io.kelphoist.delegation.DelegationRecordWrite;
 import io.kelphoist.delegation.DelegationTiming;
 import io.kelphoist.delegation.HeldDelegation;
 import io.kelphoist.delegation.LeaseDelegations;
@@ -156,12 +156,12 @@
             return;
         }
         LeaseDelegations requestingDelegations = delegations.get();
-        for (DelegationRecord record : requestingDelegations.dueRecords(nowSeconds)) {
-            double ageSeconds = nowSeconds - record.startsAtSeconds();
+        for (DelegationRecordWrite record : requestingDelegations.dueRecordWrites(nowSeconds)) {
+            double ageSeconds = nowSeconds - record.latestStartAtSeconds();
             store.storeDelegation(
-                    record.peerName(),
+                    record.controllerName(),
                     nowMillis - ageSeconds * MILLIS_PER_SECOND,
-                    isStored -> requestingDelegations.onRecordStored(record, isStored));
+                    isStored -> requestingDelegations.onRecordWritten(record, isStored));
         }
     }
 
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -185,17 +185,17 @@
      */
     void storeRecords() {
         double now = network.nowSeconds();
-        for (DelegationRecord record : delegations.dueRecords(leader.clock())) {
+        for (DelegationRecordWrite record : delegations.dueRecordWrites(leader.clock())) {
             double startsAt =
                     now
-                            - (leader.clock() - record.startsAtSeconds()) / leader.clockRate()
+                            - (leader.clock() - record.latestStartAtSeconds()) / leader.clockRate()
                             - WALL_CLOCK_ERROR_SECONDS;
             network.schedule(
                     now * 7 % 3,
                     () -> {
                         if (isCurrent.getAsBoolean()) {
-                            store.putDelegation(record.peerName(), startsAt);
-                            delegations.onRecordStored(record, true);
+                            store.putDelegation(record.controllerName(), startsAt);
+                            delegations.onRecordWritten(record, true);
                         }
                     });
         }
--- a/src/test/java/io/kelphoist/failover/CommandDelivery.java
+++ b/src/test/java/io/kelphoist/failover/CommandDelivery.java
@@ -84,7 +84,7 @@
     /**
      * The worker executes the request, or refuses it if its term or its agent epoch is not current.
      */
-    void deliver(SafetyChecker checker) {
+    void deliver(SimulationChecker checker) {
         worker.expireLease();
         checker.checkHeartbeatsBeforeStart(this);
         boolean executed =
--- a/src/test/java/io/kelphoist/failover/ElectedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ElectedLeadership.java
@@ -25,7 +25,7 @@
 
     @Override
     public void onElected(String controllerName, long term) {
-        beginTerm(revisionsByTerm.get(term));
+        recordNewTerm(revisionsByTerm.get(term));
         addLeader(new SimulatedLeader(dependencies(), this, term, controllerName));
     }
 
--- a/src/test/java/io/kelphoist/failover/FailoverSimulation.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulation.java
@@ -21,8 +21,8 @@
  *   <li>Users submit, cancel and query jobs at all front ends, also while the leader changes.
  * </ul>
  *
- * <p>{@link SafetyChecker} checks every start, record and response against the rules. At the end of
- * a run, after all faults have ended, as many tasks must run as the team's limit allows.
+ * <p>{@link SimulationChecker} checks every start, record and response against the rules. At the
+ * end of a run, after all faults have ended, as many tasks must run as the team's limit allows.
  */
 final class FailoverSimulation {
     /**
@@ -36,7 +36,7 @@
     private final SimulatedTasks tasks = new SimulatedTasks();
     private final AcknowledgedCancellationLog cancellations = new AcknowledgedCancellationLog();
     private final QueueWaitRecorder queueWaits = new QueueWaitRecorder();
-    private final SafetyChecker checker;
+    private final SimulationChecker checker;
     private final StateStoreSimulation store;
     private final SimulatedFleet fleet;
     private final SimulatedNetwork network;
@@ -59,7 +59,7 @@
      */
     FailoverSimulation(long seed, int maxStatusRequests, SimulationSize size, boolean elected) {
         context = new SimulationContext(seed, size);
-        checker = new SafetyChecker(context, jobs, tasks, cancellations);
+        checker = new SimulationChecker(context, jobs, tasks, cancellations);
         store = new StateStoreSimulation(context.random().nextInt(), context.nowSeconds());
         SimulatedStateStore stateStore = new SimulatedStateStore(context, jobs, checker, store);
         store.setChangeListener(stateStore::onStored);
--- a/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
@@ -17,7 +17,7 @@
 
 /**
  * Runs simulated failovers with random combinations of faults and checks the rules of {@link
- * SafetyChecker}. In particular, a new leader must not start a task on another machine while an
+ * SimulationChecker}. In particular, a new leader must not start a task on another machine while an
  * attempt that an earlier leader started may still run.
  */
 class FailoverSimulationTest {
--- a/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
@@ -11,7 +11,7 @@
 /**
  * Submits four jobs per second, of one task each, for three minutes and cancels a quarter of them
  * within seconds, with a failover in the middle. The write limit is the smallest of any deployment
- * (15 changes per second, 8 per transaction) or lower. The rules of {@link SafetyChecker} must
+ * (15 changes per second, 8 per transaction) or lower. The rules of {@link SimulationChecker} must
  * hold, every job must end, and every job that is not cancelled must start in time: high-priority
  * jobs within 10 s of their acceptance, the others within 15 s.
  */
--- a/src/test/java/io/kelphoist/failover/Leadership.java
+++ b/src/test/java/io/kelphoist/failover/Leadership.java
@@ -65,7 +65,7 @@
         return dependencies;
     }
 
-    final void beginTerm(long revision) {
+    final void recordNewTerm(long revision) {
         newestTerm++;
         newestTermRevision = revision;
     }
--- a/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
@@ -41,7 +41,7 @@
         }
         leaderRefused = false;
         long term = termCount() + 1;
-        beginTerm(stateStore.putTerm(term));
+        recordNewTerm(stateStore.putTerm(term));
         SimulatedLeader leader = new SimulatedLeader(dependencies(), this, term, null);
         leader.loadRecords();
         addLeader(leader);
--- a/src/test/java/io/kelphoist/failover/SimulatedFleet.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedFleet.java
@@ -25,7 +25,7 @@
 
     private final SimulationContext context;
     private final SimulatedTasks tasks;
-    private final SafetyChecker checker;
+    private final SimulationChecker checker;
     private final QueueWaitRecorder queueWaits;
     private final StateStoreSimulation timer;
     private final List<SimulatedWorker> workers = new ArrayList<>();
@@ -36,7 +36,7 @@
     SimulatedFleet(
             SimulationContext context,
             SimulatedTasks tasks,
-            SafetyChecker checker,
+            SimulationChecker checker,
             QueueWaitRecorder queueWaits,
             StateStoreSimulation timer) {
         this.context = context;
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -57,7 +57,7 @@
             SimulatedNetwork network,
             SimulatedFleet fleet,
             AcknowledgedCancellationLog cancellations,
-            SafetyChecker checker,
+            SimulationChecker checker,
             Team team,
             int maxStatusRequests) {}
 
--- a/src/test/java/io/kelphoist/failover/SimulatedNetwork.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedNetwork.java
@@ -12,11 +12,11 @@
     private static final int MEAN_STEPS_PER_DROP = 400;
 
     private final SimulationContext context;
-    private final SafetyChecker checker;
+    private final SimulationChecker checker;
     private final List<CommandDelivery> deliveries = new ArrayList<>();
     private final List<Runnable> nextStepOutcomes = new ArrayList<>();
 
-    SimulatedNetwork(SimulationContext context, SafetyChecker checker) {
+    SimulatedNetwork(SimulationContext context, SimulationChecker checker) {
         this.context = context;
         this.checker = checker;
     }
--- a/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
@@ -21,13 +21,13 @@
 
     private final SimulationContext context;
     private final SimulatedJobs jobs;
-    private final SafetyChecker checker;
+    private final SimulationChecker checker;
     private final StateStoreSimulation store;
 
     SimulatedStateStore(
             SimulationContext context,
             SimulatedJobs jobs,
-            SafetyChecker checker,
+            SimulationChecker checker,
             StateStoreSimulation store) {
         this.context = context;
         this.jobs = jobs;
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -35,7 +35,7 @@
 
     private final SimulationContext context;
     private final SimulatedJobs jobs;
-    private final SafetyChecker checker;
+    private final SimulationChecker checker;
     private final AcknowledgedCancellationLog cancellations;
     private final QueueWaitRecorder queueWaits;
     private final StateStoreSimulation timer;
@@ -77,7 +77,7 @@
                         List.<Team>of(dependencies.team()),
                         List.of("a"),
                         MAX_VALUE_KILOBYTES,
-                        SafetyChecker.CANCELLATION_TIMEOUT_SECONDS);
+                        SimulationChecker.CANCELLATION_TIMEOUT_SECONDS);
         return Admission.create(
                 new Admission.StoreAccess(
                         view, dependencies.stateStore().createCommitter(view)::submit),
--- a/src/test/java/io/kelphoist/failover/SafetyChecker.java
+++ b/src/test/java/io/kelphoist/failover/SimulationChecker.java
@@ -12,7 +12,7 @@
  * Checks the rules of a simulated run at the time of each event. Each method throws an {@link
  * AssertionError} if its rule is broken.
  */
-final class SafetyChecker {
+final class SimulationChecker {
     /**
      * Time after the acknowledgement of a cancellation within which the job's tasks must have
      * stopped.
@@ -32,7 +32,7 @@
     private final SimulatedTasks tasks;
     private final AcknowledgedCancellationLog cancellations;
 
-    SafetyChecker(
+    SimulationChecker(
             SimulationContext context,
             SimulatedJobs jobs,
             SimulatedTasks tasks,
--- a/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
@@ -13,7 +13,7 @@
  */
 class ScenarioLineTest {
     @Test
-    void reportsUnreadWords() {
+    void reportsMisspelledOptionAsUnread() {
         ScenarioLine line = new ScenarioLine("job job-1 tasks=2 prioritty=high");
         assertEquals("job", line.command());
         assertEquals("job-1", line.word(1));
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void rejectsWordThatIsNeitherAlternative() {
+    void rejectsWordThatIsNeitherTrueNorFalse() {
         ScenarioLine line = new ScenarioLine("replica-in-sync yes");
         assertThrows(IllegalArgumentException.class, () -> line.booleanAt(1));
     }
