--- a/src/main/java/io/kelphoist/admission/package-info.java
+++ b/src/main/java/io/kelphoist/admission/package-info.java
@@ -18,7 +18,8 @@
  * <p>The package owns the caches of job records from which responses are made, and the counts of
  * deferred requests. It must not depend on the front ends, on leadership or on the scheduler's
  * state; data of the controller that is not in the state store is read through {@link
- * io.kelphoist.admission.Admission.ClusterView}.
+ * io.kelphoist.admission.Admission.ClusterView}. It uses {@code statestore}, {@code eventloop} and
+ * {@code wire}.
  *
  * <p>All code of the package runs on the controller's event loop. Callbacks are called there too,
  * possibly before the call returns. {@link io.kelphoist.admission.Admission#deferralCount} and
--- a/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
+++ b/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
@@ -16,10 +16,12 @@
  *
  * <p>Every bound is conservative: an offer without a response may have been accepted; the duration
  * of a delayed offer is measured from a clock value that its receiver reported; and a delegation of
- * an earlier leader is assumed to last until the latest expiry that the settings allow.
+ * an earlier leader is assumed to last until the latest expiry that the settings allow, unless a
+ * stored record or a response of its holder proves an earlier one.
  *
- * <p>Owns one {@link PeerDelegation} per controller. Performs no I/O: events and the time (the
- * leader's monotonic clock, in seconds) are passed in. Confined to the controller's event loop.
+ * <p>Owns one {@link PeerDelegation} per other controller. Performs no I/O: events and the time
+ * (the leader's monotonic clock, in seconds) are passed in. Confined to the controller's event
+ * loop.
  */
 public final class LeaseDelegations implements DelegatedRenewals {
     /**
@@ -100,8 +102,8 @@
 
     /**
      * Whether delegations may be offered. Any controller may be the next leader and must then
-     * account for delegated renewals, so every other controller must have responded with a version
-     * that supports delegation.
+     * account for delegated renewals, so every other controller must have responded in this term,
+     * with a version that supports delegation.
      */
     public boolean canOfferDelegations() {
         if (!isEnabled) {
@@ -166,12 +168,13 @@
     }
 
     /**
-     * Returns the records to write now. For a controller that stopped responding, the record
-     * contains the latest start of its delegation, so that the next leader need not assume that the
-     * delegation started with its own term. For a controller that responds again, and for this
+     * Returns the writes to start now; each is returned once, and {@link #onRecordWritten} must be
+     * called when it has ended. For a controller that stopped responding, the latest start of its
+     * delegation is stored, so that the next leader need not assume that the delegation started
+     * with the next leader's own term. For a controller that responds again, and for this
      * controller, the record is cleared. A controller gets no offer until its record is cleared, so
-     * that a record never contains a start that is too early. Records are therefore written only
-     * when a controller stops or resumes responding, or after it was elected.
+     * that a record never contains a start that is too early. Records are written only when a
+     * controller stops or resumes responding, or when this controller has been elected.
      */
     public List<DelegationRecordWrite> dueRecordWrites(double nowSeconds) {
         List<DelegationRecordWrite> due = new ArrayList<>();
@@ -196,17 +199,17 @@
     }
 
     /**
-     * A write of a record of {@link #dueRecordWrites} ended.
+     * A write of {@link #dueRecordWrites} ended.
      *
-     * @param isOutcomeKnown false if it is unknown whether the record was stored; a record is then
-     *     assumed to be present
+     * @param isApplied false if the state store did not apply the write, or if it is unknown
+     *     whether it did; a record with a start is then assumed to be present
      */
-    public void onRecordWritten(DelegationRecordWrite record, boolean isOutcomeKnown) {
-        boolean isCleared = isOutcomeKnown && record.clearsRecord();
-        if (record.controllerName().equals(localName)) {
+    public void onRecordWritten(DelegationRecordWrite write, boolean isApplied) {
+        boolean isCleared = isApplied && write.clearsRecord();
+        if (write.controllerName().equals(localName)) {
             ownRecordTransitionTo(isCleared ? RecordState.ABSENT : RecordState.PRESENT);
         } else {
-            peers.get(record.controllerName()).onRecordWritten(isCleared);
+            peers.get(write.controllerName()).onRecordWritten(isCleared);
         }
     }
 
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -271,8 +271,8 @@
     /**
      * A write of the record ended.
      *
-     * @param isCleared true if the record was cleared; false if it was stored or the outcome is
-     *     unknown
+     * @param isCleared true if the record was cleared; false if a start was stored, the write was
+     *     not applied, or its outcome is unknown
      */
     void onRecordWritten(boolean isCleared) {
         recordTransitionTo(isCleared ? RecordState.ABSENT : RecordState.PRESENT);
--- a/src/main/java/io/kelphoist/delegation/package-info.java
+++ b/src/main/java/io/kelphoist/delegation/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Lease delegation: the leader allows the controllers of other zones to renew the worker leases in
- * their zone for a bounded time, in case a network partition separates a zone from the leader. See
- * {@code docs/LEASE-DELEGATION.md}.
+ * Lease delegation: the leader allows other controllers to renew the worker leases in their own
+ * zone for a bounded time, in case a network partition separates a zone from the leader. The leader
+ * also offers a delegation to itself, for the time after it has lost its authorization. See {@code
+ * docs/LEASE-DELEGATION.md}.
  *
  * <p>{@link io.kelphoist.delegation.LeaseDelegations} is used by the leader and {@link
  * io.kelphoist.delegation.HeldDelegation} by the delegate, the controller that holds a delegation.
--- a/src/main/java/io/kelphoist/events/package-info.java
+++ b/src/main/java/io/kelphoist/events/package-info.java
@@ -12,7 +12,8 @@
  * resume at any controller.
  *
  * <p>The package owns subscriptions and the job records that they are served from. It has no I/O,
- * no clock and no threads of its own, and must not depend on gRPC or on the controller. An {@code
+ * no clock and no threads of its own. It depends on {@code model} and on the scheduler's task
+ * events ({@code scheduler.spi}), and must not depend on gRPC or on the controller. An {@code
  * EventBroker} and all objects that it owns are confined to one thread, called the event thread;
  * the leader's {@code TaskEventLog} is confined to the controller's event loop.
  */
--- a/src/main/java/io/kelphoist/grpc/package-info.java
+++ b/src/main/java/io/kelphoist/grpc/package-info.java
@@ -9,8 +9,9 @@
  * passed to it through {@link io.kelphoist.grpc.SchedulerBackend}: the event thread and the
  * controller's event loop exchange tasks, and neither waits for the other.
  *
- * <p>The package must not depend on the controller, on leadership or on the scheduler's state. Only
- * {@link io.kelphoist.grpc.GrpcMessageCodec} and the classes that implement calls use the
- * protocol's messages.
+ * <p>The package uses {@code admission}, {@code events} and {@code config}. It must not depend on
+ * the controller, on leadership or on the scheduler's state. Only {@link
+ * io.kelphoist.grpc.GrpcMessageCodec} and the classes that implement calls use the protocol's
+ * messages.
  */
 package io.kelphoist.grpc;
--- a/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
+++ b/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
@@ -19,7 +19,8 @@
 /**
  * HTTP endpoint for heartbeats that workers send directly or that other controllers relay. The
  * leader responds to them itself. On any other controller {@link FollowerHeartbeatHandler} handles
- * direct heartbeats; while an election is in progress they are deferred for a short time.
+ * direct heartbeats, which are deferred for a short time while an election is in progress; relayed
+ * heartbeats are refused there.
  *
  * <p>Owns the number of deferred heartbeats. Confined to the controller's event loop.
  */
@@ -141,10 +142,10 @@
                     WorkerCodec.encodeHeartbeatResponseBody(response.get()));
         } else if (elector.election().isLeader(nowSeconds)
                 || !followerHandler.tryDelegatedRenewal(exchange, heartbeat, nowSeconds)) {
-            // A leader whose leader lease or grants are valid refuses a heartbeat only for a
-            // reason,
-            // such as an agent epoch that has ended. It must not renew under its own delegation a
-            // lease that it refuses to renew as the leader.
+            // A leader whose leader lease or grants are valid refuses a heartbeat only for a reason
+            // such as an agent epoch that has ended. So it must not renew, under its own
+            // delegation,
+            // a lease that it has refused to renew as the leader.
             HttpExchanges.sendStatus(exchange, StatusCodes.SERVICE_UNAVAILABLE);
         }
     }
--- a/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
+++ b/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
@@ -156,12 +156,12 @@
             return;
         }
         LeaseDelegations requestingDelegations = delegations.get();
-        for (DelegationRecordWrite record : requestingDelegations.dueRecordWrites(nowSeconds)) {
-            double ageSeconds = nowSeconds - record.latestStartAtSeconds();
+        for (DelegationRecordWrite write : requestingDelegations.dueRecordWrites(nowSeconds)) {
+            double ageSeconds = nowSeconds - write.latestStartAtSeconds();
             store.storeDelegation(
-                    record.controllerName(),
+                    write.controllerName(),
                     nowMillis - ageSeconds * MILLIS_PER_SECOND,
-                    isStored -> requestingDelegations.onRecordWritten(record, isStored));
+                    isStored -> requestingDelegations.onRecordWritten(write, isStored));
         }
     }
 
--- a/src/main/java/io/kelphoist/leadership/TermOutput.java
+++ b/src/main/java/io/kelphoist/leadership/TermOutput.java
@@ -11,8 +11,9 @@
 import java.util.List;
 
 /**
- * Executes the decisions of one term's scheduler: sends commands to workers, records to the state
- * store and scaling requests to the cloud. Runs on the event loop.
+ * Carries out the requests that the scheduler of one term makes to other systems: sends commands
+ * and probes to workers and scaling requests to the cloud, and publishes task events. The
+ * superclass stores and reads records. Runs on the event loop.
  */
 final class TermOutput extends RecordStoringOutput {
     private final Election election;
@@ -38,8 +39,8 @@
     }
 
     /**
-     * Sets the components that receive outcomes. Called once, before the scheduler makes any
-     * decision.
+     * Sets the components that receive the outcomes of requests: the scheduler, and for status
+     * requests also the failover. Called once, before the scheduler makes any decision.
      */
     void attach(SchedulerState schedulerState, Failover failover) {
         this.schedulerState = schedulerState;
@@ -47,8 +48,10 @@
     }
 
     /**
-     * The term has ended: no further machines are requested, and no outcomes are reported to the
-     * scheduler.
+     * The term has ended: no outcomes are reported to the scheduler any more, and a scale-out
+     * request that still waits for the cloud's rate limit is not sent. Commands, probes and
+     * scale-in requests do not wait like that: whether this controller is the leader is checked
+     * when the scheduler makes them, and the scheduler of an ended term makes none.
      */
     void close() {
         closed = true;
@@ -73,6 +76,7 @@
 
     @Override
     public void scaleOut(ScaleOutRequest request) {
+        // Evaluated when the request is sent, which the cloud's rate limit may delay.
         cloudGateway.scaleOut(request, () -> !closed && isStillLeader());
     }
 
@@ -82,7 +86,9 @@
             cloudGateway.scaleIn(machineNames);
             return;
         }
-        // Another leader may already use the machines, so they must not be terminated.
+        // Another leader may already use the machines, so their termination is not requested. The
+        // scheduler gets the same outcome as for a request that failed, and in a separate event,
+        // because an output must not call back into the scheduler.
         context.eventLoop()
                 .schedule(
                         0,
--- a/src/main/java/io/kelphoist/peer/TaskEventClient.java
+++ b/src/main/java/io/kelphoist/peer/TaskEventClient.java
@@ -3,7 +3,10 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** Requests the leader's task events. Owns no state; runs on the event loop. */
+/**
+ * Requests the leader's task events: the {@link io.kelphoist.events.TransientEvent}s that its event
+ * log derives from the scheduler's {@code TaskEvent}s. Owns no state; runs on the event loop.
+ */
 public final class TaskEventClient {
     private static final int TIMEOUT_MILLIS = 1000;
 
@@ -22,15 +25,17 @@
     /**
      * Requests task events from a sequence number on.
      *
-     * @param callback receives the leader's update; empty if there was no usable response or the
-     *     controller is not the leader; runs on the event loop
+     * @param controller the presumed leader
+     * @param callback receives the leader's update; empty if there is no controller with this name,
+     *     if no response arrived, if it had an error status or could not be decoded, or if the
+     *     controller is not the leader or publishes no events. Runs on the event loop
      */
     public void requestEvents(
-            String leader,
+            String controller,
             TaskEventCodec.EventsRequest request,
             Consumer<Optional<TaskEventCodec.TermUpdate>> callback) {
         peers.request(
-                leader,
+                controller,
                 PeerPaths.EVENTS,
                 TaskEventCodec.encodeRequest(request),
                 TIMEOUT_MILLIS,
--- a/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
@@ -4,15 +4,17 @@
 import java.util.List;
 
 /**
- * The measures taken to obtain capacity for one job that cannot be placed: capacity reserved for
- * its gang, machines held for it, and checks whether preempting other work would free enough. Each
- * has a time before which it is not taken again.
+ * The state of the measures that obtain capacity for one job with pending tasks: capacity reserved
+ * for its gang, machines held for it, the last check whether preempting other work would free
+ * enough, and the preemption of its own team's tasks. Also holds when a possible placement of the
+ * job was last declined. Reservations, holds and preemption in the own team each have a time before
+ * which they are not started again; the interval between two checks is in {@code Preemptor}.
  */
 public final class CapacityAcquisition {
-    /** When the job last declined a possible placement to wait for a better one. */
+    /** When a possible placement of the job was last declined, to wait for a better one. */
     private double placementDeclinedAtSeconds = Double.NEGATIVE_INFINITY;
 
-    /** When the capacity reserved for the gang is released; 0: none is reserved. */
+    /** See {@link #reservedUntilSeconds()}. */
     private double reservedUntilSeconds;
 
     private double noReservationBeforeSeconds;
@@ -23,21 +25,28 @@
     private double noOwnTeamPreemptionBeforeSeconds;
 
     /**
-     * Whether the job declined a possible placement at this time to wait for a better one. Then no
-     * other work is preempted for it.
+     * Whether the scheduler of the job's kind declined a possible placement in the current run of
+     * the allocator, to wait for a better one. Then no other work is preempted for the job.
+     *
+     * @param nowSeconds the time of the run, which is exactly the same in all calls of the run
      */
     public boolean wasPlacementDeclinedAt(double nowSeconds) {
         return placementDeclinedAtSeconds == nowSeconds;
     }
 
-    /** Called when the job declines a possible placement, to wait for a better one. */
+    /** Called when a possible placement of the job is declined, to wait for a better one. */
     public void onPlacementDeclined(double nowSeconds) {
         placementDeclinedAtSeconds = nowSeconds;
     }
 
     // ---- reserved capacity ----
 
-    /** When the capacity reserved for the gang is released; 0: none is reserved. */
+    /**
+     * When capacity that is reserved for the gang is released at the latest. 0 before the first
+     * reservation, and once the gang has started or the expiry of the reservation was recorded.
+     * Another value does not prove that capacity is reserved: it may be in the past, or the
+     * capacity may have been released early, for example because its machine was lost.
+     */
     public double reservedUntilSeconds() {
         return reservedUntilSeconds;
     }
@@ -57,7 +66,10 @@
         reservedUntilSeconds = 0;
     }
 
-    /** Called when the reservation expired unused; sets the time before which there is no other. */
+    /**
+     * Called when the gang is to get capacity after its reservation expired unused; sets the time
+     * before which it gets no other reservation.
+     */
     public void expireReservation(double notBeforeSeconds) {
         reservedUntilSeconds = 0;
         noReservationBeforeSeconds = notBeforeSeconds;
@@ -90,24 +102,33 @@
         heldMachines.remove(machine);
     }
 
-    /** No machine is held for the job before this time. */
+    /**
+     * Before this time no machine is held for the job, and no tasks of its own team are preempted
+     * for it.
+     */
     public double noMachineHoldBeforeSeconds() {
         return noMachineHoldBeforeSeconds;
     }
 
-    /** Sets the time before which no machine is held for the job. */
+    /** Sets {@link #noMachineHoldBeforeSeconds}. */
     public void postponeMachineHold(double untilSeconds) {
         noMachineHoldBeforeSeconds = untilSeconds;
     }
 
     // ---- preemption ----
 
-    /** When it was last checked whether preempting other work would free enough capacity. */
+    /**
+     * When it was last checked whether preempting other work would free enough capacity; negative
+     * infinity: never.
+     */
     public double preemptionCheckedAtSeconds() {
         return preemptionCheckedAtSeconds;
     }
 
-    /** Whether the last check found that preempting other work would free enough capacity. */
+    /**
+     * Whether the last check found that the job can be placed, if necessary by preempting other
+     * work; false before the first check.
+     */
     public boolean isPreemptionFeasible() {
         return preemptionFeasible;
     }
@@ -118,12 +139,15 @@
         preemptionFeasible = feasible;
     }
 
-    /** No work of the job's own team is preempted for it before this time. */
+    /**
+     * No work of the job's own team is preempted for it before this time, nor before {@link
+     * #noMachineHoldBeforeSeconds}.
+     */
     public double noOwnTeamPreemptionBeforeSeconds() {
         return noOwnTeamPreemptionBeforeSeconds;
     }
 
-    /** Sets the time before which no work of the job's own team is preempted for it. */
+    /** Sets {@link #noOwnTeamPreemptionBeforeSeconds}. */
     public void postponeOwnTeamPreemption(double untilSeconds) {
         noOwnTeamPreemptionBeforeSeconds = untilSeconds;
     }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
@@ -72,8 +72,9 @@
         allocate(attempt);
         startIntentLog.add(attempt);
         if (machine.hold().job() == job) {
-            // Ends the hold for this task: for the next task another machine may be closer to
-            // having enough free capacity, or be the only one allowed.
+            // The machine is held for one task fewer from now on. The hold is not extended to the
+            // job's next task, because another machine may be closer to having enough free capacity
+            // for that task, or be the only one that is allowed.
             machine.hold().onTaskStarted();
         }
         activeCandidates.onMachineChanged(machine);
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/package-info.java
@@ -7,6 +7,7 @@
  *
  * <p>Owns the set of machines for which commands may be due ({@code CommandDispatcher}). The
  * packages {@code allocation} and {@code preemption} decide which task starts on which machine, and
- * {@code heartbeats} handles the messages of workers; this package must not depend on them.
+ * {@code heartbeats} handles the messages of workers; this package must not depend on them. It
+ * depends on {@code placement}, {@code records} and the packages below them.
  */
 package io.kelphoist.scheduler.lifecycle;
--- a/src/main/java/io/kelphoist/statestore/package-info.java
+++ b/src/main/java/io/kelphoist/statestore/package-info.java
@@ -7,7 +7,7 @@
  * values are in {@link io.kelphoist.statestore.protocol}.
  *
  * <p>The package owns the rate limiters of requests and writes and the queues of writes. It depends
- * on the protocol and the HTTP client, and must not depend on the scheduler, leadership or the
- * controller. All code of the package runs on the event loop.
+ * on the protocol, the HTTP client and the event loop, and must not depend on the scheduler,
+ * leadership or the controller. All code of the package runs on the event loop.
  */
 package io.kelphoist.statestore;
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -185,17 +185,17 @@
      */
     void storeRecords() {
         double now = network.nowSeconds();
-        for (DelegationRecordWrite record : delegations.dueRecordWrites(leader.clock())) {
+        for (DelegationRecordWrite write : delegations.dueRecordWrites(leader.clock())) {
             double startsAt =
                     now
-                            - (leader.clock() - record.latestStartAtSeconds()) / leader.clockRate()
+                            - (leader.clock() - write.latestStartAtSeconds()) / leader.clockRate()
                             - WALL_CLOCK_ERROR_SECONDS;
             network.schedule(
                     now * 7 % 3,
                     () -> {
                         if (isCurrent.getAsBoolean()) {
-                            store.putDelegation(record.controllerName(), startsAt);
-                            delegations.onRecordWritten(record, true);
+                            store.putDelegation(write.controllerName(), startsAt);
+                            delegations.onRecordWritten(write, true);
                         }
                     });
         }
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -243,11 +243,11 @@
         first.onResponse("p", 110, new PeerStatus(1, 5, 50, Double.POSITIVE_INFINITY, 0), 110.1);
         assertEquals(1, first.offerTo("p", Set.of(), 111).orElseThrow().sequenceNumber());
         assertEquals(List.of(), first.dueRecordWrites(111));
-        DelegationRecordWrite record = first.dueRecordWrites(114).get(0);
-        assertEquals(110.1, record.latestStartAtSeconds(), 1e-9);
+        DelegationRecordWrite storing = first.dueRecordWrites(114).get(0);
+        assertEquals(110.1, storing.latestStartAtSeconds(), 1e-9);
         LeaseDelegations next =
                 new LeaseDelegations(timing, true, 4, members(Map.of("p", "b")), 120);
-        next.onRecordLoaded("p", record.latestStartAtSeconds());
+        next.onRecordLoaded("p", storing.latestStartAtSeconds());
         assertEquals(
                 110.1 + timing.delegationSeconds(),
                 next.latestRenewalAtSeconds("vm-1", "b", 140),
@@ -255,9 +255,9 @@
         // After the peer responds again it gets no offer until the record has been cleared.
         next.onResponse("p", 141, new PeerStatus(1, 36, 81, 5, 0), 141.1);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
-        DelegationRecordWrite clearedRecord = next.dueRecordWrites(141.3).get(0);
+        DelegationRecordWrite clearing = next.dueRecordWrites(141.3).get(0);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
-        next.onRecordWritten(clearedRecord, false);
+        next.onRecordWritten(clearing, false);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
         next.onRecordWritten(next.dueRecordWrites(141.6).get(0), true);
         assertEquals(1, next.offerTo("p", Set.of(), 142).orElseThrow().sequenceNumber());
