--- a/src/test/java/io/kelphoist/failover/ElectedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ElectedLeadership.java
@@ -5,9 +5,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Leaders that three controllers elect in an {@link ElectionSimulation}. */
+/**
+ * Leaders that three controllers elect in an {@link ElectionSimulation}. Front end {@code i} runs
+ * in the process of controller {@code ElectionSimulation.NAMES.get(i)}.
+ */
 final class ElectedLeadership extends Leadership implements ElectionSimulation.Listener {
+    /** The process restarts before its leader lease of 3 s has expired. */
     private static final double QUICK_RESTART_SECONDS = 0.1;
+
+    /** The process restarts after its leader lease of 3 s has expired. */
     private static final double SLOW_RESTART_SECONDS = 4;
 
     private final ElectionSimulation elections;
@@ -56,6 +62,12 @@
         return elections.isRefusedByStore(ElectionSimulation.NAMES.get(frontEnd));
     }
 
+    /**
+     * Ends the leader's term. What the next leader receives depends only on {@code handover}. Each
+     * kind of handover is combined with another way in which the leader ends, so that all of these
+     * are simulated: it resigns, or its process crashes and restarts before or after its leader
+     * lease expires.
+     */
     @Override
     void failOver(Handover handover) {
         setHandover(handover);
@@ -79,6 +91,7 @@
 
     @Override
     void setLinkBlocked(int from, int to, boolean blocked) {
+        // No controller sends messages to itself.
         if (from != to) {
             elections.setLinkBlocked(from, to, blocked);
         }
@@ -94,6 +107,7 @@
         elections.setLostResponses(perTen);
     }
 
+    /** False has no effect: the refusal of a controller lasts until {@link #endFaults}. */
     @Override
     void setLeaderRefusedByStore(boolean refused) {
         if (refused) {
--- a/src/test/java/io/kelphoist/failover/Leadership.java
+++ b/src/test/java/io/kelphoist/failover/Leadership.java
@@ -65,6 +65,7 @@
         return dependencies;
     }
 
+    /** Counts a new term, and records the revision at which the state store stored it. */
     final void recordNewTerm(long revision) {
         newestTerm++;
         newestTermRevision = revision;
@@ -102,6 +103,10 @@
     /** Sets how many of ten acquisitions and lease renewals are carried out without a response. */
     abstract void setLostResponses(int perTen);
 
+    /**
+     * Sets whether the state store refuses the leader's requests. Subclasses differ in when a
+     * refusal ends.
+     */
     abstract void setLeaderRefusedByStore(boolean refused);
 
     /** Ends all faults. */
--- a/src/test/java/io/kelphoist/failover/SimulationChecker.java
+++ b/src/test/java/io/kelphoist/failover/SimulationChecker.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * Checks the rules of a simulated run at the time of each event. Each method throws an {@link
- * AssertionError} if its rule is broken.
+ * Checks a simulated run: invariants at the time of each event, and, at the end of the run, whether
+ * the system has converged. Each method throws an {@link AssertionError} if its rule is broken.
  */
 final class SimulationChecker {
     /**
@@ -21,8 +21,9 @@
 
     /**
      * Time for which the heartbeats of a machine may be missing while tasks may still be started on
-     * it: a heartbeat round that allows for late heartbeats, plus the granularity of the
-     * simulation's steps.
+     * it: the longest regular interval between two heartbeats (1.25 intervals), plus 2.5 s for late
+     * heartbeats and for the steps of the simulation. Of these, the scheduler allows 1.5 s for a
+     * late heartbeat before it takes the machine as possibly disconnected.
      */
     private static final double MAX_HEARTBEAT_GAP_SECONDS =
             1.25 * SimulationContext.HEARTBEAT_INTERVAL_SECONDS + 2.5;
@@ -59,7 +60,7 @@
                                 + other.name()
                                 + " startsOn="
                                 + worker.name()
-                                + " at="
+                                + " nowSeconds="
                                 + context.nowSeconds());
             }
         }
@@ -71,7 +72,7 @@
                                 + task
                                 + " dependency="
                                 + dependency
-                                + " at="
+                                + " nowSeconds="
                                 + context.nowSeconds());
             }
         }
@@ -82,11 +83,21 @@
         int running = runningTasks(workers);
         if (running > context.size().taskLimit()) {
             throw new AssertionError(
-                    "team exceeds its limit: tasks=" + running + " at=" + context.nowSeconds());
+                    "team exceeds its limit: tasks="
+                            + running
+                            + " taskLimit="
+                            + context.size().taskLimit()
+                            + " nowSeconds="
+                            + context.nowSeconds());
         }
     }
 
-    /** A leader must not start a job whose acknowledged cancellation it has received. */
+    /**
+     * A leader must not start a task of a job whose acknowledged cancellation it has received.
+     *
+     * @param receivedCancellations how many entries of the log of acknowledged cancellations the
+     *     leader has received, from the first on
+     */
     void checkNoCancelledStart(List<WorkerCommand> commands, int receivedCancellations) {
         for (WorkerCommand command : commands) {
             if (command instanceof WorkerCommand.Start
@@ -94,34 +105,40 @@
                 throw new AssertionError(
                         "leader starts a job whose cancellation it has received: command="
                                 + command
-                                + " at="
+                                + " nowSeconds="
                                 + context.nowSeconds());
             }
         }
     }
 
     /**
-     * A leader must not start a task by a direct command on a machine whose heartbeats have been
-     * missing for longer than {@link #MAX_HEARTBEAT_GAP_SECONDS}, unless the leader received the
-     * instance list within that time. Only heartbeats renew the worker lease, so the task would be
-     * stopped when the lease expires.
+     * A leader must not start a task by a direct command, which is one that is not sent in the
+     * response to a heartbeat, on a machine whose heartbeats have been missing for longer than
+     * {@link #MAX_HEARTBEAT_GAP_SECONDS}, unless its term began or it received the instance list
+     * within that time. Only heartbeats renew the worker lease, so the task would be stopped when
+     * the lease expires. Checked only for a worker that is set to lose its heartbeats.
      */
     void checkHeartbeatsBeforeStart(CommandDelivery delivery) {
         SimulatedWorker worker = delivery.worker();
-        double lastReportedAtSeconds =
+        double lastReceivedOrListedAtSeconds =
                 Math.max(
                         worker.lastHeartbeatReceivedAtSeconds(),
                         delivery.leader().listedAtSeconds());
         if (worker.isOutboundBlocked()
-                && delivery.sentAtSeconds() > lastReportedAtSeconds + MAX_HEARTBEAT_GAP_SECONDS
+                && delivery.sentAtSeconds()
+                        > lastReceivedOrListedAtSeconds + MAX_HEARTBEAT_GAP_SECONDS
                 && delivery.startsTasks()) {
             throw new AssertionError(
                     "task is started on a machine without heartbeats: machine="
                             + worker.name()
-                            + " sentAt="
+                            + " sentAtSeconds="
                             + delivery.sentAtSeconds()
-                            + " lastHeartbeatAt="
-                            + worker.lastHeartbeatReceivedAtSeconds());
+                            + " lastHeartbeatAtSeconds="
+                            + worker.lastHeartbeatReceivedAtSeconds()
+                            + " listedAtSeconds="
+                            + delivery.leader().listedAtSeconds()
+                            + " maxGapSeconds="
+                            + MAX_HEARTBEAT_GAP_SECONDS);
         }
     }
 
@@ -129,9 +146,11 @@
 
     /**
      * A record with a final status must not be replaced, and a job must be recorded as done only
-     * after all its tasks are done.
+     * after all its tasks have finished.
      *
-     * @param before the previous record; null if this is the job's first
+     * @param before the previous record; null if this is the job's first, which must not be of a
+     *     done job. The number of tasks is taken from it, because the record of a done job has no
+     *     job spec
      */
     void checkStoredRecord(JobRecord before, JobRecord stored) {
         if (before != null && before.status().isFinal()) {
@@ -146,13 +165,13 @@
         if (stored.status() != JobStatus.DONE) {
             return;
         }
-        for (int task = 0; task < before.spec().tasks(); task++) {
-            if (!tasks.isFinished(SimulatedTasks.taskName(stored.id(), task))) {
+        for (int taskIndex = 0; taskIndex < before.spec().tasks(); taskIndex++) {
+            if (!tasks.isFinished(SimulatedTasks.taskName(stored.id(), taskIndex))) {
                 throw new AssertionError(
-                        "job is recorded as done before its tasks: job="
+                        "job is recorded as done before all its tasks have finished: job="
                                 + stored.id()
-                                + " task="
-                                + task);
+                                + " unfinishedTaskIndex="
+                                + taskIndex);
             }
         }
     }
@@ -206,9 +225,9 @@
                                     + task
                                     + " machine="
                                     + worker.name()
-                                    + " at="
+                                    + " nowSeconds="
                                     + now
-                                    + " acknowledgedAt="
+                                    + " acknowledgedAtSeconds="
                                     + acknowledgedAt);
                 }
             }
@@ -217,7 +236,10 @@
 
     // ---- at the end of a run ----
 
-    /** As many tasks must run as the team's limit and the remaining work allow. */
+    /**
+     * As many tasks must run as the team's limit and the remaining work allow; one task less than
+     * the limit is accepted. No active job may depend on a cancelled job.
+     */
     void checkCapacityIsUsed(List<SimulatedWorker> workers, SimulatedLeader leader) {
         int running = runningTasks(workers);
         int unfinished = 0;
@@ -234,6 +256,8 @@
                             + running
                             + " unfinished="
                             + unfinished
+                            + " taskLimit="
+                            + context.size().taskLimit()
                             + " workers="
                             + workers
                             + " leader="
@@ -244,7 +268,10 @@
     private void checkNoCancelledDependency(JobRecord job) {
         if (jobs.dependenciesOf(job.id()).stream().anyMatch(jobs::isCancelled)) {
             throw new AssertionError(
-                    "job is not cancelled with the job it depends on: job=" + job.id());
+                    "job is active although a job it depends on is cancelled: job="
+                            + job.id()
+                            + " dependencies="
+                            + jobs.dependenciesOf(job.id()));
         }
     }
 
@@ -253,24 +280,33 @@
     }
 
     /**
-     * Returns how many tasks of the job have not finished. If the heartbeat with a task's result
-     * was lost, the leader receives the result by starting the task again. That requires capacity,
-     * of which the capacity for one task may be reserved for a gang of two that waits for a second
-     * place.
+     * Returns how many tasks of an active job have not finished. If all have finished, the job must
+     * have been recorded as done, unless there was no capacity: if the heartbeat with a task's
+     * result was lost, the leader receives the result only by starting the task again. Capacity for
+     * one more task is not enough for that, because it may be reserved for a gang of two, which
+     * waits until there is capacity for both of its tasks.
+     *
+     * @param running number of tasks that run
      */
     private int countUnfinishedTasks(JobRecord job, int running) {
         int unfinished = 0;
-        for (int task = 0; task < job.spec().tasks(); task++) {
-            unfinished += tasks.isFinished(SimulatedTasks.taskName(job.id(), task)) ? 0 : 1;
+        for (int taskIndex = 0; taskIndex < job.spec().tasks(); taskIndex++) {
+            unfinished += tasks.isFinished(SimulatedTasks.taskName(job.id(), taskIndex)) ? 0 : 1;
         }
         if (unfinished == 0 && running < context.size().taskLimit() - 1) {
             throw new AssertionError(
-                    "finished job is not recorded as done after all faults ended: job=" + job.id());
+                    "job with only finished tasks is not recorded as done after all faults ended:"
+                            + " job="
+                            + job.id()
+                            + " running="
+                            + running
+                            + " taskLimit="
+                            + context.size().taskLimit());
         }
         return unfinished;
     }
 
-    /** The leader must track every machine that is paid for. */
+    /** The leader must track every machine that exists in the cloud. */
     void checkAllMachinesTracked(List<SimulatedWorker> workers, SimulatedLeader leader) {
         for (SimulatedWorker worker : workers) {
             if (!leader.hasMachine(worker.name())) {
@@ -282,8 +318,11 @@
     }
 
     /**
-     * Every front end must respond to the query of every job, and must not ask the user to retry
-     * later.
+     * Every front end, the part of a controller that serves users, must have responded to the query
+     * of every job, and must not have asked the user to retry later.
+     *
+     * @param responses the last response to each request; the key names the job and the front end
+     * @param expectedCount number of requests
      */
     void checkResponsesAtEnd(Map<String, AdmissionResult> responses, int expectedCount) {
         responses.forEach(
@@ -301,11 +340,13 @@
                     "requests without a response after all faults ended: responses="
                             + responses.size()
                             + " expected="
-                            + expectedCount);
+                            + expectedCount
+                            + " requestsWithResponse="
+                            + responses.keySet());
         }
     }
 
-    /** Every job must have ended. */
+    /** Every job must have ended: no record may have the status ACTIVE. */
     void checkAllJobsEnded(Collection<JobRecord> records, QueueWaitRecorder queueWaits) {
         for (JobRecord job : records) {
             if (job.status() == JobStatus.ACTIVE) {
--- a/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
@@ -8,8 +8,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against mistakes in scenarios that go unnoticed: a misspelled option would leave the
- * default value in effect, so that the scenario checks something else than it states.
+ * Guards against scenarios with mistakes that do not fail and check something else than they state.
+ * A misspelled option would leave the option's default value in effect: it is detected as a word
+ * that no method of {@link ScenarioLine} has returned. A misspelled boolean would be read as false.
  */
 class ScenarioLineTest {
     @Test
