--- a/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
+++ b/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
@@ -144,8 +144,7 @@
                 || !followerHandler.tryDelegatedRenewal(exchange, heartbeat, nowSeconds)) {
             // A leader whose leader lease or grants are valid refuses a heartbeat only for a reason
             // such as an agent epoch that has ended. So it must not renew, under its own
-            // delegation,
-            // a lease that it has refused to renew as the leader.
+            // delegation, a lease that it has refused to renew as the leader.
             HttpExchanges.sendStatus(exchange, StatusCodes.SERVICE_UNAVAILABLE);
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
@@ -253,8 +253,7 @@
             boolean upToDate = isUpToDate(cheapest, job);
             // Tasks of the job that were placed since may exclude the machine, by the job's zone
             // constraints. It then stays excluded for the rest of the run, and so does the group
-            // that
-            // it represents, as all machines of a group are in one zone.
+            // that it represents, as all machines of a group are in one zone.
             if (upToDate && offer.allows(job, cheapest.machine)) {
                 return cheapest.machine;
             }
