--- a/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
@@ -26,7 +26,8 @@
 
     /**
      * Whether the scheduler of the job's kind declined a possible placement in the current run of
-     * the allocator, to wait for a better one. Then no other work is preempted for the job.
+     * the allocator, to wait for a better one. Then no machine is held and no other work preempted
+     * for the job in this run.
      *
      * @param nowSeconds the time of the run, which is exactly the same in all calls of the run
      */
