--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -185,17 +185,17 @@
      */
     void storeRecords() {
         double now = network.nowSeconds();
-        for (DelegationRecord record : delegations.dueRecords(leader.clock())) {
+        for (DelegationRecordWrite write : delegations.dueRecordWrites(leader.clock())) {
             double startsAt =
                     now
-                            - (leader.clock() - record.startsAtSeconds()) / leader.clockRate()
+                            - (leader.clock() - write.latestStartAtSeconds()) / leader.clockRate()
                             - WALL_CLOCK_ERROR_SECONDS;
             network.schedule(
                     now * 7 % 3,
                     () -> {
                         if (isCurrent.getAsBoolean()) {
-                            store.putDelegation(record.peerName(), startsAt);
-                            delegations.onRecordStored(record, true);
+                            store.putDelegation(write.controllerName(), startsAt);
+                            delegations.onRecordWritten(write, true);
                         }
                     });
         }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
@@ -8,12 +8,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against mistakes in scenarios that go unnoticed: a misspelled option would leave the
- * default value in effect, so that the scenario checks something else than it states.
+ * Guards against scenarios with mistakes that do not fail and check something else than they state.
+ * A misspelled option would leave the option's default value in effect: it is detected as a word of
+ * the line that the command has not read. A misspelled boolean would be read as false.
  */
 class ScenarioLineTest {
     @Test
-    void reportsUnreadWords() {
+    void reportsMisspelledOptionAsUnread() {
         ScenarioLine line = new ScenarioLine("job job-1 tasks=2 prioritty=high");
         assertEquals("job", line.command());
         assertEquals("job-1", line.word(1));
@@ -23,7 +24,7 @@
     }
 
     @Test
-    void rejectsWordThatIsNeitherAlternative() {
+    void rejectsWordThatIsNeitherTrueNorFalse() {
         ScenarioLine line = new ScenarioLine("replica-in-sync yes");
         assertThrows(IllegalArgumentException.class, () -> line.booleanAt(1));
     }
