--- a/src/main/java/io/kelphoist/config/OperatorSettings.java
+++ b/src/main/java/io/kelphoist/config/OperatorSettings.java
@@ -16,8 +16,8 @@
  * @param localityWaitSeconds longest wait of an array task for a machine that caches its image
  * @param machineHoldSeconds longest time for which a machine is held for a task that fits on no
  *     machine yet
- * @param gangHoldSeconds longest time for which resources are reserved for a gang before there are
- *     enough for all its tasks; after that, none are reserved for it for as long
+ * @param gangReservationSeconds longest time for which resources are reserved for a gang before
+ *     there are enough for all its tasks; after that, none are reserved for it for as long
  * @param headroom free resources to keep on on-demand machines, as a share of the machines in use,
  *     but at least one machine's worth; 0: no free resources are kept
  * @param idleSeconds how long a machine is idle before it is terminated
@@ -35,7 +35,7 @@
         double machineHoldBackoffSeconds,
         double localityWaitSeconds,
         double machineHoldSeconds,
-        double gangHoldSeconds,
+        double gangReservationSeconds,
         double headroom,
         double idleSeconds,
         boolean leaseDelegation,
@@ -123,7 +123,7 @@
                 machineHoldBackoffSeconds,
                 localityWaitSeconds,
                 machineHoldSeconds,
-                gangHoldSeconds,
+                gangReservationSeconds,
                 headroom,
                 idleSeconds,
                 newLeaseDelegation,
@@ -145,7 +145,7 @@
                 machineHoldBackoffSeconds,
                 localityWaitSeconds,
                 machineHoldSeconds,
-                gangHoldSeconds,
+                gangReservationSeconds,
                 headroom,
                 idleSeconds,
                 (int) Math.max(RESERVED_VALUE_BYTES, valueBytes - RESERVED_VALUE_BYTES),
--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -37,7 +37,7 @@
     private long revision;
     private boolean unavailable;
     private boolean closed;
-    private boolean unreachable;
+    private boolean watchesUnavailable;
 
     /** The changes up to this revision have been discarded. */
     private long compactedRevision;
@@ -96,8 +96,8 @@
     }
 
     /** Rejects all requests including waiting polls for changes, or accepts them again. */
-    public synchronized void setUnreachable(boolean isUnreachable) {
-        unreachable = isUnreachable;
+    public synchronized void setUnavailableWithWatches(boolean isUnreachable) {
+        watchesUnavailable = isUnreachable;
         setUnavailable(isUnreachable);
     }
 
@@ -142,7 +142,7 @@
     protected synchronized Response respond(HttpServerExchange exchange, ObjectNode body)
             throws InterruptedException {
         String path = exchange.getRequestPath();
-        if (unreachable || (unavailable && !path.equals(CHANGES_PATH))) {
+        if (watchesUnavailable || (unavailable && !path.equals(CHANGES_PATH))) {
             return emptyResponse(StatusCodes.SERVICE_UNAVAILABLE);
         }
         expireLeases();
@@ -370,7 +370,7 @@
             throws InterruptedException {
         while (true) {
             expireLeases();
-            if (unreachable) {
+            if (watchesUnavailable) {
                 return emptyResponse(StatusCodes.SERVICE_UNAVAILABLE);
             }
             if (afterRevision < compactedRevision) {
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -25,14 +25,14 @@
     /**
      * The parameters of the election.
      *
-     * @param nodeName name of this controller
+     * @param controllerName name of this controller
      * @param peerNames names of all other controllers
      * @param leaseMillis duration of the leader lease
      * @param grantMillis duration of a grant, a follower's promise not to lead
      * @param startedAtSeconds when this process started, on the event loop's clock
      */
     public record Parameters(
-            String nodeName,
+            String controllerName,
             List<String> peerNames,
             long leaseMillis,
             long grantMillis,
@@ -110,7 +110,7 @@
      */
     private static final long NO_LAST_TERM = 0;
 
-    private final String nodeName;
+    private final String controllerName;
     private final StateStoreClient stateClient;
     private final GrantClient grantClient;
     private final EventLoop eventLoop;
@@ -135,13 +135,13 @@
             StateStoreClient stateClient,
             PeerClient peerClient,
             EventLoop eventLoop) {
-        this.nodeName = parameters.nodeName;
+        this.controllerName = parameters.controllerName;
         this.stateClient = stateClient;
         this.grantClient = new GrantClient(peerClient);
         this.eventLoop = eventLoop;
         this.election =
                 new Election(
-                        parameters.nodeName,
+                        parameters.controllerName,
                         parameters.peerNames,
                         parameters.leaseMillis / MILLIS_PER_SECOND,
                         parameters.grantMillis / MILLIS_PER_SECOND,
@@ -150,7 +150,7 @@
         this.keyWatcher = new LeadershipKeyWatcher(stateClient, eventLoop, this::onKeysRead);
         this.acquisition =
                 new LeadershipAcquisition(
-                        nodeName,
+                        controllerName,
                         stateClient,
                         eventLoop,
                         parameters.leaseMillis,
@@ -215,7 +215,7 @@
     private void onKeysRead(LeadershipKeys keys) {
         acquisition.revokePreviousLease(keys, keyWatcher::read);
         election.onLeaderKeyRead(
-                keys.leader().map(LeaderRecord::nodeName).orElse(null),
+                keys.leader().map(LeaderRecord::controllerName).orElse(null),
                 keys.leader().map(LeaderRecord::term).orElse(0L),
                 keys.lastTerm(),
                 eventLoop.nowSeconds());
@@ -232,7 +232,7 @@
         @Override
         public void onHeldByOther(LeaderRecord leader) {
             election.onLeaderKeyRead(
-                    leader.nodeName(), leader.term(), NO_LAST_TERM, eventLoop.nowSeconds());
+                    leader.controllerName(), leader.term(), NO_LAST_TERM, eventLoop.nowSeconds());
         }
 
         @Override
@@ -295,7 +295,7 @@
         grantClient.handOver(
                 peer,
                 new HandoverMessage(
-                        endedTerm, nodeName, successor, grantMessages.handoverUpdate(peer)));
+                        endedTerm, controllerName, successor, grantMessages.handoverUpdate(peer)));
     }
 
     @Override
@@ -303,7 +303,7 @@
         GrantRequest request =
                 new GrantRequest(
                         term,
-                        nodeName,
+                        controllerName,
                         stateClient.failingForSeconds() == 0,
                         grantMessages.stateFor(peer));
         grantClient.requestGrant(
@@ -355,7 +355,7 @@
     void onPeerTermEnded(HandoverMessage handover) {
         election.onTermEnded(
                 handover.endedTerm(),
-                handover.preferredSuccessor().filter(nodeName::equals).isPresent(),
+                handover.preferredSuccessor().filter(controllerName::equals).isPresent(),
                 eventLoop.nowSeconds());
         tick();
     }
--- a/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
@@ -48,7 +48,7 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipAcquisition.class);
 
-    private final String nodeName;
+    private final String controllerName;
     private final StateStoreClient stateClient;
     private final EventLoop eventLoop;
     private final long leaseMillis;
@@ -68,7 +68,7 @@
             EventLoop eventLoop,
             long leaseMillis,
             Listener listener) {
-        this.nodeName = nodeName;
+        this.controllerName = nodeName;
         this.stateClient = stateClient;
         this.eventLoop = eventLoop;
         this.leaseMillis = leaseMillis;
@@ -111,7 +111,7 @@
     }
 
     private void writeKeys(Attempt attempt, long termVersion) {
-        LeaderRecord leader = new LeaderRecord(attempt.term, nodeName);
+        LeaderRecord leader = new LeaderRecord(attempt.term, controllerName);
         stateClient.commit(
                 List.of(
                         VersionCondition.absent(StateStoreKeys.LEADER),
@@ -152,7 +152,7 @@
                         || leaderKey.leaseId() == StoredRecord.LEASE_NOT_STATED;
         return hasLeaseOfAttempt
                 && RecordCodec.decodeLeader(leaderKey)
-                        .equals(new LeaderRecord(attempt.term, nodeName));
+                        .equals(new LeaderRecord(attempt.term, controllerName));
     }
 
     private void onAcquired(Attempt attempt, long revision) {
@@ -175,7 +175,8 @@
      */
     void revokePreviousLease(LeadershipKeys keys, Runnable onRevocationEnded) {
         boolean isHeldByThisNode =
-                keys.leader().isPresent() && keys.leader().get().nodeName().equals(nodeName);
+                keys.leader().isPresent()
+                        && keys.leader().get().controllerName().equals(controllerName);
         if (hasAttempted || previousLeaseHandled || !isHeldByThisNode) {
             return;
         }
@@ -192,7 +193,7 @@
 
     private void revokeLeaseOf(StoredRecord leaderKey, Runnable onRevocationEnded) {
         LeaderRecord previous = RecordCodec.decodeLeader(leaderKey);
-        if (previous.nodeName().equals(nodeName) && leaderKey.hasLease()) {
+        if (previous.controllerName().equals(controllerName) && leaderKey.hasLease()) {
             LOG.info(
                     "revoking the leader lease of a previous process of this controller: term={}",
                     previous.term());
--- a/src/main/java/io/kelphoist/model/SchedulingPolicy.java
+++ b/src/main/java/io/kelphoist/model/SchedulingPolicy.java
@@ -17,7 +17,7 @@
  * @param localityWaitSeconds maximum time for which a job array waits for a machine that has its
  *     image in the cache
  * @param machineHoldSeconds maximum time for which a machine is held for a job
- * @param gangHoldSeconds maximum time for which resources are reserved for a gang
+ * @param gangReservationSeconds maximum time for which resources are reserved for a gang
  * @param headroom free resources to keep on on-demand machines, as a share of the machines in use
  * @param idleBeforeScaleInSeconds how long a machine must be idle before it is terminated to scale
  *     in
@@ -37,7 +37,7 @@
         double machineHoldBackoffSeconds,
         double localityWaitSeconds,
         double machineHoldSeconds,
-        double gangHoldSeconds,
+        double gangReservationSeconds,
         double headroom,
         double idleBeforeScaleInSeconds,
         int maxRecordBytes,
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
@@ -20,7 +20,8 @@
  *
  * <p>Reservations are charged to the gang's team and are made only while the team's usage,
  * including its reservations, stays within its guarantee. They expire after {@link
- * SchedulingPolicy#gangHoldSeconds}; for the same duration after that, the gang gets no new ones.
+ * SchedulingPolicy#gangReservationSeconds}; for the same duration after that, the gang gets no new
+ * ones.
  */
 final class GangReservations {
     /** Resources on one machine, reserved for one task of a gang. */
@@ -57,9 +58,11 @@
             return;
         }
         if (job.capacityAcquisition().reservedUntilSeconds() == 0) {
-            job.capacityAcquisition().beginReservation(nowSeconds + policy.gangHoldSeconds());
+            job.capacityAcquisition()
+                    .beginReservation(nowSeconds + policy.gangReservationSeconds());
         } else if (nowSeconds >= job.capacityAcquisition().reservedUntilSeconds()) {
-            job.capacityAcquisition().expireReservation(nowSeconds + policy.gangHoldSeconds());
+            job.capacityAcquisition()
+                    .expireReservation(nowSeconds + policy.gangReservationSeconds());
             return;
         }
         Resources perTask = job.spec().resourcesPerTask();
--- a/src/main/java/io/kelphoist/statestore/protocol/RecordCodec.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/RecordCodec.java
@@ -51,7 +51,7 @@
         ObjectNode value =
                 MessageEncoding.newObject()
                         .put("term", leader.term())
-                        .put("node", leader.nodeName());
+                        .put("node", leader.controllerName());
         return new RecordMutation(key, value, leaseId);
     }
 
--- a/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
@@ -65,8 +65,8 @@
         /** The last phase that this controller reported of each job. */
         final Map<String, AdmissionResult.Phase> reportedPhases = new HashMap<>();
 
-        boolean storeUnreachable;
-        final StateStoreSimulation.View view = store.viewFor(() -> storeUnreachable);
+        boolean refusedByStore;
+        final StateStoreSimulation.View view = store.viewFor(() -> refusedByStore);
         final Admission admission =
                 Admission.create(
                         new Admission.StoreAccess(
@@ -288,8 +288,8 @@
                 }
             }
             case 5 -> storeDone(number);
-            case 6 -> controller.storeUnreachable = argument % 2 == 0;
-            case 7 -> store.faults().setDown(argument % 2 == 0);
+            case 6 -> controller.refusedByStore = argument % 2 == 0;
+            case 7 -> store.faults().setUnavailable(argument % 2 == 0);
             case 8 -> store.faults().setLateWritesPerTen(argument % 6);
             case 11 -> watchedJobs.add("job-" + number);
             case 12 -> store.faults().setLostResponsesPerTen(argument % 4);
@@ -308,7 +308,7 @@
     private void storeDone(int number) {
         boolean isActive =
                 storedJobs.status("job-" + number).filter(JobStatus.ACTIVE::equals).isPresent();
-        if (isActive && spec(number).dependencies().isEmpty() && !store.faults().isDown()) {
+        if (isActive && spec(number).dependencies().isEmpty() && !store.faults().isUnavailable()) {
             storedJobs.putDone("job-" + number);
         }
     }
@@ -322,10 +322,10 @@
         lateWrites += store.lateWrites();
         lostResponses += store.lostResponses();
         // After all faults have ended, the second query for each job must not be deferred.
-        store.faults().setDown(false);
+        store.faults().setUnavailable(false);
         store.faults().setLateWritesPerTen(0);
         store.faults().setLostResponsesPerTen(0);
-        controllers.forEach(controller -> controller.storeUnreachable = false);
+        controllers.forEach(controller -> controller.refusedByStore = false);
         store.advance(40);
         for (int number = 0; number < JOBS; number++) {
             for (Controller controller : controllers) {
--- a/src/test/java/io/kelphoist/admission/FreshReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/FreshReadsTest.java
@@ -72,8 +72,8 @@
                 }
             }
             case 6 -> {
-                store.faults().setDown(true);
-                store.schedule(0.2, () -> store.faults().setDown(false));
+                store.faults().setUnavailable(true);
+                store.schedule(0.2, () -> store.faults().setUnavailable(false));
             }
             default -> readAndCheck(id);
         }
@@ -178,11 +178,11 @@
             storeFinal("job-" + i, i % 2 == 0);
             assertEquals(i % 2 == 0 ? "DONE" : "CANCELLED", readStatus(i));
         }
-        store.faults().setDown(true);
+        store.faults().setUnavailable(true);
         assertEquals("Unavailable[]", readStatus(0));
         assertEquals("CANCELLED", readStatus(1));
         assertEquals("DONE", readStatus(JobLookup.MAX_CACHED_JOBS));
-        store.faults().setDown(false);
+        store.faults().setUnavailable(false);
         assertEquals("DONE", readStatus(0));
     }
 
--- a/src/test/java/io/kelphoist/controller/GrpcSubmissionTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcSubmissionTest.java
@@ -38,7 +38,7 @@
             for (int api : new int[] {HTTP, GRPC}) {
                 JobSpec spec = submission.toJobSpec(api, lastCreated, jobIds);
                 jobIds.put(submission.name() + api, spec.id());
-                stateStore.setUnavailable(submission.isStateStoreDown());
+                stateStore.setUnavailable(submission.isStateStoreUnavailable());
                 results[api] = api == HTTP ? submitOverHttp(spec) : submitOverGrpc(stub, spec);
                 assertExpected(submission, results[api]);
             }
--- a/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
@@ -136,10 +136,10 @@
                                     ? "" + message.getState().getCurrent()
                                     : RecordedEvents.typeOf(message));
                     if (message.getEvent().hasAccepted()) {
-                        stateStore.setUnreachable(true);
+                        stateStore.setUnavailableWithWatches(true);
                     } else if (message.hasState() && !message.getState().getCurrent()) {
                         storeJobEnd();
-                        stateStore.setUnreachable(false);
+                        stateStore.setUnavailableWithWatches(false);
                     }
                     return !(message.hasState() && message.getState().getCurrent());
                 });
--- a/src/test/java/io/kelphoist/controller/SubmissionCase.java
+++ b/src/test/java/io/kelphoist/controller/SubmissionCase.java
@@ -54,7 +54,7 @@
     }
 
     /** Whether the state store is unavailable during the submission. */
-    boolean isStateStoreDown() {
+    boolean isStateStoreUnavailable() {
         return differences.contains("down");
     }
 
--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -33,9 +33,9 @@
     }
 
     private static void passOutage(DelegationSimulation simulation) {
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(LONG_OUTAGE_SECONDS);
-        simulation.setStoreDown(false);
+        simulation.setStoreUnavailable(false);
         simulation.setLeaderRefusedByStore(false);
         simulation.advance(30);
     }
@@ -112,7 +112,7 @@
     void acknowledgedByAQueryInTheOutage() {
         DelegationSimulation simulation = withLeaderRefused();
         simulation.cancel(2, false);
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(30);
         simulation.query(2);
         simulation.advance(LONG_OUTAGE_SECONDS);
@@ -147,7 +147,7 @@
         DelegationSimulation simulation = withLeaderRefused();
         simulation.cancel(2, true);
         simulation.setOneWayBlocked(2, 0, true);
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(40);
         simulation.setOneWayBlocked(2, 0, false);
         simulation.advance(30);
@@ -197,14 +197,14 @@
         DelegationSimulation simulation = withLeaderRefused();
         simulation.cancel(2, true);
         simulation.crash(2, 0.1);
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(15);
-        simulation.setStoreDown(false);
+        simulation.setStoreUnavailable(false);
         for (int i = 0; i < 20; i++) {
             simulation.advance(0.5);
             simulation.failOver(1);
         }
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(LONG_OUTAGE_SECONDS);
         assertEquals(2, simulation.term());
         assertFalse(simulation.isTaskRunning());
@@ -218,7 +218,7 @@
     void noLeaseExpiresInALongOutage() {
         DelegationSimulation simulation = new DelegationSimulation(true, true);
         simulation.advance(10);
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(300);
         assertEquals(0, simulation.withheldRenewals());
         assertEquals(0, simulation.expiredLeases());
--- a/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
@@ -133,8 +133,8 @@
         readsStaleUntilSeconds = network.nowSeconds() + DelegationTerm.KEY_SECONDS;
     }
 
-    void setStoreDown(boolean down) {
-        store.setDown(down);
+    void setStoreUnavailable(boolean down) {
+        store.setUnavailable(down);
     }
 
     void setRefusedByStore(int controller, boolean refused) {
--- a/src/test/java/io/kelphoist/delegation/DelegationStore.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationStore.java
@@ -11,23 +11,23 @@
     /** Recorded starts of delegations in simulated true time, by peer. */
     private final Map<String, Double> delegationStartsSeconds = new LinkedHashMap<>();
 
-    private boolean down;
+    private boolean unavailable;
     private double cancelledAtSeconds = Double.POSITIVE_INFINITY;
 
     DelegationStore(DelegationNetwork network) {
         this.network = network;
     }
 
-    void setDown(boolean down) {
-        this.down = down;
+    void setUnavailable(boolean down) {
+        this.unavailable = down;
     }
 
-    boolean isDown() {
-        return down;
+    boolean isUnavailable() {
+        return unavailable;
     }
 
     boolean isReachableBy(DelegationController controller) {
-        return !down && !controller.isRefusedByStore();
+        return !unavailable && !controller.isRefusedByStore();
     }
 
     void putCancellation() {
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -138,7 +138,7 @@
     }
 
     void advanceKey(double seconds) {
-        if (!store.isDown()) {
+        if (!store.isUnavailable()) {
             keySecondsLeft -= seconds;
         }
     }
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -75,7 +75,7 @@
             case 0 -> simulation.makeReadsStale();
             case 1 -> simulation.setRefusedByStore(controller, enabled);
             case 2 -> simulation.setLeaderRefusedByStore(enabled);
-            default -> simulation.setStoreDown(enabled);
+            default -> simulation.setStoreUnavailable(enabled);
         }
     }
 
--- a/src/test/java/io/kelphoist/election/ElectionSimulation.java
+++ b/src/test/java/io/kelphoist/election/ElectionSimulation.java
@@ -113,8 +113,8 @@
     }
 
     /** Starts or ends an outage of the state store. */
-    public void setStoreDown(boolean down) {
-        store.setDown(down);
+    public void setStoreUnavailable(boolean down) {
+        store.setUnavailable(down);
     }
 
     void setRefusedByStore(int controller, boolean refused) {
@@ -164,7 +164,7 @@
         }
         setDelayedTransactions(0);
         setLostResponses(0);
-        setStoreDown(false);
+        setStoreUnavailable(false);
     }
 
     /** Ends all faults and checks that a controller leads after {@link #CONVERGENCE_SECONDS}. */
@@ -229,7 +229,7 @@
     }
 
     private void countStepLedWithoutKeyOrStore(SimulatedController leader) {
-        if (store.isDown() || !store.read().isHeldBy(leader.name())) {
+        if (store.isUnavailable() || !store.read().isHeldBy(leader.name())) {
             counters.increment(Counter.STEPS_LED_WITHOUT_KEY_OR_STORE);
         }
     }
--- a/src/test/java/io/kelphoist/election/ElectionTest.java
+++ b/src/test/java/io/kelphoist/election/ElectionTest.java
@@ -34,7 +34,7 @@
             case 7, 8 -> simulation.crash(controller, enabled ? 0.1 : 5);
             case 9 -> crashAll(simulation, controller);
             case 10, 11 -> simulation.freeze(controller, argument % 10);
-            case 12, 13 -> simulation.setStoreDown(enabled);
+            case 12, 13 -> simulation.setStoreUnavailable(enabled);
             case 14 -> simulation.setRefusedByStore(controller, enabled);
             case 15 -> simulation.setLeaderRefusedByStore();
             case 16 -> simulation.setDelayedTransactions(argument % 8);
@@ -115,7 +115,7 @@
             } else {
                 simulation.resignLeader();
             }
-            simulation.setStoreDown(i % 8 == 5);
+            simulation.setStoreUnavailable(i % 8 == 5);
             simulation.advance(5);
         }
         int terms = simulation.count(Counter.TERMS) - before;
--- a/src/test/java/io/kelphoist/election/SimulatedController.java
+++ b/src/test/java/io/kelphoist/election/SimulatedController.java
@@ -155,7 +155,7 @@
     // ---- requests to the state store ----
 
     private boolean isStoreReachable() {
-        return !store.isDown() && !refusedByStore;
+        return !store.isUnavailable() && !refusedByStore;
     }
 
     /** Sends a request; the response is empty if it was refused and not carried out. */
@@ -239,7 +239,9 @@
                     random.nextInt(120) / 10.0,
                     () ->
                             countIfCommitted(
-                                    Counter.DELAYED_ACQUISITIONS, !store.isDown(), transaction));
+                                    Counter.DELAYED_ACQUISITIONS,
+                                    !store.isUnavailable(),
+                                    transaction));
             schedule(
                     TRANSACTION_TIMEOUT_SECONDS,
                     () -> resolveUnknownOutcome(leaseId, term, sentAt));
--- a/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
+++ b/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
@@ -45,7 +45,7 @@
     private long revision = 10;
     private Key leader;
     private Key term;
-    private boolean down;
+    private boolean unavailable;
     private int delayedTransactionsPerTen;
     private int lostResponsesPerTen;
 
@@ -60,16 +60,16 @@
         this.onKeysChanged = onKeysChanged;
     }
 
-    boolean isDown() {
-        return down;
+    boolean isUnavailable() {
+        return unavailable;
     }
 
     /** Starts or ends an outage. When it ends, each lease gets its full duration again. */
-    void setDown(boolean down) {
-        if (this.down && !down) {
+    void setUnavailable(boolean down) {
+        if (this.unavailable && !down) {
             leaseExpiries.replaceAll((leaseId, expiry) -> timeline.nowSeconds() + LEASE_SECONDS);
         }
-        this.down = down;
+        this.unavailable = down;
     }
 
     void setDelayedTransactions(int perTen) {
@@ -122,7 +122,7 @@
      * an outage.
      */
     void expireLeases(double stepSeconds) {
-        if (down) {
+        if (unavailable) {
             return;
         }
         for (Map.Entry<Long, Double> lease : List.copyOf(leaseExpiries.entrySet())) {
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -304,7 +304,7 @@
         broker.onRecordsChanged(revision, changedRecords, 0);
     }
 
-    private void applyTaskEvents(int controller) {
+    private void applyTransientEvents(int controller) {
         boolean newLog = appliedLogs[controller] != eventLog;
         TaskEventLog.Update update = eventLog.updateSince(newLog ? -1 : nextSequences[controller]);
         appliedLogs[controller] = eventLog;
@@ -333,7 +333,7 @@
                                     0, "m" + step % 5, TaskEvent.Cause.MACHINE_GONE));
             case 7 -> appendTaskEvent(job, new TaskEvent.CapacityReserved(step % 3));
             case 8, 9 -> applyChanges(controller);
-            case 10 -> applyTaskEvents(controller);
+            case 10 -> applyTransientEvents(controller);
             case 11 -> client.connect(step / 64 % CONTROLLERS);
             case 12 -> client.read(step / 64 % 3);
             case 13 -> {
@@ -374,7 +374,7 @@
         for (int round = 0; round < 40; round++) {
             for (int controller = 0; controller < CONTROLLERS; controller++) {
                 applyChanges(controller);
-                applyTaskEvents(controller);
+                applyTransientEvents(controller);
             }
             for (Client client : clients) {
                 if (client.subscription == null && !client.complete) {
--- a/src/test/java/io/kelphoist/failover/ElectedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ElectedLeadership.java
@@ -52,7 +52,7 @@
     }
 
     @Override
-    boolean isFrontEndRefusedByStore(int frontEnd) {
+    boolean isAdmissionRefusedByStore(int frontEnd) {
         return elections.isRefusedByStore(ElectionSimulation.NAMES.get(frontEnd));
     }
 
@@ -85,8 +85,8 @@
     }
 
     @Override
-    void setStateStoreDown(boolean down) {
-        elections.setStoreDown(down);
+    void setStateStoreUnavailable(boolean down) {
+        elections.setStoreUnavailable(down);
     }
 
     @Override
--- a/src/test/java/io/kelphoist/failover/FailoverSimulation.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulation.java
@@ -142,7 +142,7 @@
         setDelayedTransactions(0);
         setLostResponses(0);
         setKeepHeartbeatsForNextLeader(false);
-        setStateStoreDown(false);
+        setStateStoreUnavailable(false);
         setLeaderRefusedByStore(false);
         leadership.endFaults();
         context.disableRandomFaults();
@@ -202,9 +202,9 @@
         leadership.setLostResponses(perTen);
     }
 
-    void setStateStoreDown(boolean down) {
-        store.faults().setDown(down);
-        leadership.setStateStoreDown(down);
+    void setStateStoreUnavailable(boolean down) {
+        store.faults().setUnavailable(down);
+        leadership.setStateStoreUnavailable(down);
     }
 
     /** Sets whether the state store refuses only the leader's requests. */
--- a/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
@@ -114,7 +114,7 @@
         simulation.setKeepHeartbeatsForNextLeader(true);
         simulation.advance(6, 0);
         for (int i = 0; i < 12; i++) {
-            simulation.setStateStoreDown(i % 6 == 3);
+            simulation.setStateStoreUnavailable(i % 6 == 3);
             simulation.setLostResponses(i % 3);
             simulation.setPartitioned(i, i % 2 == 0);
             simulation.setOutboundBlocked(i + 2, i % 2 == 1);
--- a/src/test/java/io/kelphoist/failover/FailoverSteps.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSteps.java
@@ -51,7 +51,7 @@
             case 14 -> simulation.setInboundBlocked(argument, false);
             case 15 -> simulation.restartWorker(argument);
             case 16 -> simulation.setDelayedTransactions(argument % 8);
-            case 17 -> simulation.setStateStoreDown(argument % 2 == 0);
+            case 17 -> simulation.setStateStoreUnavailable(argument % 2 == 0);
             case 18 -> simulation.setLeaderRefusedByStore(argument % 3 > 0);
             default -> throw new IllegalArgumentException("kind " + kind);
         }
--- a/src/test/java/io/kelphoist/failover/Leadership.java
+++ b/src/test/java/io/kelphoist/failover/Leadership.java
@@ -84,7 +84,7 @@
     abstract boolean isRefusedByStore(SimulatedLeader leader);
 
     /** Whether the state store refuses this front end's requests. */
-    abstract boolean isFrontEndRefusedByStore(int frontEnd);
+    abstract boolean isAdmissionRefusedByStore(int frontEnd);
 
     /** Changes the leader. The next one receives {@code handover}. */
     abstract void failOver(Handover handover);
@@ -97,7 +97,7 @@
     /** Sets whether messages from one controller to another are held. */
     abstract void setLinkBlocked(int from, int to, boolean blocked);
 
-    abstract void setStateStoreDown(boolean down);
+    abstract void setStateStoreUnavailable(boolean down);
 
     /** Sets how many of ten acquisitions and lease renewals are carried out without a response. */
     abstract void setLostResponses(int perTen);
--- a/src/test/java/io/kelphoist/failover/SafetyChecker.java
+++ b/src/test/java/io/kelphoist/failover/SafetyChecker.java
@@ -147,7 +147,7 @@
             return;
         }
         for (int task = 0; task < before.spec().tasks(); task++) {
-            if (!tasks.isFinished(SimulatedTasks.taskName(stored.id(), task))) {
+            if (!tasks.isDone(SimulatedTasks.taskName(stored.id(), task))) {
                 throw new AssertionError(
                         "job is recorded as done before its tasks: job="
                                 + stored.id()
@@ -261,7 +261,7 @@
     private int countUnfinishedTasks(JobRecord job, int running) {
         int unfinished = 0;
         for (int task = 0; task < job.spec().tasks(); task++) {
-            unfinished += tasks.isFinished(SimulatedTasks.taskName(job.id(), task)) ? 0 : 1;
+            unfinished += tasks.isDone(SimulatedTasks.taskName(job.id(), task)) ? 0 : 1;
         }
         if (unfinished == 0 && running < context.size().taskLimit() - 1) {
             throw new AssertionError(
--- a/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
@@ -27,7 +27,7 @@
 
     /** The first front end runs in the leader's process. */
     @Override
-    boolean isFrontEndRefusedByStore(int frontEnd) {
+    boolean isAdmissionRefusedByStore(int frontEnd) {
         return leaderRefused && frontEnd == 0;
     }
 
@@ -35,7 +35,7 @@
     void failOver(Handover handover) {
         setHandover(handover);
         SimulatedStateStore stateStore = dependencies().stateStore();
-        if (stateStore.store().faults().isDown()) {
+        if (stateStore.store().faults().isUnavailable()) {
             // No controller can acquire the leader key during an outage of the state store.
             return;
         }
@@ -60,7 +60,7 @@
     void setLinkBlocked(int from, int to, boolean blocked) {}
 
     @Override
-    void setStateStoreDown(boolean down) {}
+    void setStateStoreUnavailable(boolean down) {}
 
     @Override
     void setLostResponses(int perTen) {}
--- a/src/test/java/io/kelphoist/failover/SimulatedFleet.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedFleet.java
@@ -172,13 +172,13 @@
             finishGang(SimulatedTasks.jobOf(task));
         } else {
             worker.exit(task, ExitReason.DONE, false);
-            tasks.onFinished(task);
+            tasks.onDone(task);
         }
     }
 
     private void finishGang(String jobId) {
         for (int i = 0; i < SimulatedTasks.GANG_SIZE; i++) {
-            tasks.onFinished(SimulatedTasks.taskName(jobId, i));
+            tasks.onDone(SimulatedTasks.taskName(jobId, i));
         }
         for (SimulatedWorker worker : workers) {
             List.copyOf(worker.attempts().keySet()).stream()
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -222,7 +222,7 @@
     }
 
     private boolean canReadStateStore() {
-        return !dependencies.stateStore().store().faults().isDown() && !isRefusedByStore();
+        return !dependencies.stateStore().store().faults().isUnavailable() && !isRefusedByStore();
     }
 
     // ---- time ----
--- a/src/test/java/io/kelphoist/failover/SimulatedTasks.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedTasks.java
@@ -25,7 +25,7 @@
     /** Run times in seconds of tasks that finish by themselves, by task. */
     private final Map<String, Double> durationsSeconds = new HashMap<>();
 
-    private final Set<String> finished = new HashSet<>();
+    private final Set<String> doneTasks = new HashSet<>();
 
     /** Attempts of gangs whose tasks have all run at the same time. */
     private final Set<Long> completeGangAttempts = new HashSet<>();
@@ -61,12 +61,12 @@
         return durationsSeconds.getOrDefault(task, Double.POSITIVE_INFINITY);
     }
 
-    void onFinished(String task) {
-        finished.add(task);
+    void onDone(String task) {
+        doneTasks.add(task);
     }
 
-    boolean isFinished(String task) {
-        return finished.contains(task);
+    boolean isDone(String task) {
+        return doneTasks.contains(task);
     }
 
     void onGangComplete(long attemptId) {
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -22,7 +22,7 @@
  * is recorded. The number of a request selects the front end and the job.
  */
 final class SimulatedUsers {
-    private static final int FRONT_ENDS = 3;
+    private static final int CONTROLLERS = 3;
     private static final int MAX_VALUE_KILOBYTES = 4;
 
     /** Delay after which a request with the response {@code RetryLater} is sent again. */
@@ -39,7 +39,7 @@
     private final AcknowledgedCancellationLog cancellations;
     private final QueueWaitRecorder queueWaits;
     private final StateStoreSimulation timer;
-    private final List<Admission> frontEnds = new ArrayList<>();
+    private final List<Admission> admissions = new ArrayList<>();
 
     /**
      * The newest phase that a response to a user contained, by job. A final phase is not replaced.
@@ -62,15 +62,15 @@
         this.cancellations = dependencies.cancellations();
         this.queueWaits = queueWaits;
         this.timer = dependencies.stateStore().store();
-        for (int i = 0; i < FRONT_ENDS; i++) {
+        for (int i = 0; i < CONTROLLERS; i++) {
             int number = i;
             StateStoreSimulation.View view =
-                    timer.viewFor(() -> leadership.isFrontEndRefusedByStore(number));
-            frontEnds.add(createFrontEnd(dependencies, view));
+                    timer.viewFor(() -> leadership.isAdmissionRefusedByStore(number));
+            admissions.add(createAdmission(dependencies, view));
         }
     }
 
-    private Admission createFrontEnd(
+    private Admission createAdmission(
             SimulatedLeader.Dependencies dependencies, StateStoreSimulation.View view) {
         AdmissionSettings settings =
                 new AdmissionSettings(
@@ -98,23 +98,23 @@
 
     void cancel(int number) {
         String jobId = jobOf(number);
-        frontEnds.get(number % FRONT_ENDS).cancel(jobId, checkAndRecordResponse(jobId));
+        admissions.get(number % CONTROLLERS).cancel(jobId, checkAndRecordResponse(jobId));
     }
 
     void query(int number) {
         String jobId = jobOf(number);
-        frontEnds.get(number % FRONT_ENDS).query(jobId, checkAndRecordResponse(jobId));
+        admissions.get(number % CONTROLLERS).query(jobId, checkAndRecordResponse(jobId));
     }
 
     private String jobOf(int number) {
-        return "job-" + number / FRONT_ENDS % jobs.size();
+        return "job-" + number / CONTROLLERS % jobs.size();
     }
 
     /** A user queries one job twice at each front end within milliseconds. */
     void queryInBurst(int number) {
-        for (int i = 0; i < 2 * FRONT_ENDS; i++) {
-            int frontEnd = i % FRONT_ENDS;
-            timer.schedule(0.001 * i, () -> query(number / FRONT_ENDS * FRONT_ENDS + frontEnd));
+        for (int i = 0; i < 2 * CONTROLLERS; i++) {
+            int frontEnd = i % CONTROLLERS;
+            timer.schedule(0.001 * i, () -> query(number / CONTROLLERS * CONTROLLERS + frontEnd));
         }
         context.counters().increment(Counter.QUERY_BURSTS);
     }
@@ -164,7 +164,7 @@
     private void sendWithRetries(int number, Request request, String jobId, Runnable onDone) {
         Consumer<AdmissionResult> responseHandler = checkAndRecordResponse(jobId);
         // The first front end is not used: it shares its write limit with the leader.
-        Admission frontEnd = frontEnds.get(1 + number % (FRONT_ENDS - 1));
+        Admission frontEnd = admissions.get(1 + number % (CONTROLLERS - 1));
         request.send(
                 frontEnd,
                 response -> {
@@ -190,10 +190,10 @@
         Map<String, AdmissionResult> responses = new HashMap<>();
         for (int round = 0; round < 2; round++) {
             for (String jobId : jobs.ids()) {
-                for (int i = 0; i < FRONT_ENDS; i++) {
+                for (int i = 0; i < CONTROLLERS; i++) {
                     String request = jobId + " frontEnd=" + i;
                     Consumer<AdmissionResult> responseHandler = checkAndRecordResponse(jobId);
-                    frontEnds
+                    admissions
                             .get(i)
                             .query(
                                     jobId,
@@ -205,6 +205,6 @@
             }
             timer.advance(5);
         }
-        checker.checkResponsesAtEnd(responses, jobs.size() * FRONT_ENDS);
+        checker.checkResponsesAtEnd(responses, jobs.size() * CONTROLLERS);
     }
 }
--- a/src/test/java/io/kelphoist/failover/SimulatedWorker.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedWorker.java
@@ -284,7 +284,7 @@
         double now = context.nowSeconds();
         if (now >= startedAtSeconds.get(task) + tasks.durationSeconds(task)) {
             exit(task, ExitReason.DONE, false);
-            tasks.onFinished(task);
+            tasks.onDone(task);
         } else if (now >= saveEndsAtSeconds.getOrDefault(task, Double.POSITIVE_INFINITY)) {
             exit(task, ExitReason.STOPPED, true);
         } else if (SimulatedTasks.isGangTask(task)) {
@@ -355,7 +355,7 @@
             return;
         }
         fleet.onTaskStarting(task, this);
-        if (tasks.isFinished(task)) {
+        if (tasks.isDone(task)) {
             // The result of the earlier attempt still exists, so the new attempt exits at once.
             exitReasonsByAttempt.put(key, ExitReason.DONE);
         } else {
--- a/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
@@ -48,7 +48,7 @@
     }
 
     private void storeJob(String id, boolean cancelled) {
-        if (store.faults().isDown()) {
+        if (store.faults().isUnavailable()) {
             return;
         }
         lastChangeVersions.put(
@@ -94,7 +94,7 @@
                 store.setCompactedRevision(store.revision() + argument % 2);
                 compactions++;
             }
-            case 7 -> store.faults().setDown(argument % 2 == 0);
+            case 7 -> store.faults().setUnavailable(argument % 2 == 0);
             case 8 -> requestsRefused = argument % 2 == 0;
             case 9, 10 -> {
                 double requestedAtSeconds = store.nowSeconds();
@@ -123,7 +123,7 @@
             @ForAll @IntRange(min = 0, max = 996) int salt) {
         startReplication(salt);
         steps.forEach(this::runStep);
-        store.faults().setDown(false);
+        store.faults().setUnavailable(false);
         requestsRefused = false;
         store.setCompactedRevision(Math.min(store.compactedRevision(), store.revision()));
         replication.startFollowing();
--- a/src/test/java/io/kelphoist/statestore/StateStoreFaults.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreFaults.java
@@ -2,13 +2,13 @@
 
 /** The faults of a simulated state store that affect all controllers. */
 public final class StateStoreFaults {
-    private boolean down;
+    private boolean unavailable;
     private int lateWritesPerTen;
     private int lostResponsesPerTen;
 
     /** Returns whether the store is down, that is, unavailable to all controllers. */
-    public boolean isDown() {
-        return down;
+    public boolean isUnavailable() {
+        return unavailable;
     }
 
     /**
@@ -16,8 +16,8 @@
      * watch requests get no response. A transaction that was chosen to be late or without response
      * when it was sent is applied even then.
      */
-    public void setDown(boolean down) {
-        this.down = down;
+    public void setUnavailable(boolean down) {
+        this.unavailable = down;
     }
 
     int lateWritesPerTen() {
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -216,14 +216,14 @@
 
     /** The state store as one controller reaches it. */
     public final class View implements StateStoreWatcher, StateStoreWriter {
-        private final BooleanSupplier unreachable;
+        private final BooleanSupplier refused;
 
         private View(BooleanSupplier unreachable) {
-            this.unreachable = unreachable;
+            this.refused = unreachable;
         }
 
         private boolean isUnavailable() {
-            return faults.isDown() || unreachable.getAsBoolean();
+            return faults.isUnavailable() || refused.getAsBoolean();
         }
 
         private void process(Runnable request, Runnable onUnavailable) {
