--- a/src/main/java/io/kelphoist/api/HttpJobApi.java
+++ b/src/main/java/io/kelphoist/api/HttpJobApi.java
@@ -87,12 +87,12 @@
     }
 
     private static JobStateMessage toMessage(AdmissionResult.JobStateView job) {
-        JobStateMessage.State state =
+        JobStateMessage.Phase state =
                 switch (job.phase()) {
-                    case QUEUED -> JobStateMessage.State.QUEUED;
-                    case RUNNING -> JobStateMessage.State.RUNNING;
-                    case DONE -> JobStateMessage.State.DONE;
-                    case CANCELLED -> JobStateMessage.State.CANCELLED;
+                    case QUEUED -> JobStateMessage.Phase.QUEUED;
+                    case RUNNING -> JobStateMessage.Phase.RUNNING;
+                    case DONE -> JobStateMessage.Phase.DONE;
+                    case CANCELLED -> JobStateMessage.Phase.CANCELLED;
                 };
         return new JobStateMessage(job.id(), state, job.doneTasks(), job.runningTasks());
     }
--- a/src/main/java/io/kelphoist/cloud/CloudClient.java
+++ b/src/main/java/io/kelphoist/cloud/CloudClient.java
@@ -45,7 +45,7 @@
      * Rate-limit tokens that must be available before a page of the instance list is requested, so
      * that one is left for scaling.
      */
-    private static final int MIN_PERMITS_FOR_LISTING = 2;
+    private static final int MIN_TOKENS_FOR_LISTING = 2;
 
     /** Added to the computed wait for a rate-limit token, so that it is available at the retry. */
     private static final double RETRY_MARGIN_SECONDS = 0.01;
@@ -165,7 +165,7 @@
             String afterName,
             List<InstanceListPage> pages,
             Consumer<Optional<List<InstanceListPage>>> callback) {
-        if (rateLimiter.secondsUntilAvailable(MIN_PERMITS_FOR_LISTING, loop.nowSeconds()) > 0
+        if (rateLimiter.secondsUntilAvailable(MIN_TOKENS_FOR_LISTING, loop.nowSeconds()) > 0
                 || !rateLimiter.tryAcquire(1, loop.nowSeconds())) {
             callback.accept(Optional.empty());
             return;
--- a/src/main/java/io/kelphoist/wire/JobStateMessage.java
+++ b/src/main/java/io/kelphoist/wire/JobStateMessage.java
@@ -7,9 +7,9 @@
  * @param runningTasks number of running tasks as far as the controller knows; 0 if the job has
  *     ended
  */
-public record JobStateMessage(String jobId, State state, int doneTasks, int runningTasks) {
+public record JobStateMessage(String jobId, Phase phase, int doneTasks, int runningTasks) {
     /** A job's state, with its name in messages. */
-    public enum State {
+    public enum Phase {
         /** No task runs. */
         QUEUED("queued"),
         /** At least one task runs. */
@@ -21,19 +21,19 @@
 
         private final String encodedName;
 
-        State(String encodedName) {
+        Phase(String encodedName) {
             this.encodedName = encodedName;
         }
     }
 
     /** Encodes the CBOR body of the response to a submission that stored the job. */
     public byte[] encodeAccepted() {
-        return MessageEncoding.encodeCbor(JobCodec.encodeAccepted(jobId, state.encodedName));
+        return MessageEncoding.encodeCbor(JobCodec.encodeAccepted(jobId, phase.encodedName));
     }
 
     /** Encodes the CBOR body of the response to other requests. */
     public byte[] encode() {
         return MessageEncoding.encodeCbor(
-                JobCodec.encodeJobState(jobId, state.encodedName, doneTasks, runningTasks));
+                JobCodec.encodeJobState(jobId, phase.encodedName, doneTasks, runningTasks));
     }
 }
