--- a/src/main/java/io/kelphoist/admission/AdmissionResult.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionResult.java
@@ -2,9 +2,7 @@
 
 import io.kelphoist.model.JobOwner;
 
-/**
- * The result of a user's request, which the HTTP and gRPC APIs for users translate into a response.
- */
+/** The result of a user's request, which the HTTP and gRPC user APIs translate into a response. */
 public sealed interface AdmissionResult {
     /**
      * A job's phase in responses to users: the status in its record, of which {@code ACTIVE} is
--- a/src/main/java/io/kelphoist/api/HttpJobApi.java
+++ b/src/main/java/io/kelphoist/api/HttpJobApi.java
@@ -87,14 +87,14 @@
     }
 
     private static JobStateMessage toMessage(AdmissionResult.JobStateView job) {
-        JobStateMessage.Phase state =
+        JobStateMessage.Phase phase =
                 switch (job.phase()) {
                     case QUEUED -> JobStateMessage.Phase.QUEUED;
                     case RUNNING -> JobStateMessage.Phase.RUNNING;
                     case DONE -> JobStateMessage.Phase.DONE;
                     case CANCELLED -> JobStateMessage.Phase.CANCELLED;
                 };
-        return new JobStateMessage(job.id(), state, job.doneTasks(), job.runningTasks());
+        return new JobStateMessage(job.id(), phase, job.doneTasks(), job.runningTasks());
     }
 
     private static int status(AdmissionResult.Rejected.Reason reason) {
--- a/src/main/java/io/kelphoist/config/OperatorSettings.java
+++ b/src/main/java/io/kelphoist/config/OperatorSettings.java
@@ -11,8 +11,9 @@
  *
  * @param leaderLeaseMillis time to live of the leader lease at the state store
  * @param grantMillis how long a grant lasts, a controller's promise not to lead
- * @param machineHoldBackoffSeconds pause after a machine hold has ended before another machine is
- *     held for the same job, if the job still has tasks that have not started
+ * @param machineHoldBackoffSeconds pause before a machine is held for the same job again, after a
+ *     machine hold that expired or whose machine no longer accepted work, if the job still has
+ *     pending tasks
  * @param localityWaitSeconds longest wait of an array task for a machine that caches its image
  * @param machineHoldSeconds longest time for which a machine is held for a task that fits on no
  *     machine yet
--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -86,8 +86,8 @@
         }
 
         /**
-         * The agent's epoch differs from the one in the request, so it did not check the fencing
-         * token.
+         * The worker's agent epoch differs from the one in the request, so the worker did not check
+         * the fencing token.
          */
         void onEpochMismatch(long reportedEpoch) {
             agentEpoch = reportedEpoch;
@@ -341,8 +341,8 @@
         markPassed(
                 PromotionCheck.MACHINES, " unresponsiveMachines=" + unresponsiveCount, nowSeconds);
         LOG.info(
-                "failover completed: term={} secondsSinceTermStart={} machines={} unresponsiveMachines={}"
-                        + " standby={}",
+                "failover completed: term={} secondsSinceTermStart={} machines={}"
+                        + " unresponsiveMachines={} standby={}",
                 term,
                 roundToHundredths(nowSeconds - startedAtSeconds),
                 machines.size(),
--- a/src/main/java/io/kelphoist/model/JobKind.java
+++ b/src/main/java/io/kelphoist/model/JobKind.java
@@ -4,7 +4,7 @@
 public enum JobKind {
     /** Independent tasks. */
     ARRAY,
-    /** Tasks that start, run and complete together. */
+    /** Tasks that start together, run together and are done together. */
     GANG,
     /** Replicas that run until the job is cancelled. */
     SERVICE
--- a/src/main/java/io/kelphoist/model/SchedulingPolicy.java
+++ b/src/main/java/io/kelphoist/model/SchedulingPolicy.java
@@ -12,8 +12,8 @@
  * @param leaseSeconds duration of a worker lease
  * @param gangPeerTimeoutSeconds time within which tasks of a gang detect that another task of the
  *     gang is no longer running
- * @param machineHoldBackoffSeconds pause after an expired machine hold before a machine is held
- *     again for the same job
+ * @param machineHoldBackoffSeconds pause before a machine is held for the same job again, after a
+ *     machine hold that expired or whose machine no longer accepted work
  * @param localityWaitSeconds maximum time for which a job array waits for a machine that has its
  *     image in the cache
  * @param machineHoldSeconds maximum time for which a machine is held for a job
--- a/src/main/java/io/kelphoist/records/PackedRecords.java
+++ b/src/main/java/io/kelphoist/records/PackedRecords.java
@@ -327,7 +327,8 @@
             page.clearDirty();
         }
         LOG.error(
-                "record page rejected as too large by the state store: entries={} newPageLimitBytes={}",
+                "record page rejected as too large by the state store: entries={}"
+                        + " newPageLimitBytes={}",
                 page.entryCount(),
                 pageByteLimit);
     }
--- a/src/main/java/io/kelphoist/replication/RecordReplica.java
+++ b/src/main/java/io/kelphoist/replication/RecordReplica.java
@@ -15,7 +15,7 @@
 
 /**
  * A passive replica of records in the state store: unfinished and recently cancelled jobs with
- * their specs, recently done jobs without, pages of task starts and of completed tasks, and lease
+ * their specs, recently done jobs without, pages of task starts and of done tasks, and lease
  * delegations. Every controller keeps one, so that a new leader does not have to read all records.
  *
  * <p>For each key the newest version wins, in whatever order versions are applied. Memory does not
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenderResolver.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenderResolver.java
@@ -41,7 +41,8 @@
         if (heartbeat.fencingToken() > term) {
             if (!deposed) {
                 LOG.info(
-                        "leader deposed, a worker has seen a newer term: machine={} workerTerm={} term={}",
+                        "leader deposed, a worker has seen a newer term: machine={} workerTerm={}"
+                                + " term={}",
                         heartbeat.machineName(),
                         heartbeat.fencingToken(),
                         term);
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
@@ -151,7 +151,7 @@
         Job job = attempt.job();
         job.failures().onTaskSucceeded();
         if (job.spec().kind() == JobKind.GANG) {
-            // All tasks of a gang complete together.
+            // All tasks of a gang are done together.
             job.tasks().markAllDone();
         } else {
             job.tasks().markDone(attempt.taskIndex());
--- a/src/main/java/io/kelphoist/wire/JobCodec.java
+++ b/src/main/java/io/kelphoist/wire/JobCodec.java
@@ -204,10 +204,10 @@
     /**
      * Encodes the response to a submission that stored the job.
      *
-     * @param state the name of the job's state in messages
+     * @param phase the name of the job's phase in messages
      */
-    public static ObjectNode encodeAccepted(String jobId, String state) {
-        return MessageEncoding.newObject().put(FieldNames.NAME, jobId).put(FieldNames.STATE, state);
+    public static ObjectNode encodeAccepted(String jobId, String phase) {
+        return MessageEncoding.newObject().put(FieldNames.NAME, jobId).put(FieldNames.STATE, phase);
     }
 
     /**
@@ -215,7 +215,7 @@
      * job's tasks.
      */
     public static ObjectNode encodeJobState(
-            String jobId, String state, int doneTasks, int runningTasks) {
-        return encodeAccepted(jobId, state).put("done", doneTasks).put("running", runningTasks);
+            String jobId, String phase, int doneTasks, int runningTasks) {
+        return encodeAccepted(jobId, phase).put("done", doneTasks).put("running", runningTasks);
     }
 }
--- a/src/main/java/io/kelphoist/wire/JobStateMessage.java
+++ b/src/main/java/io/kelphoist/wire/JobStateMessage.java
@@ -8,7 +8,7 @@
  *     ended
  */
 public record JobStateMessage(String jobId, Phase phase, int doneTasks, int runningTasks) {
-    /** A job's state, with its name in messages. */
+    /** A job's phase, with its name in messages. */
     public enum Phase {
         /** No task runs. */
         QUEUED("queued"),
--- a/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
@@ -313,7 +313,7 @@
             throw new AssertionError(
                     "task of a cancelled job still runs: atSeconds="
                             + now
-                            + " acknowledgedAt="
+                            + " acknowledgedAtSeconds="
                             + acknowledgedAtSeconds);
         }
         if (worker.stopTaskOfExpiredLease(now)) {
