--- a/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
+++ b/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
@@ -9,9 +9,9 @@
 import java.util.function.Supplier;
 
 /**
- * Polls the leader for its task events while another controller leads, and submits them to this
- * controller's event broker. Owns the sequence number from which the leader's event log is read
- * next. Confined to the event loop, except {@link #stop}, which may be called on any thread.
+ * Polls the leader for its transient events while another controller leads, and submits them to
+ * this controller's event broker. Owns the sequence number from which the leader's event log is
+ * read next. Confined to the event loop, except {@link #stop}, which may be called on any thread.
  */
 final class LeaderEventPoller {
     private static final double POLL_INTERVAL_SECONDS = 0.3;
--- a/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
+++ b/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
@@ -12,8 +12,9 @@
 import java.util.Optional;
 
 /**
- * Publishes the task events of the term led here to this controller's event broker, in batches, and
- * to the other controllers, on request. Owns the term's event log. Confined to the event loop.
+ * Publishes the transient events of the term led here to this controller's event broker, in
+ * batches, and to the other controllers, on request. Owns the term's event log. Confined to the
+ * event loop.
  */
 final class TaskEventPublisher {
     private static final double BATCH_DELAY_SECONDS = 0.02;
--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -53,9 +53,8 @@
     private ObjectNode heldTransaction;
 
     /**
-     * Makes the store unavailable or available again. While it is unavailable, it responds to watch
-     * requests without changes, and to all other requests with the status 503. Leases don't expire
-     * in the meantime, and are renewed afterwards.
+     * Sets whether requests get the status 503, except watch requests, which get no changes. Leases
+     * don't expire while the store is unavailable, and are renewed afterwards.
      */
     public synchronized void setUnavailable(boolean isUnavailable) {
         unavailable = isUnavailable;
--- a/src/main/java/io/kelphoist/events/TaskEventLog.java
+++ b/src/main/java/io/kelphoist/events/TaskEventLog.java
@@ -10,12 +10,12 @@
 import java.util.Optional;
 
 /**
- * The leader's log of transient job events for one term. Converts task events into job events,
- * assigns them sequence numbers and retains the latest ones for the other controllers, which poll
- * for new events.
+ * The leader's log of transient events for one term. Converts the scheduler's task events into
+ * transient events, assigns them sequence numbers and retains the latest ones for the other
+ * controllers, which poll for new events.
  *
- * <p>Owns the history of unfinished jobs from which the job events are derived. Confined to the
- * event loop.
+ * <p>Owns the history of unfinished jobs from which the transient events are derived. Confined to
+ * the event loop.
  */
 public final class TaskEventLog {
     /**
@@ -53,13 +53,13 @@
     }
 
     /**
-     * Converts a task event into a job event and appends it.
+     * Converts a task event into a transient event and appends it.
      *
      * @param doneTasks number of the job's tasks that are done after the event
      * @param runningTasks number of the job's tasks that run after the event
      * @param atMillis time of the event in ms since the epoch
-     * @return the job event, or empty if the task event is not published: the job has ended, or the
-     *     event repeats the last reservation of resources
+     * @return the transient event, or empty if the task event is not published: the job has ended,
+     *     or the event repeats the last reservation of resources
      */
     public Optional<TransientEvent> append(
             String jobId, TaskEvent taskEvent, int doneTasks, int runningTasks, long atMillis) {
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
@@ -7,7 +7,7 @@
 
 /**
  * The tasks of one job: which are pending, which are done, which are stored as done, and the
- * attempts that occupy resources. Owns this state. Each task of an open job must be pending, be
+ * attempts that occupy resources. Owns this state. Each task of an active job must be pending, be
  * done, or have an attempt.
  */
 public final class JobTasks {
--- a/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
@@ -10,8 +10,8 @@
  * users, and checks the rules for leases and cancellations in each step.
  *
  * <p>The faults are: clocks drift, messages are held, processes crash, and the state store refuses
- * one controller or is down. Users cancel the job and query it through any controller. Times are in
- * seconds of simulated true time, which the controllers cannot read.
+ * one controller or is unavailable. Users cancel the job and query it through any controller. Times
+ * are in seconds of simulated true time, which the controllers cannot read.
  *
  * <p>Controller 0 is the first leader, in zone {@code b} or outside it. The worker and controller 1
  * are in zone {@code b}. The worker runs the task of the only job until the leader stops it.
--- a/src/test/java/io/kelphoist/failover/SimulatedWorker.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedWorker.java
@@ -17,8 +17,8 @@
 import java.util.Set;
 
 /**
- * A worker's agent. It executes the commands of a leader whose fencing token is not older than the
- * newest it has seen, reports its tasks in heartbeats, and stops all tasks when its lease expires.
+ * A worker. It executes the commands of a leader whose fencing token is not older than the newest
+ * it has seen, reports its tasks in heartbeats, and stops all tasks when its lease expires.
  */
 final class SimulatedWorker {
     /** The operations of the fleet that its workers use. */
@@ -174,7 +174,7 @@
         return terminated;
     }
 
-    /** Restarts the machine at once. Its agent loses all state. */
+    /** Restarts the machine at once. Its worker loses all state. */
     void restart() {
         removeAllTasks();
         fencingToken = 0;
