--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
@@ -41,7 +41,7 @@
      * be terminated.
      */
     List<String> findTerminated(InstanceListPage page) {
-        double snapshotAtSeconds = snapshotTime(page);
+        double snapshotAtSeconds = pageTime(page);
         if (Double.isNaN(snapshotAtSeconds)) {
             return List.of();
         }
@@ -90,7 +90,7 @@
      * by the ages of the instances that it shares with earlier lists; 0 for the first page. NaN if
      * the page shares no instance with earlier lists.
      */
-    private double snapshotTime(InstanceListPage page) {
+    private double pageTime(InstanceListPage page) {
         if (instancesByName.isEmpty() && !page.instances().isEmpty()) {
             return 0;
         }
--- a/src/test/java/io/kelphoist/failover/FailoverSimulation.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulation.java
@@ -328,7 +328,7 @@
     /**
      * Returns the number of transactions that the state store rejected because of its write limit.
      */
-    int throttledTransactionCount() {
+    int rejectedTransactionCount() {
         return store.rateLimitedWrites();
     }
 }
--- a/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
@@ -55,8 +55,8 @@
                         + simulation.count(Counter.JOBS_CANCELLED)
                         + " cancelled, expected over 90");
         assertTrue(
-                writesPerSecond > 10 || simulation.throttledTransactionCount() > 20,
-                simulation.throttledTransactionCount()
+                writesPerSecond > 10 || simulation.rejectedTransactionCount() > 20,
+                simulation.rejectedTransactionCount()
                         + " transactions throttled, expected over 20");
         assertTrue(
                 normalWaitSeconds < 15 && highPriorityWaitSeconds < 10,
