--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
@@ -41,14 +41,14 @@
      * be terminated.
      */
     List<String> findTerminated(InstanceListPage page) {
-        double snapshotAtSeconds = pageTime(page);
-        if (Double.isNaN(snapshotAtSeconds)) {
+        double pageAtSeconds = pageTime(page);
+        if (Double.isNaN(pageAtSeconds)) {
             return List.of();
         }
         Set<String> listedNames = new HashSet<>();
         for (CloudInstance instance : page.instances()) {
             listedNames.add(instance.name());
-            recordListed(instance, snapshotAtSeconds);
+            recordListed(instance, pageAtSeconds);
         }
         List<String> terminated = new ArrayList<>();
         instancesInRange(page)
@@ -56,7 +56,7 @@
                         (name, listed) -> {
                             double lastListed = listed.lastListedAtSeconds;
                             if (!listedNames.contains(name)
-                                    && snapshotAtSeconds > lastListed + AGE_PRECISION_SECONDS) {
+                                    && pageAtSeconds > lastListed + AGE_PRECISION_SECONDS) {
                                 terminated.add(name);
                             }
                         });
@@ -64,15 +64,14 @@
         return terminated;
     }
 
-    private void recordListed(CloudInstance instance, double snapshotAtSeconds) {
+    private void recordListed(CloudInstance instance, double pageAtSeconds) {
         ListedInstance previous = instancesByName.get(instance.name());
         ListedInstance updated =
                 previous == null
-                        ? new ListedInstance(
-                                snapshotAtSeconds - instance.ageSeconds(), snapshotAtSeconds)
+                        ? new ListedInstance(pageAtSeconds - instance.ageSeconds(), pageAtSeconds)
                         : new ListedInstance(
                                 previous.createdAtSeconds,
-                                Math.max(previous.lastListedAtSeconds, snapshotAtSeconds));
+                                Math.max(previous.lastListedAtSeconds, pageAtSeconds));
         instancesByName.put(instance.name(), updated);
     }
 
@@ -94,17 +93,17 @@
         if (instancesByName.isEmpty() && !page.instances().isEmpty()) {
             return 0;
         }
-        double snapshotAtSeconds = Double.NaN;
+        double pageAtSeconds = Double.NaN;
         for (CloudInstance instance : page.instances()) {
             ListedInstance listed = instancesByName.get(instance.name());
             if (listed != null) {
                 double impliedAtSeconds = listed.createdAtSeconds + instance.ageSeconds();
-                snapshotAtSeconds =
-                        Double.isNaN(snapshotAtSeconds)
+                pageAtSeconds =
+                        Double.isNaN(pageAtSeconds)
                                 ? impliedAtSeconds
-                                : Math.min(snapshotAtSeconds, impliedAtSeconds);
+                                : Math.min(pageAtSeconds, impliedAtSeconds);
             }
         }
-        return snapshotAtSeconds;
+        return pageAtSeconds;
     }
 }
--- a/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
@@ -22,7 +22,7 @@
      * Runs the job stream.
      *
      * @param writesPerSecond the smallest limit (15), or a limit that the job stream alone nearly
-     *     uses up (9), so that transactions are throttled throughout the run
+     *     uses up (9), so that transactions are rejected throughout the run
      */
     @ParameterizedTest
     @CsvSource({"1, 15", "2, 15", "3, 15", "4, 9", "5, 9"})
@@ -56,8 +56,7 @@
                         + " cancelled, expected over 90");
         assertTrue(
                 writesPerSecond > 10 || simulation.rejectedTransactionCount() > 20,
-                simulation.rejectedTransactionCount()
-                        + " transactions throttled, expected over 20");
+                simulation.rejectedTransactionCount() + " transactions rejected, expected over 20");
         assertTrue(
                 normalWaitSeconds < 15 && highPriorityWaitSeconds < 10,
                 "longest wait of normal jobs: "
