--- a/src/main/java/io/kelphoist/config/OperatorSettings.java
+++ b/src/main/java/io/kelphoist/config/OperatorSettings.java
@@ -11,13 +11,14 @@
  *
  * @param leaderLeaseMillis time to live of the leader lease at the state store
  * @param grantMillis how long a grant lasts, a controller's promise not to lead
- * @param machineHoldBackoffSeconds pause after a machine hold has ended before another machine is
- *     held for the same job, if the job still has tasks that have not started
+ * @param machineHoldBackoffSeconds pause before a machine is held for the same job again, after a
+ *     machine hold that expired or whose machine no longer accepted work, if the job still has
+ *     pending tasks
  * @param localityWaitSeconds longest wait of an array task for a machine that caches its image
  * @param machineHoldSeconds longest time for which a machine is held for a task that fits on no
  *     machine yet
- * @param gangHoldSeconds longest time for which resources are reserved for a gang before there are
- *     enough for all its tasks; after that, none are reserved for it for as long
+ * @param gangReservationSeconds longest time for which resources are reserved for a gang before
+ *     there are enough for all its tasks; after that, none are reserved for it for as long
  * @param headroom free resources to keep on on-demand machines, as a share of the machines in use,
  *     but at least one machine's worth; 0: no free resources are kept
  * @param idleSeconds how long a machine is idle before it is terminated
@@ -35,7 +36,7 @@
         double machineHoldBackoffSeconds,
         double localityWaitSeconds,
         double machineHoldSeconds,
-        double gangHoldSeconds,
+        double gangReservationSeconds,
         double headroom,
         double idleSeconds,
         boolean leaseDelegation,
@@ -50,7 +51,7 @@
                     /* machineHoldBackoffSeconds= */ 5,
                     /* localityWaitSeconds= */ 3,
                     /* machineHoldSeconds= */ 20,
-                    /* gangHoldSeconds= */ 15,
+                    /* gangReservationSeconds= */ 15,
                     /* headroom= */ 0.05,
                     /* idleSeconds= */ 40,
                     /* leaseDelegation= */ false,
@@ -123,7 +124,7 @@
                 machineHoldBackoffSeconds,
                 localityWaitSeconds,
                 machineHoldSeconds,
-                gangHoldSeconds,
+                gangReservationSeconds,
                 headroom,
                 idleSeconds,
                 newLeaseDelegation,
@@ -145,7 +146,7 @@
                 machineHoldBackoffSeconds,
                 localityWaitSeconds,
                 machineHoldSeconds,
-                gangHoldSeconds,
+                gangReservationSeconds,
                 headroom,
                 idleSeconds,
                 (int) Math.max(RESERVED_VALUE_BYTES, valueBytes - RESERVED_VALUE_BYTES),
--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -37,7 +37,7 @@
     private long revision;
     private boolean unavailable;
     private boolean closed;
-    private boolean unreachable;
+    private boolean watchesUnavailable;
 
     /** The changes up to this revision have been discarded. */
     private long compactedRevision;
@@ -53,8 +53,8 @@
     private ObjectNode heldTransaction;
 
     /**
-     * Rejects all requests except polls for changes, which return no changes; or accepts requests
-     * again. Leases don't expire while the store is unavailable, and are renewed afterwards.
+     * Sets whether requests get the status 503, except watch requests, which get no changes. Leases
+     * don't expire while the store is unavailable, and are renewed afterwards.
      */
     public synchronized void setUnavailable(boolean isUnavailable) {
         unavailable = isUnavailable;
@@ -95,10 +95,12 @@
         notifyAll();
     }
 
-    /** Rejects all requests including waiting polls for changes, or accepts them again. */
-    public synchronized void setUnreachable(boolean isUnreachable) {
-        unreachable = isUnreachable;
-        setUnavailable(isUnreachable);
+    /**
+     * As {@link #setUnavailable}, but watch requests, also waiting ones, get the status 503 too.
+     */
+    public synchronized void setUnavailableWithWatches(boolean isUnavailable) {
+        watchesUnavailable = isUnavailable;
+        setUnavailable(isUnavailable);
     }
 
     /**
@@ -142,7 +144,7 @@
     protected synchronized Response respond(HttpServerExchange exchange, ObjectNode body)
             throws InterruptedException {
         String path = exchange.getRequestPath();
-        if (unreachable || (unavailable && !path.equals(CHANGES_PATH))) {
+        if (watchesUnavailable || (unavailable && !path.equals(CHANGES_PATH))) {
             return emptyResponse(StatusCodes.SERVICE_UNAVAILABLE);
         }
         expireLeases();
@@ -370,7 +372,7 @@
             throws InterruptedException {
         while (true) {
             expireLeases();
-            if (unreachable) {
+            if (watchesUnavailable) {
                 return emptyResponse(StatusCodes.SERVICE_UNAVAILABLE);
             }
             if (afterRevision < compactedRevision) {
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
@@ -151,7 +151,7 @@
         Job job = attempt.job();
         job.failures().onTaskSucceeded();
         if (job.spec().kind() == JobKind.GANG) {
-            // All tasks of a gang complete together.
+            // All tasks of a gang are done together.
             job.tasks().markAllDone();
         } else {
             job.tasks().markDone(attempt.taskIndex());
@@ -235,7 +235,7 @@
                 job.failures().failedMachineCount());
         if (job.isSuspectedFaulty() && !wasSuspectedFaulty) {
             LOG.warn(
-                    "job fails on every machine, limiting it to one task or gang at a time: job={}",
+                    "job suspected faulty, limiting it to one task or gang at a time: job={}",
                     job.spec().id());
         }
         drainIfFaulty(machine, nowSeconds);
--- a/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
@@ -120,7 +120,7 @@
     }
 
     /**
-     * While the state store is unreachable, a stream reports that it is not current. Afterwards it
+     * While the state store is unavailable, a stream reports that it is not current. Afterwards it
      * sends the events of the outage, and then reports that it is current.
      */
     @Test
@@ -136,10 +136,10 @@
                                     ? "" + message.getState().getCurrent()
                                     : RecordedEvents.typeOf(message));
                     if (message.getEvent().hasAccepted()) {
-                        stateStore.setUnreachable(true);
+                        stateStore.setUnavailableWithWatches(true);
                     } else if (message.hasState() && !message.getState().getCurrent()) {
                         storeJobEnd();
-                        stateStore.setUnreachable(false);
+                        stateStore.setUnavailableWithWatches(false);
                     }
                     return !(message.hasState() && message.getState().getCurrent());
                 });
--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -13,9 +13,9 @@
 /**
  * Guards against tasks of a cancelled job that continue to run because the leader cannot read the
  * cancellation. The state store refuses only the leader's requests, another controller acknowledges
- * a cancellation to a user, and then the state store is down for longer than the cancellation
- * timeout. The simulation checks that the task has stopped in time; these tests check the other
- * effects.
+ * a cancellation to a user, and then the state store is unavailable for longer than the
+ * cancellation timeout. The simulation checks that the task has stopped in time; these tests check
+ * the other effects.
  */
 class CancellationWatermarkTest {
     private static final double LONG_OUTAGE_SECONDS = 70;
@@ -33,9 +33,9 @@
     }
 
     private static void passOutage(DelegationSimulation simulation) {
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(LONG_OUTAGE_SECONDS);
-        simulation.setStoreDown(false);
+        simulation.setStoreUnavailable(false);
         simulation.setLeaderRefusedByStore(false);
         simulation.advance(30);
     }
@@ -57,7 +57,7 @@
 
     /**
      * The job is cancelled shortly before, at or after the time from which the state store refuses
-     * the leader. A second later the state store is down for all controllers.
+     * the leader. A second later the state store is unavailable.
      */
     @Test
     void cancelledJobStopsWhenTheLeaderIsRefusedAtThatMoment() {
@@ -112,7 +112,7 @@
     void acknowledgedByAQueryInTheOutage() {
         DelegationSimulation simulation = withLeaderRefused();
         simulation.cancel(2, false);
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(30);
         simulation.query(2);
         simulation.advance(LONG_OUTAGE_SECONDS);
@@ -147,7 +147,7 @@
         DelegationSimulation simulation = withLeaderRefused();
         simulation.cancel(2, true);
         simulation.setOneWayBlocked(2, 0, true);
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(40);
         simulation.setOneWayBlocked(2, 0, false);
         simulation.advance(30);
@@ -197,14 +197,14 @@
         DelegationSimulation simulation = withLeaderRefused();
         simulation.cancel(2, true);
         simulation.crash(2, 0.1);
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(15);
-        simulation.setStoreDown(false);
+        simulation.setStoreUnavailable(false);
         for (int i = 0; i < 20; i++) {
             simulation.advance(0.5);
             simulation.failOver(1);
         }
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(LONG_OUTAGE_SECONDS);
         assertEquals(2, simulation.term());
         assertFalse(simulation.isTaskRunning());
@@ -218,7 +218,7 @@
     void noLeaseExpiresInALongOutage() {
         DelegationSimulation simulation = new DelegationSimulation(true, true);
         simulation.advance(10);
-        simulation.setStoreDown(true);
+        simulation.setStoreUnavailable(true);
         simulation.advance(300);
         assertEquals(0, simulation.withheldRenewals());
         assertEquals(0, simulation.expiredLeases());
--- a/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
+++ b/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
@@ -45,7 +45,7 @@
     private long revision = 10;
     private Key leader;
     private Key term;
-    private boolean down;
+    private boolean unavailable;
     private int delayedTransactionsPerTen;
     private int lostResponsesPerTen;
 
@@ -60,16 +60,16 @@
         this.onKeysChanged = onKeysChanged;
     }
 
-    boolean isDown() {
-        return down;
+    boolean isUnavailable() {
+        return unavailable;
     }
 
     /** Starts or ends an outage. When it ends, each lease gets its full duration again. */
-    void setDown(boolean down) {
-        if (this.down && !down) {
+    void setUnavailable(boolean unavailable) {
+        if (this.unavailable && !unavailable) {
             leaseExpiries.replaceAll((leaseId, expiry) -> timeline.nowSeconds() + LEASE_SECONDS);
         }
-        this.down = down;
+        this.unavailable = unavailable;
     }
 
     void setDelayedTransactions(int perTen) {
@@ -122,7 +122,7 @@
      * an outage.
      */
     void expireLeases(double stepSeconds) {
-        if (down) {
+        if (unavailable) {
             return;
         }
         for (Map.Entry<Long, Double> lease : List.copyOf(leaseExpiries.entrySet())) {
@@ -134,9 +134,9 @@
 
     /**
      * Runs the transaction that acquires the leader key for the term after {@code lastTerm}. It is
-     * refused if the lease has expired, whether or not its conditions hold.
+     * rejected if the lease has expired, whether or not its conditions hold.
      *
-     * @return the revision of the transaction; 0 if it was refused
+     * @return the revision of the transaction; 0 if it was rejected
      */
     long acquire(String controller, long leaseId, long lastTerm, long termVersion) {
         if (!leaseExpiries.containsKey(leaseId)
--- a/src/test/java/io/kelphoist/failover/ElectedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ElectedLeadership.java
@@ -58,7 +58,7 @@
     }
 
     @Override
-    boolean isFrontEndRefusedByStore(int frontEnd) {
+    boolean isAdmissionRefusedByStore(int frontEnd) {
         return elections.isRefusedByStore(ElectionSimulation.NAMES.get(frontEnd));
     }
 
@@ -98,8 +98,8 @@
     }
 
     @Override
-    void setStateStoreDown(boolean down) {
-        elections.setStoreDown(down);
+    void setStateStoreUnavailable(boolean down) {
+        elections.setStoreUnavailable(down);
     }
 
     @Override
--- a/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
@@ -103,8 +103,8 @@
 
     /**
      * The leader changes ten times within two minutes; in two further rounds the state store is
-     * down, so that no new leader can be elected. Jobs are cancelled immediately before each change
-     * and cancelled and queried after it, and copies of heartbeats are delivered to the next
+     * unavailable, so that no new leader can be elected. Jobs are cancelled immediately before each
+     * change and cancelled and queried after it, and copies of heartbeats are delivered to the next
      * leader.
      */
     @ParameterizedTest
@@ -114,7 +114,7 @@
         simulation.setKeepHeartbeatsForNextLeader(true);
         simulation.advance(6, 0);
         for (int i = 0; i < 12; i++) {
-            simulation.setStateStoreDown(i % 6 == 3);
+            simulation.setStateStoreUnavailable(i % 6 == 3);
             simulation.setLostResponses(i % 3);
             simulation.setPartitioned(i, i % 2 == 0);
             simulation.setOutboundBlocked(i + 2, i % 2 == 1);
--- a/src/test/java/io/kelphoist/failover/FailoverSteps.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSteps.java
@@ -18,7 +18,7 @@
         int argument = step / KINDS;
         int kind = step % KINDS;
         if (kind <= 12) {
-            applyLeaderOrTaskEvent(simulation, kind, argument);
+            applyLeaderOrMachineEvent(simulation, kind, argument);
         } else if (kind <= 18) {
             applyStoreOrWorkerFault(simulation, kind, argument);
         } else {
@@ -29,7 +29,7 @@
         simulation.replicateMachines();
     }
 
-    private static void applyLeaderOrTaskEvent(
+    private static void applyLeaderOrMachineEvent(
             FailoverSimulation simulation, int kind, int argument) {
         switch (kind) {
             case 0 -> simulation.failOver(Leadership.Handover.NOTHING);
@@ -51,7 +51,7 @@
             case 14 -> simulation.setInboundBlocked(argument, false);
             case 15 -> simulation.restartWorker(argument);
             case 16 -> simulation.setDelayedTransactions(argument % 8);
-            case 17 -> simulation.setStateStoreDown(argument % 2 == 0);
+            case 17 -> simulation.setStateStoreUnavailable(argument % 2 == 0);
             case 18 -> simulation.setLeaderRefusedByStore(argument % 3 > 0);
             default -> throw new IllegalArgumentException("kind " + kind);
         }
--- a/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ScriptedLeadership.java
@@ -25,17 +25,17 @@
         return leaderRefused && isLeading(leader);
     }
 
-    /** The first front end runs in the leader's process. */
+    /** The admission of the first controller runs in the leader's process. */
     @Override
-    boolean isFrontEndRefusedByStore(int frontEnd) {
-        return leaderRefused && frontEnd == 0;
+    boolean isAdmissionRefusedByStore(int controller) {
+        return leaderRefused && controller == 0;
     }
 
     @Override
     void failOver(Handover handover) {
         setHandover(handover);
         SimulatedStateStore stateStore = dependencies().stateStore();
-        if (stateStore.store().faults().isDown()) {
+        if (stateStore.store().faults().isUnavailable()) {
             // No controller can acquire the leader key during an outage of the state store.
             return;
         }
@@ -60,7 +60,7 @@
     void setLinkBlocked(int from, int to, boolean blocked) {}
 
     @Override
-    void setStateStoreDown(boolean down) {}
+    void setStateStoreUnavailable(boolean unavailable) {}
 
     @Override
     void setLostResponses(int perTen) {}
--- a/src/test/java/io/kelphoist/failover/SimulationChecker.java
+++ b/src/test/java/io/kelphoist/failover/SimulationChecker.java
@@ -166,7 +166,7 @@
             return;
         }
         for (int taskIndex = 0; taskIndex < before.spec().tasks(); taskIndex++) {
-            if (!tasks.isFinished(SimulatedTasks.taskName(stored.id(), taskIndex))) {
+            if (!tasks.isDone(SimulatedTasks.taskName(stored.id(), taskIndex))) {
                 throw new AssertionError(
                         "job is recorded as done before all its tasks have finished: job="
                                 + stored.id()
@@ -291,7 +291,7 @@
     private int countUnfinishedTasks(JobRecord job, int running) {
         int unfinished = 0;
         for (int taskIndex = 0; taskIndex < job.spec().tasks(); taskIndex++) {
-            unfinished += tasks.isFinished(SimulatedTasks.taskName(job.id(), taskIndex)) ? 0 : 1;
+            unfinished += tasks.isDone(SimulatedTasks.taskName(job.id(), taskIndex)) ? 0 : 1;
         }
         if (unfinished == 0 && running < context.size().taskLimit() - 1) {
             throw new AssertionError(
