--- a/src/main/java/io/kelphoist/leadership/GrantExchange.java
+++ b/src/main/java/io/kelphoist/leadership/GrantExchange.java
@@ -108,7 +108,7 @@
 
     /** Responds to a leader's grant request, and applies the state that it contains. */
     public GrantResponse onGrantRequest(GrantRequest request) {
-        elector.onGrantRequest(request);
+        elector.recordLeaderContact(request);
         boolean granted =
                 request.termIsInteger()
                         && elector.election()
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -230,7 +230,7 @@
         }
 
         @Override
-        public void onHeldByOther(LeaderRecord leader) {
+        public void onLeaderKeyHeld(LeaderRecord leader) {
             election.onLeaderKeyRead(
                     leader.controllerName(), leader.term(), NO_LAST_TERM, eventLoop.nowSeconds());
         }
@@ -340,7 +340,7 @@
     // ---- messages of other controllers ----
 
     /** A leader requested a grant. Called before the election decides whether to give it. */
-    void onGrantRequest(GrantRequest request) {
+    void recordLeaderContact(GrantRequest request) {
         recordStateStoreReachability(request.stateStoreReachable());
         peerConnectivity.onGrantRequest(request.sender());
     }
--- a/src/main/java/io/kelphoist/leadership/LeaderTermLifecycle.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTermLifecycle.java
@@ -90,7 +90,8 @@
      */
     public Optional<HeartbeatResponse> respondToHeartbeat(
             Heartbeat heartbeat, String relayAddress) {
-        if (!election.isLeader(context.nowSeconds()) || !context.renewalGate().isRenewalAllowed()) {
+        if (!election.isLeader(context.nowSeconds())
+                || !context.renewalGate().checkRenewalAllowed()) {
             return Optional.empty();
         }
         return current.isPresent()
--- a/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
@@ -33,7 +33,7 @@
          * The leader key exists already. It names another controller, or this one if it is still
          * attached to the lease of an earlier attempt or process. Followed by {@link #onFailed}.
          */
-        void onHeldByOther(LeaderRecord leader);
+        void onLeaderKeyHeld(LeaderRecord leader);
 
         /**
          * The attempt has failed. If it received a lease, the revocation of that lease has been
@@ -100,7 +100,7 @@
                     }
                     LeadershipKeys keys = LeadershipKeys.of(snapshot.get());
                     if (keys.leader().isPresent()) {
-                        listener.onHeldByOther(keys.leader().get());
+                        listener.onLeaderKeyHeld(keys.leader().get());
                         abandon(leaseId);
                         return;
                     }
--- a/src/main/java/io/kelphoist/leadership/RenewalGate.java
+++ b/src/main/java/io/kelphoist/leadership/RenewalGate.java
@@ -46,7 +46,7 @@
     }
 
     /** Whether the leader may renew a lease or start a task at this moment. */
-    public boolean isRenewalAllowed() {
+    public boolean checkRenewalAllowed() {
         double nowSeconds = loop.nowSeconds();
         double watermarkSeconds = cancellationWatermarkSeconds.getAsDouble();
         boolean isAllowed = timing.allowsRenewal(watermarkSeconds, nowSeconds);
@@ -66,10 +66,10 @@
 
     /**
      * Returns those of the commands that may be sent to a worker at this moment: task starts only
-     * while {@link #isRenewalAllowed}, all other commands always.
+     * while {@link #checkRenewalAllowed}, all other commands always.
      */
     List<WorkerCommand> permittedCommands(List<WorkerCommand> commands) {
-        return isRenewalAllowed()
+        return checkRenewalAllowed()
                 ? commands
                 : commands.stream()
                         .filter(command -> !(command instanceof WorkerCommand.Start))
--- a/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
@@ -130,7 +130,8 @@
             exchangeGrant("p", firstPeer, 0.1);
             exchangeGrant("q", secondPeer, 0.2);
             nowSeconds += 0.1;
-            assertTrue(gate.isRenewalAllowed(), "renewals must be allowed with current statements");
+            assertTrue(
+                    gate.checkRenewalAllowed(), "renewals must be allowed with current statements");
         }
         assertEquals(List.of("job-4", "job-1", "job-2"), appliedCancellations);
         assertEquals(0, firstPeer.unacknowledgedCount());
@@ -151,14 +152,15 @@
         assertEquals(100, initialWatermarkSeconds, 1e-9);
         nowSeconds = initialWatermarkSeconds + 19.3;
         exchangeGrant("q", secondPeer, 0);
-        assertTrue(gate.isRenewalAllowed(), "renewals must be allowed within the window");
+        assertTrue(gate.checkRenewalAllowed(), "renewals must be allowed within the window");
         nowSeconds = initialWatermarkSeconds + 19.5;
         exchangeGrant("q", secondPeer, 0);
-        assertFalse(gate.isRenewalAllowed(), "renewals must be blocked after the window");
+        assertFalse(gate.checkRenewalAllowed(), "renewals must be blocked after the window");
         assertEquals(List.of(COMMANDS.get(1)), gate.permittedCommands(COMMANDS));
         assertTrue(counters.withheldResponses() > 0, "withheld responses must be counted");
         jobsCurrentAsOfSeconds = nowSeconds - 1;
-        assertTrue(gate.isRenewalAllowed(), "renewals must be allowed after the records are read");
+        assertTrue(
+                gate.checkRenewalAllowed(), "renewals must be allowed after the records are read");
     }
 
     /**
