--- a/src/main/java/io/kelphoist/leadership/CancellationReplication.java
+++ b/src/main/java/io/kelphoist/leadership/CancellationReplication.java
@@ -112,8 +112,9 @@
     }
 
     /**
-     * Returns, for a grant request to a peer, up to where its confirmed cancellations have been
-     * received; empty while no term with loaded records is led here.
+     * Returns, for a grant request to a peer, up to which sequence number the cancellations that
+     * the peer has confirmed have been received; empty while no term with loaded records is led
+     * here.
      */
     Optional<Acknowledgement> acknowledgementFor(String peer) {
         return loadedTerm.map(
@@ -126,7 +127,7 @@
     /**
      * Applies the cancellations that a peer states in its response to a grant request.
      *
-     * @param sentAtSeconds when the request was sent
+     * @param sentAtSeconds when the request was sent, on the loop's clock
      */
     void onGrantResponse(String peer, GrantResponse response, double sentAtSeconds) {
         if (loadedTerm.isEmpty()) {
@@ -146,8 +147,10 @@
 
     /**
      * The watermark: every cancellation that any controller confirmed to a user before this moment,
-     * on the loop's clock, has been received here. While a term with loaded records is led here, it
-     * has also been applied to the scheduler. Otherwise it was received with the records of jobs.
+     * on the loop's clock, has been received here. While a term with loaded records is led here,
+     * these cancellations have also been applied to the scheduler. While none is, the watermark is
+     * the moment up to which all stored changes of jobs have been applied to the replica; negative
+     * infinity before the first read of the jobs.
      */
     public double watermarkSeconds() {
         if (loadedTerm.isEmpty()) {
@@ -163,7 +166,8 @@
 
     /**
      * Returns, for the response to a leader's grant request, the statement of the cancellations
-     * that this controller has confirmed and that leader has not acknowledged.
+     * that this controller has confirmed and that leader has not acknowledged; absent if the
+     * request has no acknowledgement, or if this controller has seen a newer term.
      */
     CancellationReport onGrantRequest(GrantRequest request) {
         return request.state()
--- a/src/main/java/io/kelphoist/leadership/CloudGateway.java
+++ b/src/main/java/io/kelphoist/leadership/CloudGateway.java
@@ -34,7 +34,7 @@
 
     /**
      * The next instance list is requested only after the time in which the cloud allows this many
-     * requests, so that a list of one page takes at most one of them.
+     * requests, so that instance lists of one page use at most half of the allowed requests.
      */
     private static final double REQUESTS_PER_LIST_INTERVAL = 2;
 
@@ -95,7 +95,7 @@
 
     /**
      * Reads the machine types that a leader stored, and retries until this controller has machine
-     * types.
+     * types from the state store or from the cloud.
      */
     public void readStoredTypes() {
         if (!machineTypes.isEmpty()) {
@@ -111,8 +111,8 @@
     }
 
     /**
-     * Applies the stored machine types, unless this controller has machine types already; returns
-     * false if they could not be read.
+     * Applies the stored machine types, unless this controller has machine types already. Returns
+     * false if none are stored, the read failed or the record is malformed.
      */
     private boolean applyStoredTypes(StateStoreResult<StoredRecord> result) {
         if (result instanceof StateStoreResult.Success<StoredRecord> found) {
@@ -128,7 +128,10 @@
         return false;
     }
 
-    /** Requests the machine types from the cloud, unless such a request is pending. */
+    /**
+     * Requests the machine types from the cloud, unless such a request is pending. They are stored
+     * if a term is led here and the names of the types have changed.
+     */
     void fetchMachineTypes() {
         if (typesRequestPending) {
             return;
@@ -149,12 +152,12 @@
             return;
         }
         typesFetchedAtSeconds = eventLoop.nowSeconds();
-        boolean changed =
+        boolean namesChanged =
                 machineTypes.isEmpty() || !typeNames(machineTypes).equals(typeNames(fetched));
         machineTypes = fetched;
         if (currentTerm.isPresent()) {
             currentTerm.get().scheduler.addMachineTypes(fetched);
-            if (changed) {
+            if (namesChanged) {
                 currentTerm.get().store.storeMachineTypes(fetched);
             }
         }
@@ -166,7 +169,11 @@
 
     // ---- instances ----
 
-    /** Requests the list of instances and the machine types, each if it is due. */
+    /**
+     * Requests the list of instances and the machine types, each if it is due: the list an interval
+     * after the previous request for it ended, the types an interval after they were received, or
+     * sooner after a failed request.
+     */
     public void poll(double nowSeconds) {
         if (!listRequestPending && nowSeconds >= nextListAtSeconds) {
             listInstances();
@@ -194,10 +201,11 @@
     }
 
     /**
-     * Requests machines from the cloud. The response goes to the scheduler of the current term.
+     * Requests machines from the cloud. The result goes to the scheduler of the term that requested
+     * them, if that term is still led here.
      *
      * @param isStillLeader evaluated when the request is sent, which may be later; if false, the
-     *     request is not sent
+     *     request is not sent, and its result is unknown
      */
     void scaleOut(ScaleOutRequest request, BooleanSupplier isStillLeader) {
         Optional<CurrentTerm> requestingTerm = currentTerm;
@@ -216,8 +224,8 @@
     }
 
     /**
-     * Requests that the cloud terminate machines. The outcome goes to the scheduler of the current
-     * term.
+     * Requests that the cloud terminate machines. The outcome goes to the scheduler of the term
+     * that requested it, if that term is still led here.
      */
     void scaleIn(List<String> machines) {
         Optional<CurrentTerm> requestingTerm = currentTerm;
--- a/src/main/java/io/kelphoist/leadership/GrantExchange.java
+++ b/src/main/java/io/kelphoist/leadership/GrantExchange.java
@@ -16,14 +16,17 @@
 
 /**
  * Builds and processes the contents of the messages with which a leader requests grants and hands
- * over, on the leader and on the followers. The election sends these messages in any case, so the
- * leader also uses them to replicate its state to its followers. Runs on the event loop.
+ * over, on the leader and on the followers. A grant is a controller's promise to a leader not to
+ * lead itself for a while, see {@link io.kelphoist.election.Election}. The election sends these
+ * messages in any case, so the leader also uses them to replicate its state to its followers. Runs
+ * on the event loop.
  */
 public final class GrantExchange implements LeaderElector.GrantMessages {
     /**
-     * The replica of the records is not considered current if for this long no read or watch
-     * request of it has succeeded. This is longer than the 4 seconds for which the state store may
-     * hold a watch request of a follower while nothing changes.
+     * The replica of the records is not considered current if for this long none of its read and
+     * watch requests has succeeded; one successful request for any kind of record is enough. This
+     * is longer than the state store may hold any of these watch requests while nothing changes: 1
+     * second for jobs, 4 seconds for the other kinds.
      */
     private static final double MAX_REPLICA_LAG_SECONDS = 5;
 
@@ -67,8 +70,8 @@
     private Optional<DelegationOffer> delegationOfferTo(
             String peer, SchedulerState schedulerState) {
         // The next leader assumes that every delegation of this term was offered before its own
-        // term began. So none may be offered once neither the leader lease nor the grants of
-        // all other controllers are valid.
+        // term began. So none may be offered while neither the leader lease of this controller is
+        // valid nor the grants of all other controllers are.
         return elector.election().isLeader(eventLoop.nowSeconds())
                 ? replication
                         .leaseDelegation()
@@ -113,6 +116,8 @@
                 request.termIsInteger()
                         && elector.election()
                                 .onGrantRequested(request.term(), eventLoop.nowSeconds());
+        // While a term is led here, this controller counts the tasks itself, and another leader's
+        // counts must not replace its own. The other handlers check the request's term themselves.
         if (terms.current().isEmpty()) {
             replication.taskCounts().onGrantRequest(request);
         }
@@ -129,7 +134,10 @@
                 cancellations);
     }
 
-    /** Another leader handed over: applies its last state, and reports the end of its term. */
+    /**
+     * Another leader handed over: applies its last changes of machine state, and reports the end of
+     * its term to the election.
+     */
     public void onPeerTermEnded(HandoverMessage handover) {
         replication.machineStates().onPeerTermEnded(handover);
         elector.onPeerTermEnded(handover);
--- a/src/main/java/io/kelphoist/leadership/LeaderElector.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderElector.java
@@ -67,14 +67,15 @@
         void onGrantResponse(String peer, GrantResponse response, double sentAtSeconds);
 
         /**
-         * Returns the last changes of machine state in the ended term, for the handover message to
-         * a peer; empty if machine state is not replicated.
+         * Returns the last changes of machine state in the ended term that a peer has not
+         * acknowledged, for the handover message to it; empty if machine state is not replicated.
          */
         Optional<MachineStateUpdate> handoverUpdate(String peer);
 
         /**
-         * The controller whose replica of the leader's state is most current, which should lead
-         * next; empty if no other controller has acknowledged any state.
+         * Returns the controller whose replica of the leader's machine state is most current, which
+         * should lead next. Called before the term ends. Empty if no other controller has
+         * acknowledged any machine state in this term.
          */
         Optional<String> preferredSuccessor();
 
@@ -88,8 +89,8 @@
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     /**
-     * After this long without a grant request or a change of the leader the keys are read at an
-     * interval, because the watch may report changes late.
+     * After this long without a grant request or a change of the leader, a follower reads the
+     * leadership keys at an interval, because the watch may report changes late.
      */
     private static final double LEADER_SILENCE_SECONDS = 1.0;
 
@@ -105,8 +106,8 @@
     private static final double READ_AFTER_RELEASE_SECONDS = 0.3;
 
     /**
-     * An acquisition that finds the leader key held reports the leader key only, not the term key
-     * that follows it: the election is then given no last term.
+     * Passed to the election as the last term if an acquisition finds the leader key held: the
+     * acquisition then reports the leader key only, not the term key.
      */
     private static final long NO_LAST_TERM = 0;
 
@@ -121,10 +122,10 @@
     private TermListener termListener;
     private GrantMessages grantMessages;
 
-    /** Version of the term key in the last term that started here. */
+    /** Version of the term key in the last term that this controller acquired; 0 if none. */
     private long termVersion;
 
-    /** The controller that should lead after the last term that ended here. */
+    /** The controller that should lead after the last term that ended here; empty if none. */
     private Optional<String> preferredSuccessor = Optional.empty();
 
     private double nextStateStoreProbeAtSeconds;
@@ -159,7 +160,7 @@
                 new PeerConnectivity(grantClient.peerNames(), this::probe, stateClient, eventLoop);
     }
 
-    /** Starts following the leadership keys. Called once. */
+    /** Starts following the leadership keys. Called once, before the first {@link #tick}. */
     public void start(TermListener termListener, GrantMessages grantMessages) {
         this.termListener = termListener;
         this.grantMessages = grantMessages;
@@ -191,8 +192,9 @@
     // ---- leadership keys ----
 
     /**
-     * While the leader is silent, reads the keys at an interval: it then matters whether this
-     * controller can reach the state store, and the watch alone would detect that seconds later.
+     * While the leader is silent, a follower reads the leadership keys at an interval: it then
+     * matters whether this controller can reach the state store, and the watch alone would show
+     * that seconds later.
      */
     private void probeStateStore(double nowSeconds) {
         if (election.state() == Election.State.FOLLOWER
@@ -205,8 +207,8 @@
 
     /**
      * Whether the leadership keys were read recently: within two probe intervals and some time for
-     * the response. Meaningful only while the leader is silent, because only then are they read at
-     * that interval.
+     * the response. Meaningful only on a follower whose leader is silent, because only then are
+     * they read at that interval.
      */
     public boolean hasReadKeysRecently(double nowSeconds) {
         return keyWatcher.hasReadWithin(RECENT_READ_SECONDS, nowSeconds);
@@ -339,7 +341,10 @@
 
     // ---- messages of other controllers ----
 
-    /** A leader requested a grant. Called before the election decides whether to give it. */
+    /**
+     * Records that a leader requested a grant, and whether it reaches the state store. Called
+     * before {@link Election#onGrantRequested} decides whether the grant is given.
+     */
     void recordLeaderContact(GrantRequest request) {
         recordStateStoreReachability(request.stateStoreReachable());
         peerConnectivity.onGrantRequest(request.sender());
--- a/src/main/java/io/kelphoist/leadership/LeaderTerm.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTerm.java
@@ -91,7 +91,7 @@
         return schedulerState;
     }
 
-    /** The store that loads and writes the records of this term. */
+    /** Loads and writes records in the state store for this term. */
     public TermRecordStore store() {
         return store;
     }
@@ -107,9 +107,8 @@
     // ---- promotion ----
 
     /**
-     * Verifies that the replicated records are current, or reads them again, and then loads them
-     * into the scheduler. Called when the term starts, and again if the records that were verified
-     * turn out to be older than the term.
+     * Brings the replicated records up to date and then loads them into the scheduler. Called when
+     * the term starts, and again if the replicated records are even then older than the term.
      */
     void start() {
         replication.records().verifyCurrent(this::onRecordsVerified);
@@ -157,8 +156,14 @@
      * cancellation as newer than any record of the job that it has.
      */
     private void onCancellationConfirmed(String jobId) {
-        JobRecord cancelled = new JobRecord(jobId, null, JobStatus.CANCELLED, 0, Long.MAX_VALUE);
-        schedulerState.onJobRecord(cancelled, 0, context.nowSeconds());
+        JobRecord cancelled =
+                new JobRecord(
+                        jobId,
+                        /* spec= */ null,
+                        JobStatus.CANCELLED,
+                        /* timestampMillis= */ 0,
+                        /* version= */ Long.MAX_VALUE);
+        schedulerState.onJobRecord(cancelled, /* ageSeconds= */ 0, context.nowSeconds());
         context.requestTick().run();
     }
 
@@ -210,8 +215,10 @@
      * Responds to a heartbeat before the records are loaded: renews the worker's lease without
      * applying the heartbeat; a later heartbeat reports the worker's state again. A worker that
      * runs a task of a job that is cancelled according to the replica gets no renewal, because no
-     * command can stop the task yet, and loading may take longer than a cancelled task may run.
+     * command can stop the task yet, and loading may take longer than a cancelled task may run. A
+     * worker that has seen a newer term gets none either.
      *
+     * @param term the term that is led here
      * @return the response; empty if the lease must not be renewed
      */
     static Optional<HeartbeatResponse> renewLeaseOnly(
@@ -224,10 +231,10 @@
     }
 
     /**
-     * Hands over the leadership if this controller is isolated from the workers: no heartbeat has
-     * arrived directly from any worker for several intervals, although enough machines are up or
-     * draining. Does nothing shortly after the start of the term, or if there are no other
-     * controllers.
+     * Hands over the leadership if this controller is isolated from the workers: for several
+     * heartbeat intervals no heartbeat has arrived directly from any worker, although enough
+     * machines are up or draining. Does nothing if there are no other controllers, or until those
+     * intervals and the duration of a worker lease have passed since the start of the term.
      */
     public void resignIfIsolated(double nowSeconds) {
         PlatformSettings settings = context.settings();
--- a/src/main/java/io/kelphoist/leadership/LeaderTermLifecycle.java
+++ b/src/main/java/io/kelphoist/leadership/LeaderTermLifecycle.java
@@ -36,19 +36,21 @@
         this.factory = factory;
     }
 
-    /** The term that is led here; empty if none has started. */
+    /** The term that is led here; empty if none is, or if it has not started yet. */
     public Optional<LeaderTerm> current() {
         return current;
     }
 
-    /** The term that is led here; empty if none has started or its records are not loaded. */
+    /** The term that is led here; empty if none is, or if its records are not loaded yet. */
     public Optional<LeaderTerm> loaded() {
         return current.isPresent() && current.get().isLoaded() ? current : Optional.empty();
     }
 
     /**
-     * Starts a term, at once or as soon as the machine types have been read. The first leader of a
-     * deployment finds no types in the state store, and requests them from the cloud.
+     * Starts a term, at once or as soon as the machine types have been read, which {@link
+     * CloudGateway#readStoredTypes} does. The first leader of a deployment finds no types in the
+     * state store, and requests them from the cloud. Has no effect once this controller no longer
+     * leads the term.
      *
      * @param termVersion version of the term key: the revision at which the term was stored
      */
--- a/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
@@ -43,7 +43,12 @@
         void onFailed();
     }
 
-    /** An attempt whose lease has been created. */
+    /**
+     * An attempt whose lease has been created.
+     *
+     * @param term the term that starts if the attempt succeeds
+     * @param sentAtSeconds when the lease was requested
+     */
     private record Attempt(long term, long leaseId, double sentAtSeconds) {}
 
     private static final Logger LOG = LoggerFactory.getLogger(LeadershipAcquisition.class);
@@ -131,7 +136,11 @@
                 });
     }
 
-    /** After an unknown outcome, reads the leader key to determine whether it was written. */
+    /**
+     * After an unknown outcome, reads the leader key to determine whether it was written. If the
+     * key cannot be read, the attempt fails; the state store deletes a key that was written
+     * together with the lease, whose revocation is requested.
+     */
     private void confirm(Attempt attempt) {
         stateClient.get(
                 StateStoreKeys.LEADER,
@@ -169,15 +178,17 @@
     /**
      * Revokes the leader lease of a previous process of this controller, if the leader key names
      * this controller and this process has never attempted to acquire the leadership. That process
-     * has ended, so no controller needs to wait for its lease to expire. Done at most once.
+     * has ended, so no controller needs to wait for its lease to expire. Done at most once, even if
+     * a request fails; the lease then expires.
      *
-     * @param onRevocationEnded runs when the request to revoke the lease has ended in any way
+     * @param onRevocationEnded runs when the request to revoke the lease has ended in any way; does
+     *     not run if none is sent
      */
     void revokePreviousLease(LeadershipKeys keys, Runnable onRevocationEnded) {
-        boolean isHeldByThisNode =
+        boolean isHeldByThisController =
                 keys.leader().isPresent()
                         && keys.leader().get().controllerName().equals(controllerName);
-        if (hasAttempted || previousLeaseHandled || !isHeldByThisNode) {
+        if (hasAttempted || previousLeaseHandled || !isHeldByThisController) {
             return;
         }
         previousLeaseHandled = true;
--- a/src/main/java/io/kelphoist/leadership/LeadershipKeyWatcher.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipKeyWatcher.java
@@ -16,7 +16,9 @@
  * loop.
  */
 final class LeadershipKeyWatcher {
+    /** How long the state store may hold a watch request while nothing changes. */
     private static final int WATCH_HOLD_MILLIS = 8000;
+
     private static final double RETRY_SECONDS = 0.25;
     private static final long NO_WATCH_REVISION = -1;
     private static final long NO_KEYS_REVISION = -1;
@@ -51,7 +53,7 @@
 
     /**
      * Reads the keys, and retries until that succeeds. A successful read starts the watch if it has
-     * no revision to continue from.
+     * no revision to continue from. Has no effect while a read is in flight.
      */
     void read() {
         if (readPending) {
--- a/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
+++ b/src/main/java/io/kelphoist/leadership/LeaseDelegationHandler.java
@@ -40,7 +40,7 @@
     private final double clockErrorMillis;
     private final HeldDelegation heldDelegation;
 
-    /** The delegations given in the term led here; empty while no term is led here. */
+    /** The delegations offered in the term led here; empty while no term is led here. */
     private Optional<LeaseDelegations> delegations = Optional.empty();
 
     private double nextSelfOfferAtSeconds;
@@ -49,8 +49,8 @@
     /**
      * Creates the handler without a delegation.
      *
-     * @param isEnabled whether this controller gives delegations as leader; delegations of earlier
-     *     leaders are taken into account in any case
+     * @param isEnabled whether this controller offers delegations as the leader; it takes those of
+     *     earlier leaders into account in any case
      * @param startedAtSeconds when this process started, on the event loop's clock
      */
     public LeaseDelegationHandler(
@@ -95,7 +95,8 @@
     }
 
     /**
-     * Returns an offer for a grant request to a peer, if one may be given.
+     * Returns the offer to send with a grant request to a peer; empty if no term is led here or the
+     * peer must not receive an offer now.
      *
      * @param schedulerState the scheduler of the term led here, with its records loaded
      * @param cancellationWatermarkSeconds the moment up to which all confirmed cancellations have
@@ -117,7 +118,7 @@
     /**
      * A peer responded to a grant request of the term led here.
      *
-     * @param sentAtSeconds when the request was sent
+     * @param sentAtSeconds when the request was sent, on the event loop's clock
      */
     void onGrantResponse(
             String peer, GrantResponse response, double sentAtSeconds, double nowSeconds) {
@@ -149,7 +150,11 @@
 
     /**
      * Stores the delegation records that the next leader needs and that are due. The outcome of
-     * each write is reported to the delegations of the term that requested it.
+     * each write is reported to the delegations of the term that requested it. Does nothing while
+     * no term is led here.
+     *
+     * @param nowMillis current time of the wall clock, by which the records state the starts of the
+     *     delegations
      */
     public void storeRecords(TermRecordStore store, double nowMillis, double nowSeconds) {
         if (delegations.isEmpty()) {
@@ -166,9 +171,9 @@
     }
 
     /**
-     * Renews the delegation that this leader gives itself, so that it can still renew the leases of
-     * its own zone once neither its leader lease nor the grants of all other controllers are valid.
-     * Called on every tick while one of these is valid.
+     * Renews the delegation that this leader offers to itself, so that it can still renew the
+     * leases of its own zone once neither its leader lease nor the grants of all other controllers
+     * are valid. Called on every tick while one of these is valid; has an effect once per interval.
      *
      * @param cancellationWatermarkSeconds the moment up to which all confirmed cancellations have
      *     been received here
@@ -213,19 +218,20 @@
     }
 
     /**
-     * Renews a worker's lease under the held delegation, if that covers the worker.
+     * Renews a worker's lease under the held delegation, if that allows it now; see {@link
+     * HeldDelegation#allowsRenewal}.
      *
      * @return the fencing token to respond with; empty if the lease must not be renewed here
      */
     public OptionalLong renewLease(Heartbeat heartbeat, double nowSeconds) {
-        boolean isCovered =
+        boolean isAllowed =
                 heldDelegation.allowsRenewal(
                         heartbeat.machineName(),
                         heartbeat.zone(),
                         heartbeat.fencingToken(),
                         nowSeconds);
         logStateChange(heldDelegation.state(nowSeconds));
-        if (!isCovered) {
+        if (!isAllowed) {
             return OptionalLong.empty();
         }
         heldDelegation.onRenewal(nowSeconds);
--- a/src/main/java/io/kelphoist/leadership/MachineStateReplication.java
+++ b/src/main/java/io/kelphoist/leadership/MachineStateReplication.java
@@ -21,7 +21,10 @@
  * event loop.
  */
 public final class MachineStateReplication {
-    /** Followers receive an update with every other grant request. */
+    /**
+     * Minimum time between two updates. At the default duration of a grant, 1.5 seconds, a grant is
+     * requested every 0.375 seconds, and a follower receives an update with every other request.
+     */
     private static final double PUBLISH_INTERVAL_SECONDS = 0.7;
 
     /**
@@ -63,6 +66,7 @@
     }
 
     void onTermEnded(SchedulerState schedulerState) {
+        // Before the failover is complete, the scheduler may lack machines.
         if (publisher.isPresent() && schedulerState.isRecovered()) {
             publisher.get().publish(schedulerState.replicatedMachines());
         }
@@ -72,8 +76,9 @@
     }
 
     /**
-     * Seeds the scheduler of a new term, whose records are loaded, with the replicated machines.
-     * Then clears the replica.
+     * Seeds the scheduler of a new term, whose records are loaded, with the replicated machines,
+     * and then clears the replica. The failover takes these machines for a full list only if the
+     * replica is complete and recent. Does nothing if machine state is not replicated.
      */
     void seedScheduler(SchedulerState schedulerState) {
         if (!enabled) {
@@ -89,8 +94,8 @@
     }
 
     /**
-     * Returns an update for a grant request to a peer, if one is due and the failover of the term
-     * is complete.
+     * Returns the update to send with a grant request to a peer; empty if none is due, the failover
+     * of the term is not complete or machine state is not replicated.
      */
     Optional<MachineStateUpdate> dueUpdate(String peer, SchedulerState schedulerState) {
         if (publisher.isEmpty() || failover.get().state() != Failover.State.ACTIVE) {
@@ -101,8 +106,9 @@
             publisher.get().publish(schedulerState.replicatedMachines());
             lastPublishedAtSeconds = nowSeconds;
         }
-        // The grant requests to the other peers are sent at the same time as this one, those of the
-        // next round more than half an interval later.
+        // All peers get an update in the same round of grant requests, which are sent at the same
+        // time. At the default duration of a grant, the next round is more than half an interval
+        // later and gets none.
         return nowSeconds < lastPublishedAtSeconds + PUBLISH_INTERVAL_SECONDS / 2
                 ? Optional.of(publisher.get().nextUpdate(peer, nowSeconds))
                 : Optional.empty();
@@ -120,14 +126,18 @@
     }
 
     /**
-     * The follower that has acknowledged the newest state of the leader; empty if none has
-     * acknowledged any.
+     * The follower that has acknowledged the newest machine state of the term led here; empty if
+     * none has acknowledged any.
      */
     Optional<String> mostCurrentFollower() {
         return publisher.flatMap(MachineStatePublisher::mostCurrentFollower);
     }
 
-    /** Returns the last changes in the ended term, for the handover message to a peer. */
+    /**
+     * Returns the last changes in the ended term that a peer has not acknowledged, up to the
+     * maximum size of an update, for the handover message to it; empty if machine state is not
+     * replicated.
+     */
     Optional<MachineStateUpdate> handoverUpdate(String peer) {
         return lastTermPublisher.map(last -> last.nextUpdate(peer, eventLoop.nowSeconds()));
     }
@@ -146,7 +156,10 @@
         return replica.isComplete() && replica.lagSeconds(nowSeconds) < MAX_REPLICA_AGE_SECONDS;
     }
 
-    /** Applies the update in a grant request, if there is one, and returns its acknowledgement. */
+    /**
+     * Applies the update in a grant request, and returns the acknowledgement for the response;
+     * empty if the request has no update or machine state is not replicated.
+     */
     Optional<ReplicaStatus> onGrantRequest(GrantRequest request) {
         Optional<MachineStateUpdate> update = request.state().machineStateUpdate();
         if (!enabled || update.isEmpty()) {
@@ -186,8 +199,8 @@
     }
 
     /**
-     * Number of changes that the follower with the greatest lag has not acknowledged; 0 while no
-     * term is led here, and if machine state is not replicated.
+     * How many sequence numbers the follower that is farthest behind has not acknowledged; 0 while
+     * no term is led here, and if machine state is not replicated.
      */
     public long maxFollowerLag() {
         return publisher.isPresent() ? publisher.get().maxLag() : 0;
--- a/src/main/java/io/kelphoist/leadership/PeerConnectivity.java
+++ b/src/main/java/io/kelphoist/leadership/PeerConnectivity.java
@@ -17,7 +17,7 @@
     /** Several times the interval between a leader's grant requests. */
     private static final double LEADER_CONTACT_TIMEOUT_SECONDS = 2.0;
 
-    /** Peers are not probed because of state store failures that have lasted less than this. */
+    /** Peers are probed once requests to the state store have failed for longer than this. */
     private static final double MIN_FAILURE_BEFORE_PROBE_SECONDS = 1;
 
     /**
@@ -76,7 +76,7 @@
         }
     }
 
-    /** A leader requested a grant. */
+    /** A leader requested a grant; {@code requester} is its name. */
     void onGrantRequest(String requester) {
         lastPeerMessageAtSeconds = eventLoop.nowSeconds();
         lastGrantRequester = Optional.of(requester);
@@ -94,8 +94,8 @@
     }
 
     /**
-     * Whether for longer than {@code seconds} no grant request has arrived and the leader has not
-     * changed.
+     * Whether for longer than {@code seconds} no grant request of any controller has arrived and
+     * the leader has not changed.
      */
     boolean isLeaderSilentFor(double seconds, double nowSeconds) {
         return nowSeconds - lastGrantRequestAtSeconds > seconds
@@ -137,8 +137,8 @@
     }
 
     /**
-     * Sends a probe to each peer if requests to the state store fail and no message of any peer has
-     * arrived within the probe interval.
+     * Sends a probe to each peer if requests to the state store have been failing for some time and
+     * neither a probe was sent nor a message of any peer arrived within the probe interval.
      */
     void probeIfDue(double nowSeconds) {
         if (nowSeconds < nextProbeAtSeconds
--- a/src/main/java/io/kelphoist/leadership/RecordReplication.java
+++ b/src/main/java/io/kelphoist/leadership/RecordReplication.java
@@ -31,8 +31,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(RecordReplication.class);
 
     /**
-     * How long the state store holds a watch request for jobs. Short, because each response also
-     * advances the moment up to which a leader has applied all changes of jobs.
+     * How long the state store may hold a watch request for jobs while nothing changes. Short,
+     * because each response also advances the moment up to which all changes of jobs have been
+     * applied.
      */
     private static final int JOBS_WATCH_HOLD_MILLIS = 1000;
 
@@ -84,7 +85,10 @@
                 });
     }
 
-    /** Applies the records of one kind to the replica. */
+    /**
+     * Applies the records of one kind to the replica. A record that is deleted from the state store
+     * remains in the replica until the next snapshot.
+     */
     private final class KindListener implements RecordWatcher.Listener {
         private final RecordKind kind;
 
@@ -124,7 +128,7 @@
         replica.advanceRevision(kind, revision);
         if (kind == RecordKind.JOBS) {
             // The response to a watch request that was held during a verification may arrive after
-            // it, although it was requested earlier.
+            // the verification, although the watch was requested before it.
             jobsCurrentAsOfSeconds = Math.max(jobsCurrentAsOfSeconds, requestedAtSeconds);
             if (leaderStore.isPresent() && hasChanges) {
                 leaderStore.get().requestTick();
@@ -168,7 +172,7 @@
 
     /**
      * Records the version of a malformed page, as an empty page. The next write of the page needs
-     * that version as its condition.
+     * that version as its condition. A malformed job or delegation is skipped.
      */
     private void applyVersionOnly(RecordKind kind, StoredRecord record) {
         try {
@@ -188,8 +192,9 @@
     }
 
     /**
-     * Brings the replica up to date, and calls back when it is current as of a moment after this
-     * call. Stops following the records until {@link #startLeading} or {@link #startFollowing}.
+     * Brings the replica up to date, with retries, and calls back when it is current as of a moment
+     * after this call. Stops following the records until {@link #startLeading} or {@link
+     * #startFollowing}. Does not call back if one of these is called before that.
      */
     void verifyCurrent(Consumer<RecordReplica> onVerified) {
         int[] remainingKinds = {watchers.size()};
@@ -229,7 +234,7 @@
 
     /**
      * The moment, on the event loop's clock, before which all stored changes of jobs have been
-     * applied to the replica.
+     * applied to the replica; negative infinity before the first read.
      */
     public double jobsCurrentAsOfSeconds() {
         return jobsCurrentAsOfSeconds;
--- a/src/main/java/io/kelphoist/leadership/RenewalGate.java
+++ b/src/main/java/io/kelphoist/leadership/RenewalGate.java
@@ -29,7 +29,7 @@
     private boolean isBlocked;
 
     /**
-     * Creates the gate, which is not blocked until the first check.
+     * Creates the gate, which counts as not blocked until the first check.
      *
      * @param cancellationWatermarkSeconds the moment up to which all confirmed cancellations have
      *     been received here, on the loop's clock
@@ -45,7 +45,10 @@
         this.counters = counters;
     }
 
-    /** Whether the leader may renew a lease or start a task at this moment. */
+    /**
+     * Checks whether the leader may renew a lease or start a task at this moment. Counts a withheld
+     * response if not, and logs each change of the result.
+     */
     public boolean checkRenewalAllowed() {
         double nowSeconds = loop.nowSeconds();
         double watermarkSeconds = cancellationWatermarkSeconds.getAsDouble();
@@ -66,7 +69,7 @@
 
     /**
      * Returns those of the commands that may be sent to a worker at this moment: task starts only
-     * while {@link #checkRenewalAllowed}, all other commands always.
+     * if {@link #checkRenewalAllowed} returns true, all other commands always.
      */
     List<WorkerCommand> permittedCommands(List<WorkerCommand> commands) {
         return checkRenewalAllowed()
--- a/src/main/java/io/kelphoist/leadership/TaskCountReplication.java
+++ b/src/main/java/io/kelphoist/leadership/TaskCountReplication.java
@@ -29,13 +29,14 @@
 
     /**
      * Returns the counts of a job as they were last counted here or received from the leader; empty
-     * if those contain no counts of this job.
+     * if those contain no counts of this job, because it has no done or running task or more jobs
+     * have such tasks than are counted.
      */
     public Optional<TaskCounts> countsOf(String jobId) {
         return Optional.ofNullable(countsByJob.get(jobId));
     }
 
-    /** Returns the current counts for a grant request of the leader, if they are due. */
+    /** Counts the tasks for a grant request of the leader; empty if no counts are due. */
     Optional<Map<String, TaskCounts>> dueCounts(
             SchedulerState schedulerState, EventLoop eventLoop) {
         if (eventLoop.nowSeconds() < nextPublishAtSeconds) {
@@ -61,7 +62,9 @@
         countsByJob = newCounts;
     }
 
-    /** Replaces the counts by those in a leader's grant request, if it contains any. */
+    /**
+     * Replaces all counts by those in a leader's grant request. Keeps them if it has no such field.
+     */
     void onGrantRequest(GrantRequest request) {
         request.state().taskCounts().ifPresent(received -> countsByJob = received);
     }
--- a/src/main/java/io/kelphoist/leadership/TermOutput.java
+++ b/src/main/java/io/kelphoist/leadership/TermOutput.java
@@ -50,8 +50,8 @@
     /**
      * The term has ended: no outcomes are reported to the scheduler any more, and a scale-out
      * request that still waits for the cloud's rate limit is not sent. Commands, probes and
-     * scale-in requests do not wait like that: whether this controller is the leader is checked
-     * when the scheduler makes them, and the scheduler of an ended term makes none.
+     * scale-in requests do not wait for a rate limit: whether this controller is the leader is
+     * checked when the scheduler makes them, and the scheduler of an ended term makes none.
      */
     void close() {
         closed = true;
@@ -91,7 +91,7 @@
         // because an output must not call back into the scheduler.
         context.eventLoop()
                 .schedule(
-                        0,
+                        /* delaySeconds= */ 0,
                         () -> {
                             if (!closed) {
                                 schedulerState.onScaleInFailed(context.nowSeconds());
--- a/src/main/java/io/kelphoist/leadership/TermRecordStore.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordStore.java
@@ -39,7 +39,7 @@
     private static final double MILLIS_PER_SECOND = 1000.0;
 
     /** Size assumed for the machine types in a transaction; they take less. */
-    private static final int MAX_MACHINE_TYPES_BYTES = 1000;
+    private static final int ASSUMED_MACHINE_TYPES_BYTES = 1000;
 
     private final StateStoreReader stateReader;
     private final TermRecordWriter writer;
@@ -118,8 +118,8 @@
     }
 
     /**
-     * Reads which images the machines have cached. The term does not wait for them, because they
-     * only improve placement.
+     * Reads which images the machines are expected to have cached, and retries until that succeeds.
+     * The term does not wait for them, because they only improve placement.
      */
     private void loadImageHints() {
         stateReader.readAll(
@@ -147,7 +147,9 @@
         }
     }
 
-    /** Passes a job's record that was read or has changed to the scheduler. */
+    /**
+     * Passes a job's record that was read or has changed to the scheduler, until {@link #close}.
+     */
     public void applyJobRecord(JobRecord record) {
         if (!writer.isClosed()) {
             long ageMillis = wallClockMillis.getAsLong() - record.timestampMillis();
@@ -164,8 +166,9 @@
     }
 
     /**
-     * Reads a job's record, and reports to the scheduler either the record or that none exists.
-     * Reports neither if the read failed or the record is malformed.
+     * Reads a job's record, and reports it to the scheduler. If the state store rejects the read,
+     * because there is no record or for another reason, reports that none was found. Reports
+     * neither if the read failed or the record is malformed.
      */
     public void readJob(String jobId) {
         stateReader.get(
@@ -180,7 +183,10 @@
                 });
     }
 
-    /** Passes a job's record that was read to the scheduler; returns false if none was found. */
+    /**
+     * Passes a job's record that was read to the scheduler, unless it is malformed. Returns false
+     * if the read returned no record.
+     */
     private boolean applyStoredJob(String jobId, StateStoreResult<StoredRecord> result) {
         if (!(result instanceof StateStoreResult.Success<StoredRecord> found)) {
             return false;
@@ -276,7 +282,7 @@
                         endedJob.status(),
                         endedJob.timestampMillis(),
                         revision);
-        schedulerState.onJobRecord(stored, 0, eventLoop.nowSeconds());
+        schedulerState.onJobRecord(stored, /* ageSeconds= */ 0, eventLoop.nowSeconds());
     }
 
     /**
@@ -314,6 +320,6 @@
 
     /** Stores the machine types for the other controllers. */
     public void storeMachineTypes(List<MachineType> types) {
-        writer.overwrite(RecordCodec.encodeMachineTypes(types), MAX_MACHINE_TYPES_BYTES);
+        writer.overwrite(RecordCodec.encodeMachineTypes(types), ASSUMED_MACHINE_TYPES_BYTES);
     }
 }
--- a/src/main/java/io/kelphoist/leadership/TermRecordWriter.java
+++ b/src/main/java/io/kelphoist/leadership/TermRecordWriter.java
@@ -74,10 +74,11 @@
 
     /**
      * Writes a record that only leaders write. After an unknown outcome or a conflict, reads the
-     * record's version before it calls the handler, so that the caller may write the record again
-     * at once.
+     * record's version, with retries, before it calls the handler, so that the caller may write the
+     * record again at once.
      *
      * @param urgency urgent if a user or another operation waits for the outcome
+     * @param handler receives {@link PageWriteOutcome#UNKNOWN} also if the write was not executed
      */
     void writeLeaderRecord(
             RecordMutation mutation,
@@ -103,7 +104,10 @@
                 });
     }
 
-    /** Writes a record that other controllers may write too, if it still has this version. */
+    /**
+     * Writes a record that other controllers may write too, if it still has this version. An
+     * outcome that is unknown or a conflict is reported without reading the record.
+     */
     void writeIfUnchanged(
             RecordMutation mutation,
             long version,
@@ -116,7 +120,12 @@
                 handler);
     }
 
-    /** Writes a record whatever its version, and does not report the outcome. */
+    /**
+     * Writes a record whatever its version, if the term key is unchanged. The outcome is not
+     * reported.
+     *
+     * @param sizeBytes estimated size of the write in a transaction
+     */
     void overwrite(RecordMutation mutation, int sizeBytes) {
         submit(
                 mutation,
--- a/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
+++ b/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
@@ -58,9 +58,9 @@
     }
 
     /**
-     * Sends a status request with the fencing token of this term to a machine, which responds with
-     * a heartbeat. Once it has received that fencing token, the machine refuses the commands of
-     * earlier leaders.
+     * Sends a status request with the fencing token of this term to a machine, whose address must
+     * be known. The machine responds with a heartbeat. Once it has received that fencing token, the
+     * machine refuses the commands of earlier leaders.
      */
     void requestStatus(Machine machine, long agentEpoch) {
         context.counters().onStatusRequested();
@@ -79,8 +79,9 @@
     }
 
     /**
-     * Sends a reachability probe to a machine: a status request whose outcome goes to {@link
-     * SchedulerState#onProbeOutcome}.
+     * Sends a reachability probe to a machine, whose address must be known: a status request whose
+     * outcome goes to {@link SchedulerState#onProbeOutcome}. Sends nothing and reports {@link
+     * DeliveryOutcome#NOT_ATTEMPTED} if this controller is not the leader at the moment.
      */
     void probe(Machine machine) {
         if (!election.isLeader(context.nowSeconds())) {
@@ -96,9 +97,10 @@
     }
 
     /**
-     * Sends commands to a machine, except task starts while these are withheld. Sends nothing if no
-     * command is left, if this controller is not the leader at the moment, or if the machine's
-     * address is unknown. Commands that are not sent go with the next heartbeat response.
+     * Sends commands to a machine, except task starts while {@link RenewalGate} withholds them.
+     * Sends nothing and reports {@link DeliveryOutcome#NOT_ATTEMPTED} if no command is left, if
+     * this controller is not the leader at the moment, or if the machine's address is unknown.
+     * Commands that are not sent go with the next heartbeat response.
      */
     void sendCommands(Machine machine, long agentEpoch, List<WorkerCommand> commands) {
         List<WorkerCommand> permitted = context.renewalGate().permittedCommands(commands);
@@ -132,7 +134,7 @@
 
     /** Reports an outcome in a separate event, never from within the call that caused it. */
     private void reportLater(Runnable report) {
-        context.eventLoop().schedule(0, report);
+        context.eventLoop().schedule(/* delaySeconds= */ 0, report);
     }
 
     /**
--- a/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/CancellationReplicationTest.java
@@ -41,12 +41,17 @@
  */
 class CancellationReplicationTest {
     /** With these durations the renewal window is 19.36 seconds. */
-    private static final DelegationTiming TIMING = DelegationTiming.of(42, 22);
+    private static final DelegationTiming TIMING =
+            DelegationTiming.of(/* cancelSeconds= */ 42, /* leaseSeconds= */ 22);
 
     private static final List<WorkerCommand> COMMANDS =
             List.of(
-                    new WorkerCommand.Start("job-9", 0, 1),
-                    new WorkerCommand.Stop("job-8", 0, 1, 0));
+                    new WorkerCommand.Start("job-9", /* taskIndex= */ 0, /* attemptId= */ 1),
+                    new WorkerCommand.Stop(
+                            "job-8",
+                            /* taskIndex= */ 0,
+                            /* attemptId= */ 1,
+                            /* graceSeconds= */ 0));
 
     private double nowSeconds = 100;
     private double jobsCurrentAsOfSeconds = 100;
@@ -84,7 +89,7 @@
 
     /** Requests a grant from a peer, and passes its response to the leader after the round trip. */
     private void exchangeGrant(String name, CancellationReplication peer, double roundTripSeconds) {
-        ObjectNode request = request(3, leader.acknowledgementFor(name));
+        ObjectNode request = request(/* term= */ 3, leader.acknowledgementFor(name));
         double sentAtSeconds = nowSeconds;
         ObjectNode response = response(peer, request);
         nowSeconds += roundTripSeconds;
@@ -94,27 +99,34 @@
     private static ObjectNode request(
             long term, Optional<CancellationCodec.Acknowledgement> acknowledged) {
         LeaderState state =
-                new LeaderState(Optional.empty(), Optional.empty(), acknowledged, Optional.empty());
-        return GrantCodec.encodeRequest(new GrantRequest(term, "l", true, state));
+                new LeaderState(
+                        /* taskCounts= */ Optional.empty(),
+                        /* machineStateUpdate= */ Optional.empty(),
+                        acknowledged,
+                        /* delegationOffer= */ Optional.empty());
+        return GrantCodec.encodeRequest(
+                new GrantRequest(term, "l", /* stateStoreReachable= */ true, state));
     }
 
     private static ObjectNode response(CancellationReplication peer, ObjectNode request) {
         return GrantCodec.encodeResponse(
                 new GrantResponse(
-                        true,
-                        true,
-                        Optional.empty(),
-                        Optional.empty(),
+                        /* granted= */ true,
+                        /* stateStoreReachable= */ true,
+                        /* replicaStatus= */ Optional.empty(),
+                        /* delegationStatus= */ Optional.empty(),
                         peer.onGrantRequest(GrantCodec.decodeRequest(request))));
     }
 
     private static JobRecord job(String id, JobStatus status) {
-        return new JobRecord(id, null, status, 0, 1);
+        return new JobRecord(
+                id, /* spec= */ null, status, /* timestampMillis= */ 0, /* version= */ 1);
     }
 
     /**
-     * The leader cannot read the records for much longer than a cancellation may take. It still
-     * applies each confirmed cancellation once, from the peers' statements, and may renew leases.
+     * The leader cannot read the job records for 80 seconds, about twice as long as a cancellation
+     * may take. It must still apply each confirmed cancellation once, from the peers' statements,
+     * and must still be allowed to renew leases.
      */
     @Test
     void statementsReplaceUnreadableRecords() {
@@ -140,8 +152,8 @@
 
     /**
      * A peer that does not respond may have confirmed cancellations. Once the watermark is older
-     * than the renewal window, no lease is renewed and no task is started, but stop commands are
-     * still permitted.
+     * than the renewal window, no lease may be renewed and no task started, but stop commands must
+     * still be permitted. Reading the job records advances the watermark again.
      */
     @Test
     void noTaskStartsAfterTheRenewalWindow() {
@@ -165,7 +177,8 @@
 
     /**
      * A cancellation that this controller confirmed before its term, but after the records were
-     * read, is not in these records. It is applied when the term starts.
+     * read, is not in these records. Guards against a new leader that misses it: it must be applied
+     * when the term starts. One that is confirmed after the end of the term must not be applied.
      */
     @Test
     void cancellationsConfirmedBeforeTheTermAreApplied() {
@@ -182,8 +195,9 @@
     }
 
     /**
-     * A response contains no statement if the leader's version does not request one, or if the
-     * leader's term is older than the newest term from which a request has arrived.
+     * A response must contain no statement if the request has no acknowledgement, because the
+     * leader's version does not send one, or if the leader's term is older than the newest term
+     * from which a request has arrived.
      */
     @Test
     void noStatementWithoutRequestOrForOlderTerm() {
@@ -200,22 +214,30 @@
         return new Heartbeat(
                 "vm-1",
                 "10.0.0.1:1",
-                "m",
-                "a",
-                false,
-                1,
-                5,
+                /* machineType= */ "m",
+                /* zone= */ "a",
+                /* spot= */ false,
+                /* agentEpoch= */ 1,
+                /* sequenceNumber= */ 5,
                 fencingToken,
-                null,
+                /* terminationNoticeSeconds= */ null,
                 Stream.of(jobs)
-                        .map(job -> new TaskStatus(job, 0, 1, TaskPhase.RUNNING, null, false))
+                        .map(
+                                job ->
+                                        new TaskStatus(
+                                                job,
+                                                /* taskIndex= */ 0,
+                                                /* attemptId= */ 1,
+                                                TaskPhase.RUNNING,
+                                                /* exitReason= */ null,
+                                                /* checkpointSaved= */ false))
                         .toList());
     }
 
     /**
      * Until the records of a new term are loaded, no command can stop a task. So the lease of a
-     * worker is not renewed if it runs a task of a job that is cancelled according to the replica.
-     * It is not renewed either if the worker has the fencing token of a newer term.
+     * worker must not be renewed if the worker runs a task of a job that is cancelled according to
+     * the replica, nor if the worker has the fencing token of a newer term.
      */
     @Test
     void leasesWithCancelledTasksAreNotRenewedWhileRecordsAreRead() {
@@ -233,7 +255,10 @@
                 Optional.empty(), LeaderTerm.renewLeaseOnly(heartbeat(4, "job-2"), 3, records));
     }
 
-    /** Missing and malformed statements are ignored as a whole; malformed ones are counted. */
+    /**
+     * Missing and malformed statements must be ignored as a whole: if a part of a malformed one
+     * were used, the watermark could advance without its cancellations. Malformed ones are counted.
+     */
     @Test
     void malformedStatementsAreIgnored() throws MalformedMessageException {
         leader.onRecordsLoaded(3, appliedCancellations::add);
--- a/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
+++ b/src/test/java/io/kelphoist/leadership/RecordReplicationTest.java
@@ -29,6 +29,8 @@
     private StateStoreSimulation store;
     private StoredJobs storedJobs;
     private RecordReplication replication;
+
+    /** Whether the state store refuses the requests of the replication. */
     private boolean requestsRefused;
 
     /** When the last change of each job was stored. */
@@ -37,8 +39,11 @@
     /** The version that the last change of each job has. */
     private Map<String, Long> lastChangeVersions;
 
+    /**
+     * @param salt seeds the random delays of the state store
+     */
     private void startReplication(int salt) {
-        store = new StateStoreSimulation(salt, 100);
+        store = new StateStoreSimulation(salt, /* startSeconds= */ 100);
         storedJobs = new StoredJobs(store);
         requestsRefused = false;
         lastChangeAtSeconds = new HashMap<>();
@@ -47,6 +52,7 @@
         replication.start();
     }
 
+    /** Stores a job's record; has no effect while the state store is unavailable. */
     private void storeJob(String id, boolean cancelled) {
         if (store.faults().isUnavailable()) {
             return;
@@ -78,12 +84,16 @@
                                                 + replicatedVersions.get(id)));
         assertTrue(
                 replication.jobsCurrentAsOfSeconds() <= store.nowSeconds(),
-                "the replica must not be current as of a future moment");
+                () ->
+                        "jobs are current as of "
+                                + replication.jobsCurrentAsOfSeconds()
+                                + ", expected at most the present, "
+                                + store.nowSeconds());
     }
 
     /**
      * Runs the action that {@code step % 16} selects, with the argument {@code step / 16}, and then
-     * advances the time.
+     * advances the time by 0.2 to 2.4 seconds.
      */
     private void runStep(int step) {
         int argument = step / 16;
@@ -103,7 +113,12 @@
                             verifications++;
                             assertTrue(
                                     replication.jobsCurrentAsOfSeconds() >= requestedAtSeconds,
-                                    "verified records must be current as of the request");
+                                    () ->
+                                            "verified jobs are current as of "
+                                                    + replication.jobsCurrentAsOfSeconds()
+                                                    + ", expected the time of the request, "
+                                                    + requestedAtSeconds
+                                                    + ", or later");
                             assertStoredChangesApplied();
                             replication.startFollowing();
                         });
@@ -130,7 +145,12 @@
         store.advance(20);
         assertTrue(
                 replication.jobsCurrentAsOfSeconds() > store.nowSeconds() - 6,
-                "the replica must become current again after the faults end");
+                () ->
+                        "20 s after the faults ended, at "
+                                + store.nowSeconds()
+                                + ", jobs are current as of "
+                                + replication.jobsCurrentAsOfSeconds()
+                                + ", expected within the last 6 s");
         assertStoredChangesApplied();
     }
 
@@ -145,8 +165,8 @@
     }
 
     /**
-     * While its requests are refused, the replica misses changes, which the state store then
-     * compacts. All records are read again, or the cancellation would be lost.
+     * While the replica's requests are refused, it misses changes, which the state store then
+     * compacts. All records must be read again, or the cancellation would be lost.
      */
     @Test
     void compactedChangesAreReadAgain() {
@@ -166,6 +186,11 @@
         assertEquals(1, replication.replica().unfinishedJobCount());
         assertTrue(
                 replication.jobsCurrentAsOfSeconds() > store.nowSeconds() - 6,
-                "the replica must become current again");
+                () ->
+                        "8 s after requests were accepted again, at "
+                                + store.nowSeconds()
+                                + ", jobs are current as of "
+                                + replication.jobsCurrentAsOfSeconds()
+                                + ", expected within the last 6 s");
     }
 }
--- a/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
+++ b/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
@@ -67,7 +67,14 @@
     }
 
     private static SchedulerState newSchedulerState(long term) {
-        Failover failover = new Failover(term, 2.5, 1, 2, (machine, agentEpoch) -> {}, 0);
+        Failover failover =
+                new Failover(
+                        term,
+                        /* timeoutSeconds= */ 2.5,
+                        /* listLagSeconds= */ 1,
+                        /* maxInFlight= */ 2,
+                        (machine, agentEpoch) -> {},
+                        /* nowSeconds= */ 0);
         return new SchedulerState(
                 newSchedulingPolicy(),
                 newIgnoringOutput(),
@@ -79,9 +86,24 @@
 
     private static SchedulingPolicy newSchedulingPolicy() {
         return new SchedulingPolicy(
-                List.of("a"), List.of(), 2, 10, 3, 5, 1, 20, 15, 0, 1e6, 600, 0.01, 0.01, Map.of());
+                /* zones= */ List.of("a"),
+                /* teams= */ List.of(),
+                /* heartbeatIntervalSeconds= */ 2,
+                /* leaseSeconds= */ 10,
+                /* gangPeerTimeoutSeconds= */ 3,
+                /* machineHoldBackoffSeconds= */ 5,
+                /* localityWaitSeconds= */ 1,
+                /* machineHoldSeconds= */ 20,
+                /* gangReservationSeconds= */ 15,
+                /* headroom= */ 0,
+                /* idleBeforeScaleInSeconds= */ 1e6,
+                /* maxRecordBytes= */ 600,
+                /* startWriteIntervalSeconds= */ 0.01,
+                /* progressWriteIntervalSeconds= */ 0.01,
+                /* startObjectiveSeconds= */ Map.of());
     }
 
+    /** Returns an output whose methods do nothing. */
     private static SchedulerOutput newIgnoringOutput() {
         return (SchedulerOutput)
                 Proxy.newProxyInstance(
@@ -108,7 +130,10 @@
                 .cardinality();
     }
 
-    /** Stores a page with a write that gets no response and that the state store applies late. */
+    /**
+     * Stores page 0, with the first tasks done, by a write that gets no response and that the state
+     * store applies seconds later. Returns after the write has timed out.
+     */
     private void storeProgressWithLateWrite(int tasks) {
         state.faults().setLateWritesPerTen(10);
         store.storeProgress(0, firstTasksDone(tasks));
@@ -116,6 +141,10 @@
         state.advance(1.6);
     }
 
+    /**
+     * A page write without a response is applied up to 12 seconds later, possibly after newer
+     * writes of the page. The page must keep the newest write.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
     void lateWriteDoesNotReplaceNewerPage(int salt) throws MalformedMessageException {
@@ -130,6 +159,10 @@
         assertEquals(7, storedTaskCount());
     }
 
+    /**
+     * A page write without a response is processed only after the next term is stored. It must not
+     * be applied.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8})
     void lateWriteOfEndedTermIsRejected(int salt) {
@@ -142,8 +175,8 @@
     }
 
     /**
-     * A page write is applied, but its response is lost. The leader reads the page's version again;
-     * otherwise its next write would fail on the version.
+     * A page write is applied, but its response is lost. The leader must read the page's version
+     * again; otherwise its next write would have an outdated version as its condition and fail.
      */
     @Test
     void lostResponseDoesNotBlockPageWrites() throws MalformedMessageException {
