--- a/src/main/java/io/kelphoist/leadership/PeerConnectivity.java
+++ b/src/main/java/io/kelphoist/leadership/PeerConnectivity.java
@@ -14,7 +14,10 @@
 final class PeerConnectivity {
     private static final double PROBE_INTERVAL_SECONDS = 0.8;
 
-    /** Several times the interval between a leader's grant requests. */
+    /**
+     * Several times the interval between a leader's grant requests, which is 0.375 seconds at the
+     * default duration of a grant.
+     */
     private static final double LEADER_CONTACT_TIMEOUT_SECONDS = 2.0;
 
     /** Peers are probed once requests to the state store have failed for longer than this. */
--- a/src/main/java/io/kelphoist/replication/MachineStatePublisher.java
+++ b/src/main/java/io/kelphoist/replication/MachineStatePublisher.java
@@ -35,7 +35,8 @@
      * @param shardDigests digests of some shards as of {@code headSequence}, by shard
      * @param repairedShards for each shard to be repaired, all of its machines, which replace those
      *     of the receiver
-     * @param clockSeconds the sender's monotonic clock, to which the times in this update refer
+     * @param clockSeconds time of the sender's monotonic clock when it created this update; the
+     *     times in the update refer to that clock
      */
     public record MachineStateUpdate(
             long baseSequence,
@@ -204,9 +205,11 @@
 
     /**
      * Returns the next update for a follower. Its changes are sent again until the follower
-     * acknowledges them.
+     * acknowledges them. Repaired shards are sent once: if the update is lost, the follower reports
+     * the shards again after the next digests. Digests and repaired shards are included only if the
+     * update contains the newest change.
      *
-     * @param clockSeconds this leader's monotonic clock
+     * @param clockSeconds current time of this leader's monotonic clock
      */
     public MachineStateUpdate nextUpdate(String follower, double clockSeconds) {
         FollowerProgress progress = progressOf(follower);
@@ -272,8 +275,8 @@
     }
 
     /**
-     * Returns the follower that has acknowledged the highest sequence number; empty if no follower
-     * has acknowledged any change.
+     * Returns the follower that has acknowledged the highest sequence number, any of them if there
+     * are several; empty if no follower has acknowledged any change.
      */
     public Optional<String> mostCurrentFollower() {
         String best = null;
--- a/src/main/java/io/kelphoist/replication/MachineStateReplica.java
+++ b/src/main/java/io/kelphoist/replication/MachineStateReplica.java
@@ -19,7 +19,7 @@
 public final class MachineStateReplica {
     /** State of the replica; only {@link #transitionTo} changes it. */
     public enum State {
-        /** Without updates since this process started or since {@link #reset}. */
+        /** No update has arrived since this process started or since {@link #reset}. */
         EMPTY,
         /** The first updates of a new leader are being applied; changes are still missing. */
         SYNCING,
@@ -34,7 +34,10 @@
 
     private static final Logger LOG = LoggerFactory.getLogger(MachineStateReplica.class);
 
-    /** Several times the interval between updates. */
+    /**
+     * More than twice the interval between updates, which is 0.75 seconds at the default duration
+     * of a grant.
+     */
     private static final double LEADER_SILENCE_TIMEOUT_SECONDS = 2.0;
 
     /**
@@ -65,9 +68,10 @@
 
     /**
      * Applies an update. An update of an older term is ignored. The first update of a newer term,
-     * or one with which the leader restarts from an empty replica, clears the replica first.
+     * or one with which the leader restarts from an empty replica, clears the replica first. The
+     * changes are not applied if earlier ones are missing or the replica could become too large.
      *
-     * @param nowSeconds this controller's monotonic clock
+     * @param nowSeconds current time of this controller's monotonic clock
      */
     public void apply(
             long updateTerm, MachineStatePublisher.MachineStateUpdate update, double nowSeconds) {
@@ -132,11 +136,11 @@
     }
 
     private void repairShard(int shard, List<ReplicatedMachine> shardMachines) {
-        List<String> present =
+        List<String> presentNames =
                 machines.keySet().stream()
                         .filter(name -> MachineStateDigests.shardOf(name) == shard)
                         .toList();
-        present.forEach(this::remove);
+        presentNames.forEach(this::remove);
         shardMachines.forEach(this::put);
         repairedShardCount++;
     }
@@ -182,7 +186,10 @@
         return state;
     }
 
-    /** Returns whether all changes that the leader had recorded at its last update are applied. */
+    /**
+     * Returns whether all changes that the leader had recorded at its last update are applied.
+     * False before the first update and after {@link #reset}.
+     */
     public boolean isComplete() {
         return complete;
     }
@@ -204,7 +211,10 @@
         return repairedShardCount;
     }
 
-    /** Returns the seconds since the last update was received; infinite if none was. */
+    /**
+     * Returns the seconds since the last update arrived, also one whose changes could not be
+     * applied; infinite if none has arrived since this process started.
+     */
     public double lagSeconds(double nowSeconds) {
         return nowSeconds - lastUpdateAtSeconds;
     }
--- a/src/main/java/io/kelphoist/replication/RecordReplica.java
+++ b/src/main/java/io/kelphoist/replication/RecordReplica.java
@@ -40,8 +40,8 @@
     public static final int MAX_DONE_JOBS = 20_000;
 
     /**
-     * Number of cancelled jobs that are kept at any age. Beyond this number a job is kept only
-     * while its tasks may still be running.
+     * Number of cancelled jobs that are kept at any age. If there are more, the oldest are evicted
+     * once their tasks can no longer be running; this is checked when a cancellation is applied.
      */
     public static final int MIN_CANCELLED_JOBS = 5_000;
 
@@ -94,7 +94,7 @@
     /**
      * Applies a job's record, unless the replica has the same or a newer version.
      *
-     * @param nowSeconds the event loop's clock
+     * @param nowSeconds current time of the event loop's clock
      */
     public void applyJob(JobRecord record, double nowSeconds) {
         JobRecord current = findJob(record.id());
@@ -160,6 +160,7 @@
      * @param controller the delegate
      * @param startsAtMillis latest start of the delegation by the wall clock; NaN if the record was
      *     cleared
+     * @param version revision at which the record was last changed
      */
     public void applyDelegation(String controller, double startsAtMillis, long version) {
         putIfNewer(delegations, controller, startsAtMillis, version);
@@ -214,8 +215,8 @@
     }
 
     /**
-     * Returns the latest start of each controller's lease delegation, in milliseconds of the wall
-     * clock; NaN where the record was cleared.
+     * Returns the latest start of each controller's lease delegation, by the name of the
+     * controller, in milliseconds of the wall clock; NaN where the record was cleared.
      */
     public Map<String, Versioned<Double>> delegations() {
         return Collections.unmodifiableMap(delegations);
--- a/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
+++ b/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
@@ -13,22 +13,27 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** A follower's replica of the leader's machine state: convergence, repair and bounds. */
+/**
+ * A follower's replica of the leader's machine state. Guards against a replica that lacks changes
+ * or differs from the leader's machines although it is reported as complete, and against updates
+ * and retained removals without a bound. The publisher's follower is {@code f}, and the leader's
+ * term is 5 unless another one is stated.
+ */
 class MachineStateReplicaTest {
     private static ReplicatedMachine machine(int number, long agentEpoch) {
         return new ReplicatedMachine(
                 "vm-" + number,
                 "10.0.0." + number + ":1",
-                "m",
-                "a",
-                false,
+                /* machineType= */ "m",
+                /* zone= */ "a",
+                /* spot= */ false,
                 agentEpoch,
-                true,
-                false,
-                false,
-                false,
-                number,
-                Double.POSITIVE_INFINITY);
+                /* hasReported= */ true,
+                /* drainedAsFaulty= */ false,
+                /* possiblyDisconnected= */ false,
+                /* commandOutcomeUnknown= */ false,
+                /* launchedAtSeconds= */ number,
+                /* terminationAtSeconds= */ Double.POSITIVE_INFINITY);
     }
 
     /**
@@ -61,6 +66,7 @@
                         "f", replica.appliedSequence(5), replica.drainDivergedShards());
             }
         }
+        // From now on no message is lost.
         for (int step = 60; step < 60 + 40; step++) {
             publisher.onAcknowledgement(
                     "f", replica.appliedSequence(5), replica.drainDivergedShards());
@@ -72,7 +78,7 @@
 
     /**
      * A replica is complete by its sequence number, but has one machine too many, one too few and
-     * one with an outdated agent epoch. The leader's shard digests must reveal this, and the shards
+     * one with another agent epoch. The leader's shard digests must reveal this, and the shards
      * must be repaired.
      */
     @Test
@@ -112,12 +118,18 @@
         publisher.publish(machines);
         int updates = 0;
         while (replica.state(updates) != MachineStateReplica.State.IN_SYNC) {
-            assertFalse(replica.isComplete(), "replica is complete before it is in sync");
+            assertFalse(
+                    replica.isComplete(),
+                    "replica is complete before it is in sync, with "
+                            + replica.size()
+                            + " of 4000");
             MachineStatePublisher.MachineStateUpdate update = publisher.nextUpdate("f", updates);
             int changes = update.changedMachines().size();
             assertTrue(
                     changes <= MachineStatePublisher.MAX_CHANGES_PER_UPDATE,
-                    changes + " changes, expected at most MAX_CHANGES_PER_UPDATE");
+                    changes
+                            + " changes in an update, expected at most "
+                            + MachineStatePublisher.MAX_CHANGES_PER_UPDATE);
             replica.apply(5, update, updates++);
             publisher.onAcknowledgement(
                     "f", replica.appliedSequence(5), replica.drainDivergedShards());
@@ -135,7 +147,7 @@
         replica.reset();
         assertEquals(MachineStateReplica.State.EMPTY, replica.state(updates + 12));
         assertEquals(0, replica.size());
-        assertFalse(replica.isComplete());
+        assertFalse(replica.isComplete(), "replica is complete after it was reset");
     }
 
     /**
--- a/src/test/java/io/kelphoist/replication/RecordReplicaTest.java
+++ b/src/test/java/io/kelphoist/replication/RecordReplicaTest.java
@@ -6,7 +6,7 @@
 import io.kelphoist.model.JobStatus;
 import org.junit.jupiter.api.Test;
 
-/** Memory bounds of a controller's replica of job records. */
+/** Bounds of the number of job records in a controller's replica. */
 class RecordReplicaTest {
     /**
      * Guards against a replica that grows with every job that ends, and against one that evicts a
@@ -25,10 +25,11 @@
         // A version that is older than the replicated one is ignored.
         replica.applyJob(jobRecord(3 * RecordReplica.MAX_DONE_JOBS - 1, JobStatus.ACTIVE, 1), 600);
         assertEquals(1, replica.unfinishedJobCount());
-        // All recently cancelled jobs are kept, but only the newest done jobs.
+        // The active job, the newest done jobs and all cancelled jobs, which are recent, are kept.
         assertEquals(
                 1 + RecordReplica.MAX_DONE_JOBS + 3 * RecordReplica.MAX_DONE_JOBS / 2,
                 replica.allJobs().size());
+        // Of cancelled jobs whose tasks can no longer be running, only the newest are kept.
         for (int i = 0; i < 2 * RecordReplica.MAX_DONE_JOBS; i++) {
             replica.applyJob(
                     jobRecord(1_000_000 + i, JobStatus.CANCELLED, 1_000_000 + i), 5000 + i);
