--- a/src/main/java/io/kelphoist/peer/CancellationCodec.java
+++ b/src/main/java/io/kelphoist/peer/CancellationCodec.java
@@ -26,7 +26,8 @@
     /**
      * A leader's acknowledgement of cancellations that a controller confirmed.
      *
-     * @param incarnation identifies the process of the controller that confirmed them
+     * @param incarnation identifies the process of the controller that confirmed them; 0 if the
+     *     leader has received no statement of that controller in its term
      * @param upToSequence the leader has recorded all cancellations of that incarnation up to this
      *     sequence number
      */
@@ -65,8 +66,9 @@
     }
 
     /**
-     * Decodes a statement; empty if the field is missing, because the controller's version does not
-     * have it or the controller has seen a newer term.
+     * Decodes a statement; empty if the field is missing or null. It is missing if the controller's
+     * version does not have it, the request had no acknowledgement or the controller has seen a
+     * newer term.
      *
      * @throws MalformedMessageException if any part of the statement is malformed, so that none of
      *     it may be used
--- a/src/main/java/io/kelphoist/peer/DelegationCodec.java
+++ b/src/main/java/io/kelphoist/peer/DelegationCodec.java
@@ -33,7 +33,7 @@
     }
 
     /**
-     * Decodes an offer; empty if the field or one of its parts is missing.
+     * Decodes an offer; empty if the field or one of its parts is missing or malformed.
      *
      * @param term the term of the grant request
      */
@@ -69,7 +69,11 @@
         return message;
     }
 
-    /** Decodes a status; empty if the controller's version does not have lease delegation. */
+    /**
+     * Decodes a status; empty if its clock, uptime or incarnation is missing or malformed, as in a
+     * response of a version without lease delegation. Without the newest accepted offer the
+     * sequence number is 0, and without a renewal the time since the last one is infinite.
+     */
     public static Optional<PeerStatus> decodeStatus(JsonNode message) {
         if (!message.path("clock").isNumber()
                 || !message.path("up_s").isNumber()
--- a/src/main/java/io/kelphoist/peer/GrantClient.java
+++ b/src/main/java/io/kelphoist/peer/GrantClient.java
@@ -26,8 +26,8 @@
     /**
      * Requests a grant from another controller.
      *
-     * @param onResponse receives the response; not called if the request fails or its response is
-     *     malformed
+     * @param onResponse receives the response; not called if no response arrives, or if it has an
+     *     error status or cannot be decoded
      */
     public void requestGrant(
             String peer, GrantRequest request, Consumer<GrantResponse> onResponse) {
@@ -56,8 +56,7 @@
      * Checks whether another controller is reachable. The probe is an empty request for task
      * events: every version responds to it, and it changes nothing at the receiver.
      *
-     * @param onResponse called if a response that can be decoded arrives, also if its status is an
-     *     error
+     * @param onResponse called if a response that can be decoded arrives, even with an error status
      */
     public void probe(String peer, Runnable onResponse) {
         peers.call(
--- a/src/main/java/io/kelphoist/peer/LeaderState.java
+++ b/src/main/java/io/kelphoist/peer/LeaderState.java
@@ -13,7 +13,8 @@
  *
  * @param taskCounts the task counts of jobs with done or running tasks, by job id, up to a maximum
  *     number of jobs; the map is not copied and must not be modified
- * @param machineStateUpdate the changes of machines that the receiver has not acknowledged
+ * @param machineStateUpdate the changes of machines that the receiver has not acknowledged, up to
+ *     the maximum size of an update
  * @param acknowledgedCancellations which of the cancellations that the receiver confirmed to users
  *     the leader has recorded
  * @param delegationOffer offer of a lease delegation to the receiver
--- a/src/main/java/io/kelphoist/peer/PeerClient.java
+++ b/src/main/java/io/kelphoist/peer/PeerClient.java
@@ -19,7 +19,7 @@
 
     /** A controller's response, with any HTTP status, whose body could be decoded. */
     record PeerResponse(int status, ObjectNode body) {
-        /** Returns whether the status says that the controller executed the request. */
+        /** Returns whether the status is 200: the controller executed the request. */
         boolean isSuccess() {
             return status == HTTP_OK;
         }
@@ -56,7 +56,9 @@
      *
      * @param path one of {@link PeerPaths}
      * @param callback runs once with the response, whatever its status; empty if there was no
-     *     response or its body could not be decoded
+     *     response or its body could not be decoded. An empty body is decoded as an empty object.
+     *     Runs from within this call, with an empty result, if there is no controller with this
+     *     name
      */
     void call(
             String peer,
@@ -79,8 +81,8 @@
      * Sends a request to another controller, whose response is used only if it is successful.
      *
      * @param path one of {@link PeerPaths}
-     * @param callback runs once with the body of the response; empty if the response has an error
-     *     status, could not be decoded or did not arrive
+     * @param callback runs once with the body of the response; empty if its status is not 200, it
+     *     could not be decoded or did not arrive, or there is no controller with this name
      */
     void request(
             String peer,
--- a/src/main/java/io/kelphoist/peer/ReplicationCodec.java
+++ b/src/main/java/io/kelphoist/peer/ReplicationCodec.java
@@ -95,7 +95,8 @@
 
     /**
      * Decodes an update; empty if the field, one of its sequence numbers or its clock is missing or
-     * malformed.
+     * malformed. Machines without a name are skipped. Any other value of a machine that is missing
+     * is decoded as empty, false or 0, its address as null and its termination as infinite.
      */
     public static Optional<MachineStatePublisher.MachineStateUpdate> decodeUpdate(JsonNode node) {
         if (!node.path("after").isIntegralNumber()
--- a/src/main/java/io/kelphoist/peer/TaskEventCodec.java
+++ b/src/main/java/io/kelphoist/peer/TaskEventCodec.java
@@ -101,6 +101,10 @@
         return message;
     }
 
+    /**
+     * Encodes the type of an event. Any other type than these gets no field and is therefore
+     * decoded as progress.
+     */
     private static void encodeType(JobEventType type, ObjectNode node) {
         if (type instanceof JobEventType.WaitingForDependencies) {
             node.put("what", "waiting");
--- a/src/test/java/io/kelphoist/peer/GrantCodecTest.java
+++ b/src/test/java/io/kelphoist/peer/GrantCodecTest.java
@@ -28,28 +28,59 @@
 class GrantCodecTest {
     private static final long TERM = 7;
     private static final MachineStateUpdate UPDATE =
-            new MachineStateUpdate(1, 2, 3, List.of(), List.of("vm-3"), Map.of(), Map.of(), 4.5);
+            new MachineStateUpdate(
+                    /* baseSequence= */ 1,
+                    /* lastSequence= */ 2,
+                    /* headSequence= */ 3,
+                    /* changedMachines= */ List.of(),
+                    /* removedMachines= */ List.of("vm-3"),
+                    /* shardDigests= */ Map.of(),
+                    /* repairedShards= */ Map.of(),
+                    /* clockSeconds= */ 4.5);
     private static final DelegationOffer OFFER =
-            new DelegationOffer(TERM, 5, 6, 1.5, ImmutableSet.of("vm-1"));
+            new DelegationOffer(
+                    TERM,
+                    /* incarnation= */ 5,
+                    /* sequenceNumber= */ 6,
+                    /* startsAtSeconds= */ 1.5,
+                    /* excludedMachines= */ ImmutableSet.of("vm-1"));
     private static final GrantRequest FULL_REQUEST =
             new GrantRequest(
                     TERM,
                     "hoist-2",
-                    true,
+                    /* stateStoreReachable= */ true,
                     new LeaderState(
-                            Optional.of(Map.of("job-7", new TaskCounts(2, 3))),
+                            Optional.of(
+                                    Map.of(
+                                            "job-7",
+                                            new TaskCounts(
+                                                    /* doneTasks= */ 2, /* runningTasks= */ 3))),
                             Optional.of(UPDATE),
-                            Optional.of(new CancellationCodec.Acknowledgement(8, 9)),
+                            Optional.of(
+                                    new CancellationCodec.Acknowledgement(
+                                            /* incarnation= */ 8, /* upToSequence= */ 9)),
                             Optional.of(OFFER)));
     private static final GrantResponse FULL_RESPONSE =
             new GrantResponse(
-                    true,
-                    true,
-                    Optional.of(new ReplicationCodec.ReplicaStatus(3, List.of(1, 4))),
-                    Optional.of(new PeerStatus(5, 100.5, 60, 2.5, 6)),
+                    /* granted= */ true,
+                    /* stateStoreReachable= */ true,
+                    Optional.of(
+                            new ReplicationCodec.ReplicaStatus(
+                                    /* appliedSequence= */ 3, /* divergedShards= */ List.of(1, 4))),
+                    Optional.of(
+                            new PeerStatus(
+                                    /* incarnation= */ 5,
+                                    /* clockSeconds= */ 100.5,
+                                    /* uptimeSeconds= */ 60,
+                                    /* sinceRenewalSeconds= */ 2.5,
+                                    /* sequenceNumber= */ 6)),
                     new CancellationReport.Present(
                             new ConfirmedCancellations.Statement(
-                                    8, 12, 9, true, List.of("job-9"))));
+                                    /* incarnation= */ 8,
+                                    /* coveredSeconds= */ 12,
+                                    /* lastSequenceNumber= */ 9,
+                                    /* complete= */ true,
+                                    List.of("job-9"))));
 
     private static byte[] bytes(String json) {
         return json.replace('\'', '"').getBytes(StandardCharsets.UTF_8);
@@ -89,7 +120,14 @@
 
     @Test
     void emptyRequestHasDefaults() throws MalformedMessageException {
-        assertEquals(new GrantRequest(0, false, "", false, LeaderState.NONE), request("{}"));
+        assertEquals(
+                new GrantRequest(
+                        /* term= */ 0,
+                        /* termIsInteger= */ false,
+                        /* sender= */ "",
+                        /* stateStoreReachable= */ false,
+                        LeaderState.NONE),
+                request("{}"));
     }
 
     /**
@@ -141,6 +179,7 @@
         assertEquals(Optional.of(Map.of()), request("{'jobs':" + json + "}").state().taskCounts());
     }
 
+    /** A count that is missing or malformed must not affect the other counts. */
     @Test
     void missingOrMalformedTaskCountsAreZero() throws MalformedMessageException {
         assertEquals(
--- a/src/test/java/io/kelphoist/peer/HandoverCodecTest.java
+++ b/src/test/java/io/kelphoist/peer/HandoverCodecTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against changes of the handover message that controllers of other versions cannot decode.
+ * Guards against changes of the handover message that controllers of other versions cannot decode,
+ * and against a missing or malformed field that makes the whole message unusable.
  */
 class HandoverCodecTest {
     private static HandoverMessage decode(String json) throws MalformedMessageException {
@@ -28,7 +29,14 @@
                         Optional.of("hoist-2"),
                         Optional.of(
                                 new MachineStateUpdate(
-                                        1, 2, 2, List.of(), List.of(), Map.of(), Map.of(), 4.5)));
+                                        /* baseSequence= */ 1,
+                                        /* lastSequence= */ 2,
+                                        /* headSequence= */ 2,
+                                        /* changedMachines= */ List.of(),
+                                        /* removedMachines= */ List.of(),
+                                        /* shardDigests= */ Map.of(),
+                                        /* repairedShards= */ Map.of(),
+                                        /* clockSeconds= */ 4.5)));
         byte[] encoded = MessageEncoding.encodeJson(HandoverCodec.encode(handover));
         assertEquals(
                 "{'term':7,'from':'hoist-1','next':'hoist-2',"
--- a/src/test/java/io/kelphoist/peer/TaskEventCodecTest.java
+++ b/src/test/java/io/kelphoist/peer/TaskEventCodecTest.java
@@ -17,17 +17,18 @@
 class TaskEventCodecTest {
     @Test
     void requestIsDecodedUnchanged() throws MalformedMessageException {
-        EventsRequest request = new EventsRequest(7, 12);
+        EventsRequest request = new EventsRequest(/* term= */ 7, /* fromSequence= */ 12);
         assertEquals(
                 request,
                 TaskEventCodec.decodeRequest(
                         MessageEncoding.encodeJson(TaskEventCodec.encodeRequest(request))));
     }
 
+    /** The empty request is also the reachability probe, to which every version must respond. */
     @Test
     void emptyRequestIsDecodedAsSnapshotRequest() throws MalformedMessageException {
         assertEquals(
-                new EventsRequest(0, -1),
+                new EventsRequest(/* term= */ 0, /* fromSequence= */ -1),
                 TaskEventCodec.decodeRequest("{}".getBytes(StandardCharsets.UTF_8)));
     }
 
