--- a/src/main/java/io/kelphoist/cloud/CloudClient.java
+++ b/src/main/java/io/kelphoist/cloud/CloudClient.java
@@ -75,7 +75,8 @@
 
     /**
      * Requests the machine types. The callback receives an empty Optional if the rate limit does
-     * not allow a request now or there is no usable response.
+     * not allow a request now, in that case from within this call, or if there is no usable
+     * response.
      */
     public void listMachineTypes(Consumer<Optional<List<MachineType>>> callback) {
         if (!rateLimiter.tryAcquire(1, loop.nowSeconds())) {
@@ -95,9 +96,10 @@
     /**
      * Requests new machines as soon as the rate limit allows it.
      *
-     * @param isStillLeader evaluated right before the request is sent, because a process that was
-     *     suspended in the meantime may no longer be the leader. If false, the request is not sent
-     *     and its outcome is reported as unknown
+     * @param isStillLeader evaluated in this call, and again after each wait for the rate limit,
+     *     right before the request is sent, because a process that was suspended in the meantime
+     *     may no longer be the leader. If false, the request is not sent and its result is unknown
+     * @param callback receives the result; from within this call if {@code isStillLeader} is false
      */
     public void scaleOut(
             ScaleOutRequest request,
@@ -132,6 +134,10 @@
         return isRefused(result) ? new ScaleOutResult.Refused() : new ScaleOutResult.Unknown();
     }
 
+    /**
+     * Whether the cloud refused a request for machines: the status is 400, or 503 with the error
+     * that says that it has no capacity.
+     */
     private static boolean isRefused(HttpHostClient.CallResult result) {
         if (!(result instanceof HttpHostClient.Response response)) {
             return false;
@@ -143,7 +149,8 @@
 
     /**
      * Requests the termination of machines. The callback receives whether the cloud confirmed it;
-     * false also if the rate limit does not allow a request now.
+     * false also if the rate limit does not allow a request now, in that case from within this
+     * call.
      */
     public void scaleIn(List<String> machineNames, Consumer<Boolean> callback) {
         if (!rateLimiter.tryAcquire(1, loop.nowSeconds())) {
@@ -154,8 +161,9 @@
     }
 
     /**
-     * Requests all pages of the instance list. The callback receives the pages in order, or an
-     * empty Optional if any of them could not be requested or decoded.
+     * Requests all pages of the instance list, one after the other. The callback receives the pages
+     * in order, or an empty Optional if for any of them the rate limit did not allow a request or
+     * there was no usable response.
      */
     public void listInstances(Consumer<Optional<List<InstanceListPage>>> callback) {
         listPage("", new ArrayList<>(), callback);
--- a/src/main/java/io/kelphoist/heartbeat/FollowerHeartbeatHandler.java
+++ b/src/main/java/io/kelphoist/heartbeat/FollowerHeartbeatHandler.java
@@ -49,7 +49,10 @@
         this.delegationHandler = delegationHandler;
     }
 
-    /** Responds to a heartbeat that a worker sent to this controller. */
+    /**
+     * Responds to a heartbeat that a worker sent to this controller: at once, or if the heartbeat
+     * is relayed, when the leader has responded or the relay has failed.
+     */
     void handle(HttpServerExchange exchange, ReceivedHeartbeat received, double nowSeconds) {
         Heartbeat heartbeat = received.heartbeat();
         Optional<String> leader = elector.leader().filter(relayClient::hasPeer);
@@ -96,6 +99,11 @@
                 response -> onRelayEnded(exchange, received.heartbeat(), response));
     }
 
+    /**
+     * Passes the leader's response to the worker. If the relay failed, renews the worker's lease
+     * under the delegation, unless the leader had contact to this controller recently or this
+     * controller has become the leader; otherwise refuses the heartbeat.
+     */
     private void onRelayEnded(
             HttpServerExchange exchange, Heartbeat heartbeat, Optional<byte[]> response) {
         router.onRelayEnded(heartbeat.machineName(), response.isPresent(), loop.nowSeconds());
--- a/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
+++ b/src/main/java/io/kelphoist/heartbeat/HeartbeatEndpoint.java
@@ -28,8 +28,8 @@
     /** Responds to heartbeats as the leader. */
     public interface LeaderResponder {
         /**
-         * Returns the response; empty if this controller must not send one, because a response
-         * renews the worker's lease.
+         * Returns the response, which renews the worker's lease; empty if this controller must not
+         * renew the lease now.
          *
          * @param relayAddress IP address of the controller that relayed the heartbeat; empty if the
          *     worker sent it here
@@ -40,7 +40,9 @@
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatEndpoint.class);
     private static final String NOT_RELAYED = "";
 
-    /** Maximum time for which a heartbeat waits for the end of an election. */
+    /**
+     * Maximum time from the arrival of a heartbeat for which it waits for the end of an election.
+     */
     private static final double MAX_DEFERRAL_SECONDS = 0.8;
 
     private static final double DEFERRAL_RETRY_INTERVAL_SECONDS = 0.05;
@@ -90,6 +92,7 @@
 
     /**
      * Handles a heartbeat that another controller relayed because it takes this one for the leader.
+     * Refuses it if this controller is not the leader.
      */
     public void handleRelayed(HttpServerExchange exchange, byte[] body) {
         try {
@@ -142,9 +145,9 @@
                     WorkerCodec.encodeHeartbeatResponseBody(response.get()));
         } else if (elector.election().isLeader(nowSeconds)
                 || !followerHandler.tryDelegatedRenewal(exchange, heartbeat, nowSeconds)) {
-            // A leader whose leader lease or grants are valid refuses a heartbeat only for a reason
-            // such as an agent epoch that has ended. So it must not renew, under its own
-            // delegation, a lease that it has refused to renew as the leader.
+            // A leader whose leader lease or grants are valid refuses to renew a lease only for a
+            // reason such as an agent epoch that has ended or cancellations that it may lack. So it
+            // must not renew the same lease under its own delegation.
             HttpExchanges.sendStatus(exchange, StatusCodes.SERVICE_UNAVAILABLE);
         }
     }
--- a/src/main/java/io/kelphoist/heartbeat/HeartbeatRouter.java
+++ b/src/main/java/io/kelphoist/heartbeat/HeartbeatRouter.java
@@ -9,12 +9,12 @@
  * Decides what a controller that is not the leader does with a worker's heartbeat: relay it to the
  * leader, or redirect the worker to another controller.
  *
- * <p>A worker waits five seconds for an unreachable controller, so two such attempts in a row let
- * its lease expire. Therefore the first heartbeat of a worker is relayed, which renews its lease,
- * and the worker is redirected to the leader only while its lease is fresh. A worker that returns
- * after a redirect to the leader could not connect to the leader, and its heartbeats are relayed
- * for a while. A controller that has no contact to the leader itself redirects workers to another
- * controller.
+ * <p>A worker waits five seconds for an unreachable controller, so two such attempts in a row let a
+ * lease of ten seconds expire. Therefore the first heartbeat of a worker is relayed, which renews
+ * its lease, and the worker is redirected to the leader only while its lease is fresh. A worker
+ * that returns after a redirect to the leader could not connect to the leader, and its heartbeats
+ * are relayed for a while. A controller that has no contact to the leader itself redirects workers
+ * to another controller.
  *
  * <p>Owns a bounded history per worker. Performs no I/O: the time (the event loop's monotonic
  * clock, in seconds) is passed in. Confined to the controller's event loop.
@@ -54,7 +54,13 @@
     /** What this router did with the latest heartbeats of one worker. */
     private static final class WorkerHistory {
         double relaySucceededAtSeconds = Double.NEGATIVE_INFINITY;
+
+        /** Last redirect to the leader, unless the worker has returned from it since. */
         double redirectedToLeaderAtSeconds = Double.NEGATIVE_INFINITY;
+
+        /**
+         * Until when heartbeats are relayed, because the worker could not connect to the leader.
+         */
         double relayUntilSeconds = Double.NEGATIVE_INFINITY;
 
         /**
@@ -80,10 +86,12 @@
     }
 
     /**
-     * Decides what to do with a heartbeat, and records the decision in the worker's history.
+     * Decides what to do with a heartbeat, and records the decision in the worker's history. While
+     * the leader is unknown, redirects the worker to any other controller and records nothing.
      *
      * @param leader name of the leader; empty if it is unknown
-     * @param hasLeaderContact whether this controller received messages of the leader recently
+     * @param hasLeaderContact whether this controller has had contact to the leader recently; see
+     *     {@link io.kelphoist.leadership.LeaderElector#hasRecentLeaderContact}
      */
     Route route(
             String worker, Optional<String> leader, boolean hasLeaderContact, double nowSeconds) {
@@ -125,13 +133,15 @@
 
     /**
      * Returns whether a worker was redirected to the other follower within its lease and returned,
-     * so that the other follower cannot serve it.
+     * so that the other follower cannot serve it. To be called when a heartbeat of the worker has
+     * arrived.
      *
      * <p>Two redirects are needed if the other follower is not in the leader's zone. It may have
      * relayed the first heartbeat and then redirected the worker to the leader once, because it
      * does not know that the worker cannot connect to the leader. After the second redirect it
      * relays the heartbeats of the worker. One redirect is enough if the other follower is in the
-     * leader's zone, because it is as unreachable for the worker as the leader.
+     * leader's zone, because it is as unreachable for the worker as the leader, or if there is no
+     * other follower.
      */
     boolean haveRedirectsFailed(String worker, String leader, double nowSeconds) {
         WorkerHistory history = historyByWorker.get(worker);
--- a/src/main/java/io/kelphoist/heartbeat/WorkerConnections.java
+++ b/src/main/java/io/kelphoist/heartbeat/WorkerConnections.java
@@ -34,8 +34,8 @@
      * Creates an empty set of connections.
      *
      * @param budget bounds the number of connections that are kept open
-     * @param idleTimeoutSeconds time without a heartbeat after which the worker no longer uses its
-     *     connection, even if no close was received
+     * @param idleTimeoutSeconds time without a heartbeat after which a connection is closed: the
+     *     worker no longer uses it, even if no close was received
      */
     public WorkerConnections(SocketBudget budget, double idleTimeoutSeconds) {
         this.budget = budget;
@@ -49,7 +49,7 @@
 
     /**
      * Decides whether a connection on which a heartbeat arrived is kept open after the response,
-     * and records its use if so.
+     * and records its use if so. If not, the caller must have it closed after the response.
      */
     boolean keepAlive(ServerConnection connection, double nowSeconds) {
         if (budget.isNearIncomingLimit(incomingConnectionCount.getAsLong())) {
--- a/src/main/java/io/kelphoist/worker/WorkerClient.java
+++ b/src/main/java/io/kelphoist/worker/WorkerClient.java
@@ -31,7 +31,8 @@
          * connection is available.
          *
          * @param heartbeat the status of the machine and its tasks in the worker's response; null
-         *     if there was no usable response
+         *     unless the outcome is {@link DeliveryOutcome#EXECUTED} or {@link
+         *     DeliveryOutcome#REFUSED}
          */
         void onComplete(DeliveryOutcome outcome, Heartbeat heartbeat);
     }
@@ -56,7 +57,7 @@
     private final Map<String, Connection> connectionsByAddress =
             new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
-    /** The connection to one worker, and when it was last used. */
+    /** The connection to one worker, and when a request was last sent on it. */
     private static final class Connection {
         final HttpHostClient httpClient;
         double lastUsedAtSeconds;
@@ -90,6 +91,9 @@
      *     highest one that it has seen
      * @param agentEpoch the agent epoch of the worker to which the commands apply
      * @param commands empty for a status request or a reachability probe
+     * @param nowSeconds current time of the event loop's clock
+     * @param callback receives {@link DeliveryOutcome#NOT_ATTEMPTED}, from within this call, if all
+     *     connections are in use
      */
     public void sendCommands(
             String address,
@@ -180,7 +184,10 @@
         return true;
     }
 
-    /** Closes connections that have been idle for longer than {@link #IDLE_TIMEOUT_SECONDS}. */
+    /**
+     * Closes idle connections on which nothing was sent for longer than {@link
+     * #IDLE_TIMEOUT_SECONDS}.
+     */
     public void closeIdle(double nowSeconds) {
         for (Iterator<Connection> iterator = connectionsByAddress.values().iterator();
                 iterator.hasNext(); ) {
--- a/src/test/java/io/kelphoist/cloud/CloudClientTest.java
+++ b/src/test/java/io/kelphoist/cloud/CloudClientTest.java
@@ -9,9 +9,11 @@
 import java.util.Deque;
 import org.junit.jupiter.api.Test;
 
-/** Requests to the cloud that wait for the rate limiter. */
+/** Scale-out requests of a controller that is no longer the leader, with and without a wait. */
 class CloudClientTest {
+    /** Scheduled tasks in the order in which they were scheduled; their delays are ignored. */
     private final Deque<Runnable> timers = new ArrayDeque<>();
+
     private double nowSeconds = 100;
     private boolean isLeader = true;
     private int unknownOutcomeCount;
@@ -35,18 +37,27 @@
     }
 
     /**
-     * Guards against a scale-out request that is sent by a controller that is no longer the leader:
-     * it waits for the rate limiter while the process is suspended and loses the leadership. The
-     * request must not be sent, and its outcome must be unknown. There is no HTTP client here, so
-     * sending a request would throw an exception.
+     * Guards against a scale-out request that is sent by a controller that is no longer the leader.
+     * The first request is made when the controller does not lead. The second one is made while it
+     * leads, and waits for the rate limiter; meanwhile the process is suspended, and the controller
+     * loses the leadership. Neither request may be sent, and both outcomes must be unknown. There
+     * is no HTTP client here, so sending a request would throw an exception.
      */
     @Test
-    void queuedScaleOutIsSentOnlyWhileLeading() {
-        CloudClient cloud = new CloudClient(null, loop, 1, error -> {});
-        ScaleOutRequest request = new ScaleOutRequest("r", "g8", "a", false, 1);
+    void scaleOutIsNotSentByFormerLeader() {
+        CloudClient cloud =
+                new CloudClient(
+                        /* httpClient= */ null, loop, /* requestsPerSecond= */ 1, error -> {});
+        ScaleOutRequest request =
+                new ScaleOutRequest(
+                        "r",
+                        /* machineType= */ "g8",
+                        /* zone= */ "a",
+                        /* spot= */ false,
+                        /* machineCount= */ 1);
         isLeader = false;
         cloud.scaleOut(request, () -> isLeader, this::onResult);
-        assertEquals(1, unknownOutcomeCount);
+        assertEquals(1, unknownOutcomeCount, "unknown outcomes while not leading");
         isLeader = true;
         // These requests use up the tokens of the rate limiter, so that the next one has to wait.
         for (int i = 0; i < 10; i++) {
@@ -57,11 +68,11 @@
             }
         }
         cloud.scaleOut(request, () -> isLeader, this::onResult);
-        assertEquals(1, unknownOutcomeCount);
-        assertEquals(1, timers.size());
+        assertEquals(1, unknownOutcomeCount, "unknown outcomes while the second request waits");
+        assertEquals(1, timers.size(), "requests that wait for the rate limiter");
         nowSeconds += 25;
         isLeader = false;
         timers.poll().run();
-        assertEquals(2, unknownOutcomeCount);
+        assertEquals(2, unknownOutcomeCount, "unknown outcomes after the loss of leadership");
     }
 }
--- a/src/test/java/io/kelphoist/heartbeat/HeartbeatRouterTest.java
+++ b/src/test/java/io/kelphoist/heartbeat/HeartbeatRouterTest.java
@@ -18,9 +18,15 @@
     private static final HeartbeatRouter.Route RELAY = new HeartbeatRouter.Relay("lead");
     private static final HeartbeatRouter.Route REDIRECT =
             new HeartbeatRouter.Redirect(Optional.of("lead"));
+
+    /** The leader is in zone a, the other follower in zone c. */
     private final HeartbeatRouter router =
-            new HeartbeatRouter(ImmutableMap.of("lead", "a", "third", "c"), 10);
+            new HeartbeatRouter(ImmutableMap.of("lead", "a", "third", "c"), /* leaseSeconds= */ 10);
 
+    /**
+     * A redirect to a leader to which the worker cannot connect takes 5 s of its lease. So the
+     * first heartbeat must be relayed, which renews the lease, before the worker is redirected.
+     */
     @Test
     void redirectsToLeaderOnlyWhileLeaseIsFresh() {
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 100));
@@ -28,6 +34,11 @@
         assertEquals(REDIRECT, router.route("vm-1", LEADER, true, 101.5));
     }
 
+    /**
+     * A worker that returns 5 s after a redirect to the leader could not connect to it. Its
+     * heartbeats must be relayed for 30 s, instead of redirecting it each time. After that it must
+     * be redirected again.
+     */
     @Test
     void relaysWhileReturnedWorkerCannotConnectToLeader() {
         router.route("vm-1", LEADER, true, 100);
@@ -36,41 +47,61 @@
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 106.5));
         router.onRelayEnded("vm-1", true, 106.5);
         assertEquals(RELAY, router.route("vm-1", LEADER, true, 108));
-        assertEquals(REDIRECT, router.route("vm-1", LEADER, true, relayAndReturnNextSeconds()));
+        assertEquals(REDIRECT, router.route("vm-1", LEADER, true, renewLeaseUntilNextHeartbeat()));
     }
 
-    /** Reports a successful relay at 139 s, and returns when the next heartbeat arrives. */
-    private double relayAndReturnNextSeconds() {
+    /** Reports a successful relay at 139 s, and returns the time of the next heartbeat, 140 s. */
+    private double renewLeaseUntilNextHeartbeat() {
         router.onRelayEnded("vm-1", true, 139);
         return 140;
     }
 
     /**
-     * The controller in the third zone responds to the worker, but redirects it once to the leader,
-     * to which the worker cannot connect. So the redirects to this controller have failed only
-     * after the second one. One is enough if the controller is in the leader's zone.
+     * The other follower, in a third zone, responds to the worker, but redirects it once to the
+     * leader, to which the worker cannot connect. So redirects to the other follower must count as
+     * failed only after the second one, and only within the lease. One is enough if the other
+     * follower is in the leader's zone.
      */
     @Test
     void redirectsTwiceToControllerInThirdZone() {
-        assertFalse(router.haveRedirectsFailed("vm-1", "lead", 100));
-        router.route("vm-1", LEADER, false, 100);
-        assertFalse(router.haveRedirectsFailed("vm-1", "lead", 106));
-        router.route("vm-1", LEADER, false, 106);
-        assertTrue(router.haveRedirectsFailed("vm-1", "lead", 111));
-        assertFalse(router.haveRedirectsFailed("vm-1", "lead", 116));
+        assertFalse(
+                router.haveRedirectsFailed("vm-1", "lead", 100),
+                "failed without a redirect, expected not failed");
+        router.route("vm-1", LEADER, /* hasLeaderContact= */ false, 100);
+        assertFalse(
+                router.haveRedirectsFailed("vm-1", "lead", 106),
+                "failed after one redirect to a third zone, expected not failed");
+        router.route("vm-1", LEADER, /* hasLeaderContact= */ false, 106);
+        assertTrue(
+                router.haveRedirectsFailed("vm-1", "lead", 111),
+                "not failed 5 s after the second redirect, expected failed");
+        assertFalse(
+                router.haveRedirectsFailed("vm-1", "lead", 116),
+                "failed 10 s after the last redirect, a whole lease, expected not failed");
         HeartbeatRouter twoZones =
-                new HeartbeatRouter(ImmutableMap.of("lead", "a", "third", "a"), 10);
-        twoZones.route("vm-1", LEADER, false, 100);
-        assertTrue(twoZones.haveRedirectsFailed("vm-1", "lead", 106));
+                new HeartbeatRouter(
+                        ImmutableMap.of("lead", "a", "third", "a"), /* leaseSeconds= */ 10);
+        twoZones.route("vm-1", LEADER, /* hasLeaderContact= */ false, 100);
+        assertTrue(
+                twoZones.haveRedirectsFailed("vm-1", "lead", 106),
+                "not failed after one redirect to the leader's zone, expected failed");
     }
 
+    /**
+     * A controller without contact to the leader cannot relay to it. It must redirect the worker to
+     * the other follower, or to any controller if the leader is unknown.
+     */
     @Test
     void redirectsToOtherPeerWithoutLeaderContact() {
         assertEquals(
                 new HeartbeatRouter.Redirect(Optional.of("third")),
-                router.route("vm-1", LEADER, false, 100));
+                router.route("vm-1", LEADER, /* hasLeaderContact= */ false, 100));
         assertEquals(
                 new HeartbeatRouter.Redirect(Optional.empty()),
-                router.route("vm-1", Optional.empty(), false, 100));
+                router.route(
+                        "vm-1",
+                        /* leader= */ Optional.empty(),
+                        /* hasLeaderContact= */ false,
+                        100));
     }
 }
