--- a/src/main/java/io/kelphoist/eventloop/EventLoop.java
+++ b/src/main/java/io/kelphoist/eventloop/EventLoop.java
@@ -15,9 +15,9 @@
     double nowSeconds();
 
     /**
-     * Runs a task once on this thread after a delay.
+     * Runs a task once on the event loop's thread after a delay, never from within this call.
      *
-     * @param delaySeconds delay from now
+     * @param delaySeconds delay from now; with 0 the task runs soon, as a separate event
      */
     void schedule(double delaySeconds, Runnable task);
 }
--- a/src/main/java/io/kelphoist/model/CloudInstance.java
+++ b/src/main/java/io/kelphoist/model/CloudInstance.java
@@ -4,7 +4,7 @@
  * A machine in the instance list of the cloud. The list lags behind the actual state.
  *
  * @param address host and port of the machine's worker; null if none is assigned yet
- * @param ageSeconds time since the machine was launched
+ * @param ageSeconds time since the machine was launched; 0 if the cloud did not state it
  */
 public record CloudInstance(
         String name,
--- a/src/main/java/io/kelphoist/model/DelegatedRenewals.java
+++ b/src/main/java/io/kelphoist/model/DelegatedRenewals.java
@@ -12,7 +12,8 @@
     /**
      * Returns the latest time at which a machine's lease may have been renewed under a delegation,
      * by another controller or by this one while it was not authorized to act as the leader. In
-     * seconds of the monotonic clock; never later than {@code nowSeconds}.
+     * seconds of the monotonic clock; never later than {@code nowSeconds}; negative infinity if no
+     * such renewal is possible.
      */
     double latestRenewalAtSeconds(String machineName, String zone, double nowSeconds);
 }
--- a/src/main/java/io/kelphoist/model/JobRecord.java
+++ b/src/main/java/io/kelphoist/model/JobRecord.java
@@ -5,8 +5,8 @@
  *
  * @param spec null if the job is done, because the spec is then no longer stored, or if it was
  *     removed by {@link #withoutSpec}
- * @param timestampMillis when the job was accepted, or for a done job when its end was stored; 0 if
- *     the record has no timestamp
+ * @param timestampMillis when the job was accepted, or for a done job when its end was stored, by
+ *     the wall clock; 0 if the record has no timestamp
  * @param version revision of the state store at which the record was last changed
  * @param owner null if the record has none, because the job ended before owners were stored
  */
--- a/src/main/java/io/kelphoist/model/NameIndex.java
+++ b/src/main/java/io/kelphoist/model/NameIndex.java
@@ -32,7 +32,11 @@
         return indicesByName.getInt(name);
     }
 
-    /** Returns the name that has an index. */
+    /**
+     * Returns the name that has an index.
+     *
+     * @throws IndexOutOfBoundsException if no name has it
+     */
     public String name(int index) {
         return names.get(index);
     }
--- a/src/main/java/io/kelphoist/sockets/SocketBudget.java
+++ b/src/main/java/io/kelphoist/sockets/SocketBudget.java
@@ -15,7 +15,7 @@
  * @param limit number of sockets that the process may open, from the platform's settings
  */
 public record SocketBudget(int limit) {
-    /** Number of sockets where the platform's settings have no limit. */
+    /** Number of sockets that the process may open if the platform's settings have no limit. */
     public static final int DEFAULT_LIMIT = 4096;
 
     /**
@@ -69,7 +69,7 @@
 
     /**
      * Returns the maximum number of incoming connections of an HTTP listener that wait to be
-     * accepted; they use sockets too.
+     * accepted. They count towards the limit too.
      */
     public int backlog() {
         return Math.max(1, Math.min(MAX_BACKLOG, limit / BACKLOG_DIVISOR));
--- a/src/test/java/io/kelphoist/model/JobRecordFixtures.java
+++ b/src/test/java/io/kelphoist/model/JobRecordFixtures.java
@@ -7,6 +7,11 @@
     /** Returns the record of {@code job-NUMBER}. As in the state store, a done job has no spec. */
     public static JobRecord jobRecord(int number, JobStatus status, long version) {
         JobSpec spec = new JobSpecBuilder("job-" + number).resourcesPerTask(Resources.NONE).build();
-        return new JobRecord(spec.id(), status == JobStatus.DONE ? null : spec, status, 0, version);
+        return new JobRecord(
+                spec.id(),
+                status == JobStatus.DONE ? null : spec,
+                status,
+                /* timestampMillis= */ 0,
+                version);
     }
 }
--- a/src/test/java/io/kelphoist/model/JobSpecBuilder.java
+++ b/src/test/java/io/kelphoist/model/JobSpecBuilder.java
@@ -66,23 +66,23 @@
     public JobSpec build() {
         return new JobSpec(
                 id,
-                "c",
-                "t",
+                /* jobClass= */ "c",
+                /* team= */ "t",
                 kind,
                 priority,
                 tasks,
                 resourcesPerTask,
-                null,
-                null,
-                false,
-                false,
-                false,
+                /* machineTypes= */ null,
+                /* zone= */ null,
+                /* singleZone= */ false,
+                /* spreadAcrossZones= */ false,
+                /* spotAllowed= */ false,
                 image,
-                1,
+                /* imageSizeGb= */ 1,
                 estimatedSeconds,
                 checkpointIntervalSeconds,
                 checkpointSaveSeconds,
-                null,
+                /* deadlineSeconds= */ null,
                 dependencies);
     }
 }
--- a/src/test/java/io/kelphoist/simulation/EventCounts.java
+++ b/src/test/java/io/kelphoist/simulation/EventCounts.java
@@ -42,6 +42,8 @@
     /** Fails unless more than {@code threshold} events of a kind were counted. */
     public void assertMoreThan(int threshold, E event) {
         int count = get(event);
-        assertTrue(count > threshold, event + ": " + count + ", expected more than " + threshold);
+        assertTrue(
+                count > threshold,
+                event + " occurred " + count + " times, expected more than " + threshold);
     }
 }
