--- a/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
+++ b/src/test/java/io/kelphoist/replication/MachineStateReplicaTest.java
@@ -118,11 +118,7 @@
         publisher.publish(machines);
         int updates = 0;
         while (replica.state(updates) != MachineStateReplica.State.IN_SYNC) {
-            assertFalse(
-                    replica.isComplete(),
-                    "replica is complete before it is in sync, with "
-                            + replica.size()
-                            + " of 4000");
+            assertFalse(replica.isComplete(), "replica is complete before it is in sync");
             MachineStatePublisher.MachineStateUpdate update = publisher.nextUpdate("f", updates);
             int changes = update.changedMachines().size();
             assertTrue(
@@ -136,8 +132,7 @@
         }
         assertEquals(4000, replica.size());
         assertTrue(updates <= 28, updates + " updates, expected at most 28");
-        // Without updates the replica lags. The update of a newer leader without machines clears
-        // it.
+        // Without updates the replica lags. An update of a newer leader without machines clears it.
         assertEquals(MachineStateReplica.State.LAGGING, replica.state(updates + 10));
         assertTrue(replica.isComplete(), "replica is not complete, but only updates are missing");
         replica.apply(6, new MachineStatePublisher().nextUpdate("f", 0), updates + 11);
