--- a/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
@@ -137,9 +137,9 @@
     }
 
     /**
-     * After an unknown outcome, reads the leader key to determine whether it was written. If the
-     * key cannot be read, the attempt fails; the state store deletes a key that was written
-     * together with the lease, whose revocation is requested.
+     * After an unknown outcome, reads the leader key to determine whether it was written. If that
+     * read fails too, the attempt fails and its lease is revoked; with the lease, the state store
+     * deletes the leader key if it was written.
      */
     private void confirm(Attempt attempt) {
         stateClient.get(
