--- a/src/main/java/io/kelphoist/scheduler/SchedulerComponents.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerComponents.java
@@ -77,7 +77,7 @@
                         jobs,
                         jobDependencies,
                         jobFactory,
-                        context.attempts(),
+                        context.attemptLifecycle(),
                         records.progress(),
                         output);
         jobEndWriter = new JobEndWriter(output);
@@ -129,11 +129,15 @@
     private HeartbeatApplier createHeartbeatApplier(BootTimeEstimator bootTimeEstimator) {
         TaskAttemptHandler attemptHandler =
                 new TaskAttemptHandler(
-                        context.attempts(), jobEndWriter, imageCatalog, records, context.output());
+                        context.attemptLifecycle(),
+                        jobEndWriter,
+                        imageCatalog,
+                        records,
+                        context.output());
         AttemptReconciler attemptReconciler =
                 new AttemptReconciler(
                         context.jobs(),
-                        context.attempts(),
+                        context.attemptLifecycle(),
                         attemptHandler,
                         context.machineLifecycle(),
                         records.starts());
--- a/src/main/java/io/kelphoist/scheduler/StateRecovery.java
+++ b/src/main/java/io/kelphoist/scheduler/StateRecovery.java
@@ -32,7 +32,7 @@
         this.catalog = context.catalog();
         this.machines = context.machines();
         this.jobs = context.jobs();
-        this.attempts = context.attempts();
+        this.attempts = context.attemptLifecycle();
         this.records = records;
     }
 
--- a/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
@@ -79,7 +79,7 @@
      */
     public static Allocator create(SchedulerContext context) {
         MachineRegistry machines = context.machines();
-        AttemptLifecycle attempts = context.attempts();
+        AttemptLifecycle attempts = context.attemptLifecycle();
         SchedulingPolicy policy = context.policy();
         SchedulerOutput output = context.output();
         Preemptor preemptor = new Preemptor(machines, context.catalog(), attempts, policy, output);
@@ -114,7 +114,7 @@
      * {@link Preemptor} hold machines and preempt tasks for some of the remaining jobs.
      */
     public void allocate(double nowSeconds) {
-        gangReservations.releaseExpired(nowSeconds);
+        gangReservations.releaseInvalid(nowSeconds);
         Map<TeamUsage, List<Job>> waitingJobsByTeam = findWaitingJobs(nowSeconds);
         unplacedJobs =
                 waitingJobsByTeam.isEmpty() ? List.of() : place(waitingJobsByTeam, nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
@@ -96,7 +96,7 @@
      * Releases reservations that expired, whose job is not active any more or has started, or whose
      * machine accepts no work.
      */
-    void releaseExpired(double nowSeconds) {
+    void releaseInvalid(double nowSeconds) {
         releaseIf(
                 reservation ->
                         !reservation.job.isActive()
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
@@ -58,7 +58,7 @@
         policy = context.policy();
         SchedulerOutput output = context.output();
         scaleOutRequests = new ScaleOutRequests(context.term(), catalog, machines, output);
-        consolidator = new MachineConsolidator(machines, context.attempts());
+        consolidator = new MachineConsolidator(machines, context.attemptLifecycle());
         scaleInController = new ScaleInController(machines, policy, output, bootTimes);
         instanceListReconciler =
                 new InstanceListReconciler(machines, catalog, context.machineLifecycle());
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -33,7 +33,7 @@
 
     /** Applies a page of the instance list. */
     void onPage(InstanceListPage page, double nowSeconds) {
-        for (String name : tracker.findTerminated(page)) {
+        for (String name : tracker.applyPage(page)) {
             removeTerminated(name, nowSeconds);
         }
         for (CloudInstance instance : page.instances()) {
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
@@ -40,7 +40,7 @@
      * Records the instances of a page, and returns the names of instances that the page proves to
      * be terminated.
      */
-    List<String> findTerminated(InstanceListPage page) {
+    List<String> applyPage(InstanceListPage page) {
         double pageAtSeconds = pageTime(page);
         if (Double.isNaN(pageAtSeconds)) {
             return List.of();
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineRegistry.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineRegistry.java
@@ -65,7 +65,7 @@
     /** Adds a machine, and restores what an earlier term stored of its image cache. */
     public void add(Machine machine) {
         machinesByName.put(machine.name(), machine);
-        machine.images().trackIn(imageLocations);
+        machine.images().setLocations(imageLocations);
         cachedImagesRestorer.accept(machine);
     }
 
--- a/src/main/java/io/kelphoist/scheduler/images/ImageCache.java
+++ b/src/main/java/io/kelphoist/scheduler/images/ImageCache.java
@@ -27,7 +27,7 @@
     }
 
     /** Sets the index in which references are kept; must be called once, before other methods. */
-    public void trackIn(ImageLocations<M> imageLocations) {
+    public void setLocations(ImageLocations<M> imageLocations) {
         locations = imageLocations;
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** Removes all images, as the machine and its cache are terminated. */
-    public void clear() {
+    public void onMachineTerminated() {
         cached.forEach(this::removeReference);
         cached.clear();
     }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -38,7 +38,7 @@
     private final AttemptLifecycle attempts;
     private final MachineLifecycle machineLifecycle;
     private final DelegatedRenewals delegatedRenewals;
-    private final StopEnforcer stopEnforcer;
+    private final StopMonitor stopMonitor;
     private double nextRunAtSeconds;
 
     /** Creates the monitor of the machines of a term. */
@@ -46,10 +46,10 @@
         this.policy = context.policy();
         this.machines = context.machines();
         this.zones = context.catalog().zones();
-        this.attempts = context.attempts();
+        this.attempts = context.attemptLifecycle();
         this.machineLifecycle = context.machineLifecycle();
         this.delegatedRenewals = delegatedRenewals;
-        this.stopEnforcer = new StopEnforcer(policy, attempts);
+        this.stopMonitor = new StopMonitor(policy, attempts);
     }
 
     /** Checks every machine, if {@link #RUN_INTERVAL_SECONDS} have passed since the last run. */
@@ -63,9 +63,9 @@
             if (hasLeaseExpired(machine, nowSeconds)) {
                 expireLease(machine, nowSeconds);
             }
-            stopEnforcer.applyTerminationNotice(machine, nowSeconds);
+            stopMonitor.requestStopsBeforeTermination(machine, nowSeconds);
             endOverdueHold(machine, nowSeconds);
-            stopEnforcer.escalateOverdueStops(machine, nowSeconds);
+            stopMonitor.escalateOverdueStops(machine, nowSeconds);
         }
     }
 
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
@@ -80,7 +80,7 @@
             attempts.removeAll(machine, nowSeconds);
             startIntentLog.onNothingRunning(machine);
             imageRecords.onMachineTerminated(machine);
-            machine.images().clear();
+            machine.images().onMachineTerminated();
         }
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/SchedulerContext.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/SchedulerContext.java
@@ -16,7 +16,7 @@
  * @param catalog the zones and machine types
  * @param machines the machines of the term
  * @param jobs the jobs of the term
- * @param attempts starts, stops and removes attempts
+ * @param attemptLifecycle starts, stops and removes attempts
  * @param machineLifecycle handles expired leases and terminated machines
  * @param activeCandidates the candidates of the allocator's present run
  */
@@ -27,6 +27,6 @@
         MachineCatalog catalog,
         MachineRegistry machines,
         JobRegistry jobs,
-        AttemptLifecycle attempts,
+        AttemptLifecycle attemptLifecycle,
         MachineLifecycle machineLifecycle,
         ActiveCandidates activeCandidates) {}
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/StopEnforcer.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/StopMonitor.java
@@ -10,7 +10,7 @@
  * Stops tasks on machines that the cloud is about to terminate, and tasks that did not end within
  * their grace.
  */
-final class StopEnforcer {
+final class StopMonitor {
     /** A stop that takes this much longer than its grace plus the gang peer timeout is overdue. */
     private static final double OVERDUE_MARGIN_SECONDS = 5;
 
@@ -21,7 +21,7 @@
     private final AttemptLifecycle attempts;
 
     /** Creates the enforcer of the stops of a term. */
-    StopEnforcer(SchedulingPolicy policy, AttemptLifecycle attempts) {
+    StopMonitor(SchedulingPolicy policy, AttemptLifecycle attempts) {
         this.policy = policy;
         this.attempts = attempts;
     }
@@ -31,7 +31,7 @@
      * as a checkpoint can still be saved before the cloud terminates the machine. A checkpointed
      * task that is not of a gang and has too little time left to save is not stopped.
      */
-    void applyTerminationNotice(Machine machine, double nowSeconds) {
+    void requestStopsBeforeTermination(Machine machine, double nowSeconds) {
         if (!machine.hasTerminationNotice()) {
             return;
         }
--- a/src/test/java/io/kelphoist/scheduler/placement/PlacementCandidatesTest.java
+++ b/src/test/java/io/kelphoist/scheduler/placement/PlacementCandidatesTest.java
@@ -114,7 +114,7 @@
                                 null,
                                 Machine.State.UP,
                                 0);
-                machine.images().trackIn(imageLocations);
+                machine.images().setLocations(imageLocations);
                 machines.add(machine);
                 for (int image = random.nextInt(4); image > 0; image--) {
                     machine.images().recordUse(random.nextInt(5), 1 + image, number -> 1 + number);
