--- a/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
@@ -33,7 +33,7 @@
  * with tasks that were not started are passed to the {@link Preemptor}.
  */
 public final class Allocator {
-    /** Bounds the duration of one run; the next run continues. A gang is one start. */
+    /** Bounds the duration of one run; the next run starts further tasks. A gang is one start. */
     private static final int MAX_STARTS_PER_RUN = 200;
 
     /**
@@ -99,7 +99,10 @@
                 schedulersByKind);
     }
 
-    /** Jobs with pending tasks that the last run did not start, most urgent first. */
+    /**
+     * Jobs that still had pending tasks after the last run had placed tasks, most urgent first;
+     * without jobs in retry backoff.
+     */
     public List<Job> unplacedJobs() {
         return unplacedJobs;
     }
@@ -122,8 +125,8 @@
     }
 
     /**
-     * Updates and returns the active jobs that have pending tasks and are not in retry backoff, by
-     * team and most urgent first.
+     * Returns the active jobs that have pending tasks and are not in retry backoff, by team and
+     * most urgent first, after updating which of them are aged and which still avoid machines.
      */
     private Map<TeamUsage, List<Job>> findWaitingJobs(double nowSeconds) {
         Map<TeamUsage, List<Job>> waitingJobsByTeam = new LinkedHashMap<>();
@@ -193,7 +196,7 @@
      * Repeatedly offers free resources to the team with the lowest weighted share, until no team
      * starts another task or {@link #MAX_STARTS_PER_RUN} is reached.
      *
-     * @param unplaced receives the jobs with pending tasks that were not started
+     * @param unplaced receives the jobs that still have pending tasks
      */
     private void offerToTeams(
             ResourceOffer offer,
@@ -232,8 +235,8 @@
 
     /**
      * Offers free resources to a team's jobs, most urgent first, until one of them starts a task or
-     * a gang. A job that rejects the offer gets no further one in this run, because free resources
-     * only shrink within a run.
+     * a gang. A job that rejects the offer gets no further one in this run, because within a run
+     * free resources only shrink, except when a gang releases its reservations.
      *
      * @param unplaced receives the jobs that rejected the offer
      * @return whether a job started a task or a gang
@@ -257,9 +260,10 @@
     }
 
     /**
-     * Reserves the resources for the pending tasks of an unplaced gang or service under the team's
-     * limit, for the rest of the run, unless a task of it has run. Tasks of lower priority that
-     * used these resources would be preempted again for that job.
+     * Charges the resources for the pending tasks of an unplaced gang or service to the team's
+     * limit until all teams have been offered resources. Otherwise, tasks of lower priority could
+     * start within the limit, and would be preempted again for that job. Does nothing for a service
+     * of which a replica has run, and for a gang of which a task has run in its current attempt.
      */
     private static void reserveForUrgentJob(Job job) {
         if (job.spec().kind() != JobKind.ARRAY && !job.hasRun()) {
--- a/src/main/java/io/kelphoist/scheduler/allocation/ArrayScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/ArrayScheduler.java
@@ -16,8 +16,9 @@
     private static final double MIN_LOCALITY_WAIT_SECONDS = 1.0;
 
     /**
-     * A task waits at most for this share of the expected fetch duration, or for {@link
-     * #MIN_LOCALITY_WAIT_SECONDS} if that is longer.
+     * A task waits at most for this share of the expected fetch duration, and at most for {@link
+     * SchedulingPolicy#localityWaitSeconds}. If either is shorter than {@link
+     * #MIN_LOCALITY_WAIT_SECONDS}, it waits at most for the latter.
      */
     private static final double LOCALITY_WAIT_FETCH_SHARE = 0.25;
 
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangReservations.java
@@ -19,9 +19,10 @@
  * Reservations of resources for gangs that do not fit as a whole yet. Owns the reservations.
  *
  * <p>Reservations are charged to the gang's team and are made only while the team's usage,
- * including its reservations, stays within its guarantee. They expire after {@link
- * SchedulingPolicy#gangReservationSeconds}; for the same duration after that, the gang gets no new
- * ones.
+ * including its reservations, stays within its guarantee. Each time that the gang is offered
+ * resources, they are released and, if it still does not fit, made again. They expire {@link
+ * SchedulingPolicy#gangReservationSeconds} after the first ones were made; when the gang is next to
+ * get reservations after that, it gets none for the same duration instead.
  */
 final class GangReservations {
     /** Resources on one machine, reserved for one task of a gang. */
@@ -45,12 +46,12 @@
     }
 
     /**
-     * Reserves resources for the tasks of a gang that could be placed. If the gang's reservation
-     * has expired, it reserves nothing and starts a pause instead, during which calls for the gang
-     * have no effect.
+     * Reserves resources for the tasks of a gang that could be placed, as far as the team's
+     * guarantee allows. If the gang's reservation has expired, reserves nothing and starts a pause
+     * instead, during which calls for the gang have no effect.
      *
      * @param taskMachines the machine of each task that could be placed; a machine occurs once for
-     *     each task placed on it
+     *     each task placed on it. If empty, nothing is reserved and no pause is started.
      */
     void reserve(Job job, List<Machine> taskMachines, double nowSeconds) {
         if (nowSeconds < job.capacityAcquisition().noReservationBeforeSeconds()
@@ -93,8 +94,8 @@
     }
 
     /**
-     * Releases reservations that expired, whose job is not active any more or has started, or whose
-     * machine accepts no work.
+     * Releases the reservations that have expired, whose job is not active any more or has an
+     * attempt, or whose machine accepts no work.
      */
     void releaseInvalid(double nowSeconds) {
         releaseIf(
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
@@ -51,10 +51,11 @@
 
     /**
      * Starts the gang on machines with free resources, unless it would start sooner on machines
-     * where tasks are preempted for it. In that case it starts only once the machines held for it
-     * have free resources for all of its tasks.
+     * where tasks are preempted for it, see {@link Preemptor#isSoonerThanFetch}. In that case it
+     * starts only once the machines held for it have free resources for all of its tasks.
      *
      * @param taskMachines the machine of each task, with free resources for it
+     * @return whether the gang was started
      */
     private boolean startUnlessPreemptionIsSooner(
             ResourceOffer offer, Job job, List<Machine> taskMachines) {
@@ -81,9 +82,11 @@
     }
 
     /**
-     * Restarts a task that ended before any task of the gang ran, with the attempt id of the other
-     * tasks. Does nothing while another task is stopping, or while another task is only presumed
-     * from an earlier term's record, because the gang's attempt id is not known yet.
+     * Restarts one task that ended before any task of the gang ran, with the attempt id of the
+     * other tasks. Does nothing while another task is stopping, or while another task is only
+     * presumed from an earlier term's record, because the gang's attempt id is not known yet.
+     *
+     * @return whether a task was started
      */
     private boolean startReplacement(ResourceOffer offer, Job job) {
         int task = job.tasks().firstPending();
--- a/src/main/java/io/kelphoist/scheduler/allocation/QueueWaitTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/QueueWaitTracker.java
@@ -13,8 +13,10 @@
 
 /**
  * Tracks how long jobs wait for their first task to start, and logs long waits with their reasons.
- * Large jobs wait longest, because the resources for them become free slowly; {@link Preemptor},
- * {@link GangScheduler} and {@link Job#isAged} bound their wait.
+ * Large jobs wait longest, because the resources for them become free slowly. Three mechanisms
+ * shorten their wait, but guarantee no maximum: the {@link Preemptor} frees resources for jobs, but
+ * not for job arrays beyond their team's guarantee; {@link GangReservations} keep resources for
+ * gangs; and {@link Job#isAged aged} jobs are placed before others of their team and priority.
  */
 public final class QueueWaitTracker {
     private static final Logger LOG = LoggerFactory.getLogger(QueueWaitTracker.class);
@@ -36,8 +38,8 @@
     }
 
     /**
-     * The longest current wait of a job that has not started any task, in seconds; 0 if no job
-     * waits.
+     * The longest wait of an active job that has not started any task, in seconds, as of the last
+     * update; 0 if no job waits.
      */
     public double longestWaitSeconds() {
         return longestWaitSeconds;
@@ -47,7 +49,7 @@
      * Updates the longest wait and logs long waits, unless it did so less than {@link
      * #RUN_INTERVAL_SECONDS} ago.
      *
-     * @param unplacedJobs jobs with pending tasks that the allocator did not start, most urgent
+     * @param unplacedJobs jobs that still have pending tasks after the allocator's run, most urgent
      *     first
      */
     public void run(List<Job> unplacedJobs, double nowSeconds) {
@@ -73,7 +75,7 @@
                     && loggedJobCount++ < MAX_LOGGED_JOBS_PER_RUN) {
                 loggedAtSeconds.put(job, nowSeconds);
                 LOG.warn(
-                        "job waiting for resources: job={} class={} tasks={} resourcesPerTask={} waitSeconds={} reason={}",
+                        "job waiting to start: job={} class={} tasks={} resourcesPerTask={} waitSeconds={} reason={}",
                         job.spec().id(),
                         job.spec().jobClass(),
                         job.spec().tasks(),
@@ -90,14 +92,23 @@
         if (job.isSuspectedFaulty()) {
             return "tasks failed on several machines";
         } else if (!job.team().isWithinLimit(required)) {
-            return "job would exceed the team's limit, used " + job.team().used();
+            return "job would exceed the team's limit: demand "
+                    + required
+                    + ", used "
+                    + job.team().used()
+                    + ", reserved for gangs "
+                    + job.team().reservedForGangs()
+                    + ", limit "
+                    + job.team().team().limit();
         } else if (job.capacityAcquisition().hasHeldMachines()) {
-            return job.capacityAcquisition().heldMachineCount() + " machines held for the job";
+            return "resources still to be freed on "
+                    + job.capacityAcquisition().heldMachineCount()
+                    + " machines held for the job";
         } else if (job.capacityAcquisition().reservedUntilSeconds() > nowSeconds) {
-            return "resources reserved for part of the gang";
+            return "not enough free resources for the whole gang, resources for some of its tasks may be reserved";
         }
         return job.team().isWithinGuarantee(required)
-                ? "not enough free resources, within the team's guarantee"
-                : "not enough free resources, beyond the team's guarantee";
+                ? "not enough free resources, although with this job the team stays within its guarantee"
+                : "not enough free resources, and with this job the team exceeds its guarantee";
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/Autoscaler.java
@@ -68,7 +68,7 @@
      * Decides on scale-out and scale-in, if a decision is due. Sends due retries of scale-out
      * requests on every call.
      *
-     * @param unplacedJobs jobs with pending tasks that the allocator did not start, most urgent
+     * @param unplacedJobs jobs that still have pending tasks after the allocator's run, most urgent
      *     first
      */
     public void scaleToDemand(List<Job> unplacedJobs, double nowSeconds) {
@@ -91,7 +91,7 @@
         scaleInController.requestTermination(nowSeconds);
     }
 
-    /** The headroom to provide, in machines; none while there are no jobs. */
+    /** The headroom to provide, in machines; 0 while there are no jobs, or if none is set. */
     private double headroomMachines(ScaleOutPlan plan) {
         return jobs.all().isEmpty() || policy.headroom() == 0
                 ? 0
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/BootTimeEstimator.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/BootTimeEstimator.java
@@ -39,7 +39,7 @@
 
     /**
      * Scale-out plans include a booting machine for this multiple of the longest recent boot, if
-     * that is longer.
+     * that is longer. Of the boot, at most {@link #BOOT_TIMEOUT_FACTOR} nominal boot times count.
      */
     private static final double RECENT_BOOT_MARGIN_FACTOR = 1.2;
 
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/FleetSummary.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/FleetSummary.java
@@ -18,8 +18,14 @@
 final class FleetSummary {
     private final Map<String, Integer> machinesByState = new TreeMap<>();
     private final Map<JobKind, Integer> unplacedTasksByKind = new TreeMap<>();
+
+    /** Resources that attempts occupy, in machines. */
     private double usedMachines;
+
+    /** Resources of the running tasks, in machines. */
     private double runningMachines;
+
+    /** Free resources of held machines and resources reserved for gangs, in machines. */
     private double heldMachines;
 
     private FleetSummary() {}
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -85,7 +85,10 @@
         return adopted;
     }
 
-    /** Takes over the instance's address, if the machine has none, and its failure. */
+    /**
+     * Sets the machine's address, if it has none. Handles a failure of the instance, unless the
+     * machine's termination was requested before.
+     */
     private void update(Machine machine, CloudInstance instance, double nowSeconds) {
         if (machine.address() == null) {
             machine.updateAddress(instance.address());
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListTracker.java
@@ -10,35 +10,41 @@
 import java.util.TreeMap;
 
 /**
- * Determines from the cloud's instance lists which instances are terminated. Once an instance has
- * been listed, it stays listed until it is terminated. Lists are delayed, however, and a list may
- * be older than the one received before it. An instance that is missing from a list is therefore
- * taken as terminated only if the list describes a later time than a list that contained it.
+ * Determines from the pages of the cloud's instance lists which instances are terminated. Each page
+ * lists all instances, in a range of names, that existed at one time. Once an instance has been
+ * listed, it stays listed until it is terminated. Pages are delayed, however, and a page may
+ * describe an earlier time than a page received before it. An instance that is missing from a page
+ * whose range contains its name is therefore taken as terminated only if the page describes a later
+ * time than all pages that listed the instance.
  *
- * <p>A list does not state which time it describes. That time is computed from the ages of the
- * instances that the list shares with earlier lists. It is measured on a clock of the lists, which
- * is zero at the time that the first page described.
+ * <p>A page does not state which time it describes. That time is computed from the ages of the
+ * instances on the page that earlier pages listed too. It is measured on the clock of the pages,
+ * which is zero at the time that the first page with instances describes. A later page that lists
+ * no recorded instance is ignored, because its time cannot be computed.
  *
- * <p>Lists are needed because the cloud terminates spot instances without notice, and a worker
- * lease takes several times as long to expire as lists are delayed.
+ * <p>Instance lists are needed because the cloud terminates spot instances without notice, and a
+ * worker lease takes several times as long to expire as the lists are delayed.
  */
 final class InstanceListTracker {
-    /** The precision of the ages in instance lists. */
+    /** The precision of the ages on the pages. */
     private static final double AGE_PRECISION_SECONDS = 0.5;
 
     /**
-     * An instance that was listed. Times are on the clock of the lists.
+     * An instance that was listed. Times are on the clock of the pages.
      *
      * @param createdAtSeconds when the instance was created
-     * @param lastListedAtSeconds the latest time that a list containing the instance described
+     * @param lastListedAtSeconds the latest time that a page with the instance describes
      */
     private record ListedInstance(double createdAtSeconds, double lastListedAtSeconds) {}
 
     private final TreeMap<String, ListedInstance> instancesByName = new TreeMap<>();
 
     /**
-     * Records the instances of a page, and returns the names of instances that the page proves to
+     * Records the instances of a page, and removes the records of instances that the page proves to
      * be terminated.
+     *
+     * @return the names of the instances that the page proves to be terminated; empty if the time
+     *     of the page cannot be computed, in which case nothing is recorded
      */
     List<String> applyPage(InstanceListPage page) {
         double pageAtSeconds = pageTime(page);
@@ -85,9 +91,9 @@
     }
 
     /**
-     * The time that a page describes, on the clock of the lists: the earliest of the times implied
-     * by the ages of the instances that it shares with earlier lists; 0 for the first page. NaN if
-     * the page shares no instance with earlier lists.
+     * The time that a page describes, on the clock of the pages: the earliest of the times implied
+     * by the ages of those of its instances that are recorded; 0 for the first page with instances.
+     * NaN for another page if none of its instances is recorded.
      */
     private double pageTime(InstanceListPage page) {
         if (instancesByName.isEmpty() && !page.instances().isEmpty()) {
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/MachineCapacity.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/MachineCapacity.java
@@ -29,7 +29,7 @@
 
     /** The capacity of a machine that is not up yet; all of its resources are free. */
     static MachineCapacity ofNewMachine(MachineType type, int zone, boolean spot) {
-        return new MachineCapacity(type, zone, spot, type.capacity(), true);
+        return new MachineCapacity(type, zone, spot, type.capacity(), /* empty= */ true);
     }
 
     MachineType type() {
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/MachineConsolidator.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/MachineConsolidator.java
@@ -88,7 +88,10 @@
         }
     }
 
-    /** The free resources on on-demand machines, in machines. */
+    /**
+     * The free resources of the on-demand machines that accept work, in machines. Reserved
+     * resources and those of held machines count as free.
+     */
     private double freeMachines(double nowSeconds) {
         double freeMachines = 0;
         for (Machine machine : machines.all()) {
@@ -147,7 +150,7 @@
                 return;
             }
         }
-        replicas.forEach(attempt -> attempts.stop(attempt, 0, nowSeconds));
+        replicas.forEach(attempt -> attempts.stop(attempt, /* graceSeconds= */ 0, nowSeconds));
     }
 
     /** Whether the attempt is a running replica of a service without pending replicas. */
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleInController.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleInController.java
@@ -27,9 +27,9 @@
     private static final double LOST_MACHINE_GRACE_SECONDS = 20;
 
     /**
-     * An unreachable machine is terminated after this many lease durations. Within the first one,
-     * the worker's lease expires, which ends the machine's tasks; the rest gives the connection
-     * time to recover.
+     * An unreachable machine is terminated once its worker has been suspected not to receive
+     * messages for more than this many lease durations. Within the first one, the worker's lease
+     * expires, which ends the machine's tasks; the rest gives the connection time to recover.
      */
     private static final double MAX_UNREACHABLE_LEASES = 2.5;
 
@@ -101,7 +101,10 @@
         return machine.spot() ? 0 : 1;
     }
 
-    /** Marks a machine that did not boot in time, is lost, drained, or unreachable and joining. */
+    /**
+     * Marks a machine that did not boot in time, was lost for too long, is draining and has no
+     * attempts left, or is joining and was unreachable for too long.
+     */
     private void markUnusableMachine(Machine machine, double nowSeconds) {
         switch (machine.state()) {
             case BOOTING -> {
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
@@ -23,8 +23,8 @@
     private static final int MAX_TASKS_PER_JOB = 200;
 
     /**
-     * Cost per machine that a pool already has, so that the pool with the fewest machines is chosen
-     * among pools of equal price.
+     * Cost per machine that a pool already has, in the unit of the hourly price, so that the pool
+     * with the fewest machines is chosen among pools of equal price.
      */
     private static final double MACHINE_COUNT_WEIGHT = 0.01;
 
@@ -198,12 +198,12 @@
     }
 
     /**
-     * The cheapest pool that allows the job's tasks and is not in backoff; among pools of equal
-     * price the one with the fewest machines; null if there is none.
+     * The pool with the lowest {@link #cost} among those that allow the job's tasks and are not in
+     * backoff; null if there is none.
      *
      * <p>A guest team (no guarantee) gets unused resources, and only spot instances are requested
      * for it: on-demand machines would be taken from the teams that are guaranteed them, at twice
-     * their worth. On-demand machines may still be requested for a job that does not allow spot
+     * the price. On-demand machines may still be requested for a job that does not allow spot
      * instances, and for the first task of a job, so that the job can start.
      *
      * @param hasPlannedTasks whether this plan already contains a task of the job
@@ -234,7 +234,10 @@
         return cheapest;
     }
 
-    /** The price of the share of a machine that a task uses, plus the cost of the pool's size. */
+    /**
+     * The hourly price of the share of a machine that a task uses, plus {@link
+     * #MACHINE_COUNT_WEIGHT} for each machine that the pool already has.
+     */
     private double cost(Job job, MachineType type, MachinePool pool) {
         double taskShare = job.spec().resourcesPerTask().dominantShare(type.capacity());
         return type.price(pool.spot()) * taskShare + MACHINE_COUNT_WEIGHT * machineCount(pool);
@@ -262,19 +265,19 @@
      *     reached without the machines that this call plans
      */
     double addHeadroom(double headroomMachines) {
-        double readyMachines = 0;
+        double freeMachines = 0;
         for (MachineCapacity capacity : capacities) {
             if (!capacity.spot()) {
-                readyMachines += capacity.freeShare();
+                freeMachines += capacity.freeShare();
             }
         }
-        for (double planned = readyMachines; planned < headroomMachines; planned++) {
+        for (double planned = freeMachines; planned < headroomMachines; planned++) {
             MachinePool pool = chooseHeadroomPool();
             if (pool != null) {
                 newMachinesByPool.merge(pool, 1, Integer::sum);
             }
         }
-        return readyMachines - headroomMachines;
+        return freeMachines - headroomMachines;
     }
 
     /**
@@ -286,7 +289,8 @@
         for (MachineType type : catalog.typesByName().values()) {
             for (String zone : type.zones()) {
                 MachinePool pool =
-                        new MachinePool(type.name(), catalog.zones().getOrAssign(zone), false);
+                        new MachinePool(
+                                type.name(), catalog.zones().getOrAssign(zone), /* spot= */ false);
                 if (!requests.isInBackoff(pool, nowSeconds)
                         && (best == null || headroomRank(pool) < headroomRank(best))) {
                     best = pool;
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
@@ -59,7 +59,7 @@
         return retryAtSecondsByRequest.keySet();
     }
 
-    /** Whether the pool is in backoff, as the cloud granted fewer machines than requested. */
+    /** Whether the pool is in backoff, as the cloud refused a request or granted fewer machines. */
     boolean isInBackoff(MachinePool pool, double nowSeconds) {
         return nowSeconds < backoffUntilSecondsByPool.getOrDefault(pool, 0.0);
     }
@@ -101,7 +101,10 @@
         }
     }
 
-    /** Applies the result of a request; if the result is unknown, schedules a retry. */
+    /**
+     * Applies the result of a request; if the result is unknown, schedules a retry. Ignores a
+     * request that already has a final result.
+     */
     void onResponse(ScaleOutRequest request, ScaleOutResult result, double nowSeconds) {
         if (!retryAtSecondsByRequest.containsKey(request)) {
             return;
@@ -145,7 +148,7 @@
                                     catalog.type(request.machineType()),
                                     catalog.zones().getOrAssign(request.zone()),
                                     request.spot()),
-                            null,
+                            /* address= */ null,
                             Machine.State.BOOTING,
                             nowSeconds));
         }
--- a/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
@@ -6,12 +6,12 @@
 /**
  * The state of the measures that obtain capacity for one job with pending tasks: capacity reserved
  * for its gang, machines held for it, the last check whether preempting other work would free
- * enough, and the preemption of its own team's tasks. Also holds when a possible placement of the
- * job was last declined. Reservations, holds and preemption in the own team each have a time before
- * which they are not started again; the interval between two checks is in {@code Preemptor}.
+ * enough, and the preemption of its own team's tasks. Also holds when a possible placement of a job
+ * array was last declined. Reservations, holds and preemption in the own team each have a time
+ * before which they are not started again; the interval between two checks is in {@code Preemptor}.
  */
 public final class CapacityAcquisition {
-    /** When a possible placement of the job was last declined, to wait for a better one. */
+    /** See {@link #onPlacementDeclined}. */
     private double placementDeclinedAtSeconds = Double.NEGATIVE_INFINITY;
 
     /** See {@link #reservedUntilSeconds()}. */
@@ -25,9 +25,9 @@
     private double noOwnTeamPreemptionBeforeSeconds;
 
     /**
-     * Whether the scheduler of the job's kind declined a possible placement in the current run of
-     * the allocator, to wait for a better one. Then no machine is held and no other work preempted
-     * for the job in this run.
+     * Whether, in the current run of the allocator, a possible placement of a job array was
+     * declined to wait for a machine that has its image cached. Then no machine is held and no
+     * other work preempted for the job in this run.
      *
      * @param nowSeconds the time of the run, which is exactly the same in all calls of the run
      */
@@ -35,7 +35,10 @@
         return placementDeclinedAtSeconds == nowSeconds;
     }
 
-    /** Called when a possible placement of the job is declined, to wait for a better one. */
+    /**
+     * Called when a possible placement of a job array is declined, to wait for a machine that has
+     * its image cached. Not called for a service that waits for machines held for it.
+     */
     public void onPlacementDeclined(double nowSeconds) {
         placementDeclinedAtSeconds = nowSeconds;
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/Job.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Job.java
@@ -59,7 +59,7 @@
     /** Number of dependencies for which no record as done was received. */
     private int unmetDependencyCount;
 
-    /** When its oldest pending task began to wait for placement. */
+    /** See {@link #waitingSinceSeconds()}. */
     private double waitingSinceSeconds;
 
     private boolean aged;
@@ -263,7 +263,7 @@
 
     // ---- waiting ----
 
-    /** When its oldest pending task began to wait for placement. */
+    /** When the wait of its pending tasks for placement began or was last restarted. */
     public double waitingSinceSeconds() {
         return waitingSinceSeconds;
     }
@@ -274,9 +274,9 @@
     }
 
     /**
-     * Whether it has been ready for {@link #AGED_AFTER_SECONDS} without starting a task. Within its
-     * team and priority an aged job is placed before jobs that are not aged, whatever their
-     * deadlines.
+     * Whether, as of the last {@link #updateWaiting}, it had been ready for more than {@link
+     * #AGED_AFTER_SECONDS} without starting a task. Within its team and priority an aged job is
+     * placed before jobs that are not aged, whatever their deadlines.
      */
     public boolean isAged() {
         return aged;
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobFailures.java
@@ -74,7 +74,8 @@
             trialStartedAtSeconds = nowSeconds;
         }
         // While the job has failed on only a few machines, these may be the faulty ones. The next
-        // attempt avoids them, so it need not be delayed for long.
+        // attempt avoids them, so it need not be delayed for long: the delay in seconds is the
+        // square of the number of these machines.
         retryAtSeconds =
                 nowSeconds
                         + (isSuspectedFaulty()
--- a/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/JobTasks.java
@@ -64,7 +64,10 @@
         pending.clear();
     }
 
-    /** Whether each task is pending, is done or has an attempt. */
+    /**
+     * Whether each task is pending, is done or has an attempt. Compares only counts: a task that is
+     * done and still has an attempt counts twice, and may hide one that is none of the three.
+     */
     public boolean areAllTracked() {
         return pending.cardinality() + attemptsByTask.size() + done.cardinality() >= taskCount;
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
@@ -18,7 +18,7 @@
 public final class Machine {
     /** The states of a machine; {@link #transitionTo} is the only method that changes it. */
     public enum State {
-        /** Requested from the cloud; its worker has not sent a heartbeat yet. */
+        /** Requested from the cloud; its worker has not acknowledged this term yet. */
         BOOTING,
         /**
          * Adopted from a record, a replicated state, the instance list or a heartbeat; its worker
@@ -84,16 +84,17 @@
      * Creates a machine without attempts.
      *
      * @param address host and port of its worker; null: not received yet
-     * @param nowSeconds when it was requested or, if that is unknown, adopted by this leader
+     * @param launchedAtSeconds see {@link #launchedAtSeconds()}
      */
-    public Machine(MachineIdentity identity, String address, State state, double nowSeconds) {
+    public Machine(
+            MachineIdentity identity, String address, State state, double launchedAtSeconds) {
         this.identity = identity;
         this.address = address;
         this.state = state;
         this.resources = new MachineResources(identity.type().capacity());
-        this.launchedAtSeconds = nowSeconds;
-        this.idleSinceSeconds = nowSeconds;
-        this.contact = new WorkerContact(nowSeconds);
+        this.launchedAtSeconds = launchedAtSeconds;
+        this.idleSinceSeconds = launchedAtSeconds;
+        this.contact = new WorkerContact(launchedAtSeconds);
         this.images = new ImageCache<>(this, identity.type());
     }
 
@@ -160,7 +161,7 @@
                 && !contact.isPossiblyDisconnected();
     }
 
-    /** When it was requested or, if that is unknown, adopted by this leader. */
+    /** When it was requested or launched or, if both are unknown, adopted by this leader. */
     public double launchedAtSeconds() {
         return launchedAtSeconds;
     }
@@ -382,7 +383,6 @@
         return count;
     }
 
-    /** A description for logs and debugging. */
     @Override
     public String toString() {
         return identity.name()
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineCatalog.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineCatalog.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The zones and machine types in which the cloud offers machines. Owns both; entries are added and
- * never removed.
+ * The machine types that the cloud offers, and the zones. Owns both; entries are added or replaced,
+ * and never removed.
  */
 public final class MachineCatalog {
     private final NameIndex zones = new NameIndex();
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
@@ -2,7 +2,8 @@
 
 /**
  * The hold of one machine for a job. While it lasts, the machine is offered to no other job, so
- * that resources can be freed there for a task that does not fit on any machine yet.
+ * that resources can be freed there for a task that does not fit on any machine yet, or that would
+ * start later elsewhere.
  */
 public final class MachineHold {
     private final Machine machine;
@@ -30,7 +31,9 @@
         return nowSeconds < expiresAtSeconds ? job : null;
     }
 
-    /** Whether the machine is held for a job other than the candidate. */
+    /**
+     * Whether the machine is held for a job other than the candidate, and the hold is not expired.
+     */
     public boolean isForOtherJob(Job candidate, double nowSeconds) {
         Job holder = jobAt(nowSeconds);
         return holder != null && holder != candidate;
@@ -46,7 +49,10 @@
         return version;
     }
 
-    /** Holds the machine for one more task of the job; ends a hold for another job. */
+    /**
+     * Holds the machine for one more task of the job, and sets when the hold expires for all of
+     * them. Ends a hold for another job.
+     */
     public void addTask(Job holder, double newExpiresAtSeconds) {
         if (job != holder) {
             end();
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineResources.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineResources.java
@@ -43,7 +43,7 @@
         return version;
     }
 
-    /** Whether no attempt occupies resources. */
+    /** Whether no attempt occupies CPUs or GPUs; memory is not considered. */
     public boolean isUnallocated() {
         return used.gpus() + used.cpus() <= UNALLOCATED_TOLERANCE;
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/TaskAttempt.java
@@ -5,9 +5,9 @@
 
 /**
  * One attempt at a task on one machine. It is charged to the machine's capacity, the team's quota
- * and the job's zones from before its start is sent until a heartbeat proves that it is not on the
- * machine, or the machine's lease has expired, or the machine is terminated. Owns its state, and
- * whether its start and stop were sent.
+ * and the job's zones from before its start is sent until a message of its worker lists it as
+ * exited or proves that it is not on the machine, or the machine's lease has expired, or the
+ * machine is terminated. Owns its state, and whether its start and stop were sent.
  */
 public final class TaskAttempt {
     /** The states of an attempt; {@link #transitionTo} is the only method that changes it. */
@@ -23,8 +23,8 @@
         /** It received a stop and is saving a checkpoint. */
         SAVING,
         /**
-         * Its worker listed it as exited: it occupies no resources, and is kept until a forget
-         * command may be sent and the worker no longer lists it.
+         * Its worker listed it as exited: it occupies no resources. It is kept until the worker,
+         * which lists it until it gets a forget command, no longer does so.
          */
         EXITED,
         /** Proven not to be on the machine, and removed from it. */
@@ -100,7 +100,8 @@
 
     /** Restores the attempt of a start that an earlier term stored, see {@link #isPresumed}. */
     public static TaskAttempt presumed(Job job, int taskIndex, Machine machine, double nowSeconds) {
-        return new TaskAttempt(job, taskIndex, PRESUMED_ATTEMPT_ID, machine, 0, nowSeconds);
+        return new TaskAttempt(
+                job, taskIndex, PRESUMED_ATTEMPT_ID, machine, /* agentEpoch= */ 0, nowSeconds);
     }
 
     /**
--- a/src/main/java/io/kelphoist/scheduler/cluster/TeamUsage.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/TeamUsage.java
@@ -95,7 +95,10 @@
         return tasks;
     }
 
-    /** Whether the guarantee covers these resources in addition to what is used. */
+    /**
+     * Whether the guarantee covers these resources in addition to what is used. Reservations are
+     * not included.
+     */
     public boolean isWithinGuarantee(Resources additional) {
         return used.plus(additional).fitsIn(team.guarantee());
     }
--- a/src/main/java/io/kelphoist/scheduler/images/ImageCache.java
+++ b/src/main/java/io/kelphoist/scheduler/images/ImageCache.java
@@ -26,24 +26,30 @@
         this.capacityGb = type.cacheGb();
     }
 
-    /** Sets the index in which references are kept; must be called once, before other methods. */
+    /** Sets where the machine's references are kept; must be called once, before other methods. */
     public void setLocations(ImageLocations<M> imageLocations) {
         locations = imageLocations;
     }
 
-    /** Adds the reference of an attempt that needs the image and may be on the machine. */
-    public void addReference(int image) {
-        locations.addReference(image, machine);
+    /**
+     * Adds one reference of the machine to the image: for an attempt that needs the image and may
+     * be on the machine, or for the cached image.
+     */
+    public void addReference(int imageIndex) {
+        locations.addReference(imageIndex, machine);
     }
 
-    /** Removes the reference of an attempt that is not on the machine any more. */
-    public void removeReference(int image) {
-        locations.removeReference(image, machine);
+    /**
+     * Removes one reference of the machine to the image: for an attempt that is not on the machine
+     * any more, or for an image that is not cached any more.
+     */
+    public void removeReference(int imageIndex) {
+        locations.removeReference(imageIndex, machine);
     }
 
     /** Whether the image should be cached on the machine. */
-    public boolean isCached(int image) {
-        return cached.contains(image);
+    public boolean isCached(int imageIndex) {
+        return cached.contains(imageIndex);
     }
 
     /**
@@ -56,18 +62,21 @@
 
     /**
      * Records that an image was used, and removes the least recently used images that no longer fit
-     * in the cache; the used image is kept even if it does not fit. Returns whether the image was
-     * not recorded as cached before.
+     * in the cache; the used image is kept even if it does not fit.
+     *
+     * @param sizeGb the size of the used image
+     * @param sizes the sizes of the other cached images, which are needed when these are removed
+     * @return true if the image is newly recorded as cached; false if it was cached before
      */
-    public boolean recordUse(int image, double sizeGb, ImageSizes sizes) {
-        int position = cached.indexOf(image);
+    public boolean recordUse(int imageIndex, double sizeGb, ImageSizes sizes) {
+        int position = cached.indexOf(imageIndex);
         if (position >= 0) {
             cached.removeInt(position);
         } else {
             cachedGb += sizeGb;
-            addReference(image);
+            addReference(imageIndex);
         }
-        cached.add(image);
+        cached.add(imageIndex);
         while (cachedGb > capacityGb && cached.size() > 1) {
             int evictedImage = cached.removeInt(0);
             cachedGb -= sizes.sizeGb(evictedImage);
@@ -76,7 +85,10 @@
         return position < 0;
     }
 
-    /** Removes all images, as the machine and its cache are terminated. */
+    /**
+     * Called when the machine is terminated: removes all cached images and their references. The
+     * cache must not be used after that.
+     */
     public void onMachineTerminated() {
         cached.forEach(this::removeReference);
         cached.clear();
--- a/src/main/java/io/kelphoist/scheduler/images/ImageSizes.java
+++ b/src/main/java/io/kelphoist/scheduler/images/ImageSizes.java
@@ -4,5 +4,5 @@
 @FunctionalInterface
 public interface ImageSizes {
     /** The size of an image, in GB. */
-    double sizeGb(int image);
+    double sizeGb(int imageIndex);
 }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/AttemptLifecycle.java
@@ -14,14 +14,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Starts, stops and removes task attempts, and does the accounting: from the decision to start it
- * until it is proven not to be on its machine, an attempt is charged to the machine's capacity, the
- * team's quota and the job's zones.
+ * Starts, stops and removes task attempts, and does the accounting: an attempt is charged to the
+ * machine's capacity, the team's quota and the job's zones from the decision to start it until its
+ * worker lists it as exited or it is proven not to be on its machine.
  */
 public final class AttemptLifecycle {
     private static final Logger LOG = LoggerFactory.getLogger(AttemptLifecycle.class);
 
-    /** An attempt id contains the term, shifted by this many bits, so that terms share no ids. */
+    /**
+     * An attempt id contains the term, shifted by this many bits, so that terms share no ids, as
+     * long as a term assigns fewer than 2^24.
+     */
     private static final int TERM_SHIFT_BITS = 24;
 
     private final long term;
@@ -57,7 +60,7 @@
 
     /**
      * Starts a task of an active job. Charges the attempt at once; the command is sent once the
-     * start is stored.
+     * start is stored. Throws an {@link IllegalStateException} if the job is not active.
      */
     public void start(Job job, int taskIndex, Machine machine, long attemptId, double nowSeconds) {
         Preconditions.checkState(
@@ -99,8 +102,9 @@
     }
 
     /**
-     * Ends the charge of an attempt that no longer occupies resources. No effect if the attempt is
-     * not charged.
+     * Ends the charge of an attempt that no longer occupies resources. Removes its job from the
+     * registry if the job's end is stored and this was its last attempt. No effect if the attempt
+     * is not charged.
      */
     public void deallocate(TaskAttempt attempt, double nowSeconds) {
         if (!attempt.allocated()) {
@@ -118,10 +122,11 @@
 
     /**
      * Requests that an attempt be stopped. An attempt whose start was not sent yet is removed at
-     * once. A further call can only shorten the grace. No effect on presumed attempts, and on those
-     * that no longer occupy resources.
+     * once. A further call can only shorten the grace period. No effect on presumed attempts, and
+     * on those that no longer occupy resources.
      *
-     * @param graceSeconds the time that the task gets to save a checkpoint; 0: it saves none
+     * @param graceSeconds the grace period, which is the time that the task gets to save a
+     *     checkpoint; 0: it saves none
      */
     public void stop(TaskAttempt attempt, double graceSeconds, double nowSeconds) {
         if (!attempt.state().occupiesResources()
@@ -147,8 +152,9 @@
     // ---- removal ----
 
     /**
-     * Removes an attempt that is proven not to be on its machine, and ends its charge. No effect if
-     * it was removed before.
+     * Removes an attempt that is proven not to be on its machine, or that exited and is no longer
+     * listed by its worker. Ends its charge, and publishes that the task stopped if it was charged
+     * and reported running. No effect if it was removed before.
      */
     public void remove(TaskAttempt attempt, double nowSeconds) {
         if (attempt.state() == TaskAttempt.State.REMOVED) {
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -15,7 +15,7 @@
 
 /**
  * Checks the machines periodically: whether they are connected, whether their leases have expired,
- * and whether holds and stops are overdue.
+ * whether their holds must end, and whether stops are due or overdue.
  */
 public final class LeaseMonitor {
     private static final Logger LOG = LoggerFactory.getLogger(LeaseMonitor.class);
@@ -27,8 +27,8 @@
     private static final double MAX_HEARTBEAT_DELAY_SECONDS = 1.5;
 
     /**
-     * Time between two runs. Ticks are far more frequent than changes of what is checked, and each
-     * run checks every machine.
+     * Minimum time between two runs. Ticks are far more frequent than changes of what is checked,
+     * and each run checks every machine.
      */
     private static final double RUN_INTERVAL_SECONDS = 0.1;
 
@@ -64,7 +64,7 @@
                 expireLease(machine, nowSeconds);
             }
             stopMonitor.requestStopsBeforeTermination(machine, nowSeconds);
-            endOverdueHold(machine, nowSeconds);
+            endHoldIfDue(machine, nowSeconds);
             stopMonitor.escalateOverdueStops(machine, nowSeconds);
         }
     }
@@ -89,7 +89,7 @@
     private void withdrawUnsentStarts(Machine machine, double nowSeconds) {
         for (TaskAttempt attempt : machine.attempts().copy()) {
             if (attempt.state() == TaskAttempt.State.STARTING && !attempt.startSent()) {
-                attempts.stop(attempt, 0, nowSeconds);
+                attempts.stop(attempt, /* graceSeconds= */ 0, nowSeconds);
             }
         }
     }
@@ -98,7 +98,8 @@
      * Whether the machine's lease has expired even if clocks drift as far as allowed, so that the
      * worker has stopped its tasks. A worker counts its lease from when it sent the last heartbeat
      * that got a response. That is before this leader, or a delegate that renews leases in its
-     * place, sent the response.
+     * place, sent the response. If the worker may have restarted since, a whole lease is counted
+     * from then.
      */
     private boolean hasLeaseExpired(Machine machine, double nowSeconds) {
         if (!hasLease(machine)) {
@@ -138,7 +139,11 @@
         machineLifecycle.onLeaseExpired(machine, nowSeconds);
     }
 
-    private void endOverdueHold(Machine machine, double nowSeconds) {
+    /**
+     * Ends the machine's hold if it must end. If the job still has pending tasks, no machine is
+     * held for it during the backoff that follows.
+     */
+    private void endHoldIfDue(Machine machine, double nowSeconds) {
         MachineHold hold = machine.hold();
         if (hold.mustEnd(nowSeconds)) {
             Job job = hold.job();
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
@@ -31,7 +31,10 @@
         this.imageRecords = imageRecords;
     }
 
-    /** Handles an expired lease: the worker has stopped all tasks. */
+    /**
+     * Handles an expired lease: the worker has stopped all tasks. The machine becomes {@link
+     * Machine.State#LOST}, unless its termination was requested before.
+     */
     void onLeaseExpired(Machine machine, double nowSeconds) {
         machine.contact().endCurrentEpoch();
         attempts.removeAll(machine, nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/SchedulerContext.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/SchedulerContext.java
@@ -8,9 +8,9 @@
 import io.kelphoist.scheduler.spi.SchedulerOutput;
 
 /**
- * The objects that the parts of one term's scheduler share.
+ * The objects that the components of one term's scheduler share.
  *
- * @param policy the settings
+ * @param policy the parameters of the scheduler
  * @param output receives requests to other systems, and events
  * @param term the leader's term
  * @param catalog the zones and machine types
@@ -18,7 +18,7 @@
  * @param jobs the jobs of the term
  * @param attemptLifecycle starts, stops and removes attempts
  * @param machineLifecycle handles expired leases and terminated machines
- * @param activeCandidates the candidates of the allocator's present run
+ * @param activeCandidates the machines on which the allocator's current run may place tasks
  */
 public record SchedulerContext(
         SchedulingPolicy policy,
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/package-info.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/package-info.java
@@ -3,7 +3,7 @@
  * io.kelphoist.scheduler.lifecycle.AttemptLifecycle} starts, stops and removes attempts, {@link
  * io.kelphoist.scheduler.lifecycle.MachineLifecycle} handles expired leases, restarted workers and
  * terminated machines, and {@link io.kelphoist.scheduler.lifecycle.LeaseMonitor} finds leases that
- * have expired, and holds and stops that are overdue.
+ * have expired, holds that must end, and stops that are due before a termination or are overdue.
  *
  * <p>Owns the set of machines for which commands may be due ({@code CommandDispatcher}). The
  * packages {@code allocation} and {@code preemption} decide which task starts on which machine, and
--- a/src/main/java/io/kelphoist/scheduler/placement/GangPlacement.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/GangPlacement.java
@@ -8,7 +8,9 @@
 
 /**
  * Assigns a gang's tasks to machines: machines are filled in the order in which they are passed,
- * each with as many tasks as fit. The machines themselves are not modified.
+ * each with as many tasks as fit. The machines themselves are not modified. The caller passes only
+ * machines that are allowed for the job; of its constraints, only the limit of tasks per zone is
+ * checked here.
  */
 public final class GangPlacement {
     /** Value to be passed instead of a zone index to allow machines of all zones. */
@@ -18,7 +20,7 @@
     private final int[] tasksPerZone;
     private final List<Machine> taskMachines = new ArrayList<>();
 
-    /** Creates a placement with no task assigned. */
+    /** Creates a placement with no task assigned, for a gang without attempts. */
     public GangPlacement(Job job) {
         this.job = job;
         this.tasksPerZone = new int[job.tasks().zoneCount()];
--- a/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/PlacementCandidates.java
@@ -76,7 +76,9 @@
             positions.removeInt(indexOf(position));
         }
 
-        /** Index in {@link #positions}; negative as of {@link Arrays#binarySearch} if absent. */
+        /**
+         * Index in {@link #positions}; if absent, negative as {@link Arrays#binarySearch} returns.
+         */
         int indexOf(int position) {
             return Arrays.binarySearch(positions.elements(), 0, positions.size(), position);
         }
@@ -217,7 +219,7 @@
             ResourceOffer offer, Job job, int onlyZone, PriorityQueue<RankedMachine> queue) {
         for (EquivalentMachines group : groupsByClass.values()) {
             if (isInZone(group.equivalenceClass.zone, onlyZone)) {
-                rankGroup(job, group, 0, queue);
+                rankGroup(job, group, /* fromIndex= */ 0, queue);
             }
         }
         for (Machine machine : imageLocations.machinesReferencing(job.imageIndex()).keySet()) {
@@ -238,7 +240,11 @@
             if (imageLocations.isReferencedBy(job.imageIndex(), machine)) {
                 rankMachine(offer, job, machine, ranking.queue);
             } else {
-                rankGroup(job, groupByPosition.get(machine.candidateIndex()), 0, ranking.queue);
+                rankGroup(
+                        job,
+                        groupByPosition.get(machine.candidateIndex()),
+                        /* fromIndex= */ 0,
+                        ranking.queue);
             }
         }
     }
@@ -259,7 +265,7 @@
             }
             queue.poll();
             if (cheapest.group != null && !upToDate) {
-                rankGroup(job, cheapest.group, 0, queue);
+                rankGroup(job, cheapest.group, /* fromIndex= */ 0, queue);
             }
         }
         return null;
@@ -272,7 +278,7 @@
     private boolean isUpToDate(RankedMachine ranked, Job job) {
         return ranked.group == null
                 ? ranked.machineVersion == ranked.machine.placementVersion()
-                : ranked.machine == findUnrelated(ranked.group, 0, job);
+                : ranked.machine == findUnrelated(ranked.group, /* fromIndex= */ 0, job);
     }
 
     /**
@@ -304,7 +310,7 @@
         if (machine.isCandidateIn(this)) {
             evaluationCount++;
             if (offer.allows(job, machine)) {
-                queue.add(rank(job, machine, null));
+                queue.add(rank(job, machine, /* group= */ null));
             }
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/placement/PlacementScorer.java
+++ b/src/main/java/io/kelphoist/scheduler/placement/PlacementScorer.java
@@ -29,7 +29,7 @@
 
     /**
      * Whether the job's constraints allow one more task on the machine, given the attempts that the
-     * job already has. Free resources are not checked.
+     * job already has. Free resources, and holds for other jobs, are not checked.
      */
     public static boolean isAllowed(Job job, Machine machine) {
         // After a failure a job avoids the machines on which it failed, because an attempt on
--- a/src/main/java/io/kelphoist/scheduler/preemption/PreemptionPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/PreemptionPlan.java
@@ -19,7 +19,8 @@
      * @param victims the attempts to preempt for this slot, in addition to the victims of earlier
      *     slots on the same machine
      * @param startDelaySeconds expected delay until the task can start: image fetch plus the
-     *     longest checkpoint grace of the victims of this and earlier slots on the machine
+     *     longest grace period for a checkpoint among the victims of this and earlier slots on the
+     *     machine
      * @param lostWorkSeconds weighted cost of preempting the victims of this and earlier slots on
      *     the machine, in seconds
      */
--- a/src/main/java/io/kelphoist/scheduler/preemption/PreemptionSearch.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/PreemptionSearch.java
@@ -113,7 +113,8 @@
 
     /**
      * Adds a slot for each task that fits on the machine. The victims of a slot are as many as it
-     * needs, in the order of {@link #findPreemptible}.
+     * needs, in the order of {@link #findPreemptible}. Resources of attempts that are already being
+     * stopped count as free; the start delay does not include the time until these attempts end.
      */
     private void addSlots(Machine machine) {
         double fetchSeconds = PlacementScorer.fetchSeconds(job, machine);
--- a/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
@@ -23,7 +23,8 @@
 /**
  * Provides resources for jobs that the allocator could not place: holds the machines on which their
  * tasks would start soonest, and preempts there the tasks that {@link PreemptionSearch} selects. If
- * a job does not fit in its team's limit, preempts the team's own tasks of lower priority instead.
+ * a job does not fit in its team's limit, preempts the team's own array tasks of lower priority
+ * instead.
  */
 public final class Preemptor {
     private static final Logger LOG = LoggerFactory.getLogger(Preemptor.class);
@@ -34,6 +35,7 @@
      */
     private static final double MIN_QUEUE_WAIT_SECONDS = 0.3;
 
+    /** Maximum number of jobs for which one run starts to hold machines. */
     private static final int MAX_HOLDS_PER_RUN = 4;
 
     /**
@@ -54,6 +56,9 @@
     /** How long the last search result of {@link #canHoldMachines} stays valid. */
     private static final double FEASIBILITY_VALIDITY_SECONDS = 0.5;
 
+    /**
+     * Minimum time between two checks for the same job whether to preempt tasks of its own team.
+     */
     private static final double TEAM_PREEMPTION_INTERVAL_SECONDS = 0.2;
 
     private final MachineRegistry machines;
@@ -80,8 +85,8 @@
      * Holds machines and preempts tasks for some of the jobs; the number of searches and of jobs
      * that machines are held for is bounded per run. The remaining jobs are handled in later runs.
      *
-     * @param unplacedJobs jobs with pending tasks that the allocator did not start, most urgent
-     *     first
+     * @param unplacedJobs jobs that still have pending tasks after the allocator has placed tasks,
+     *     most urgent first
      */
     public void holdMachinesAndPreempt(List<Job> unplacedJobs, double nowSeconds) {
         int holdCount = 0;
@@ -204,7 +209,10 @@
         return true;
     }
 
-    /** Stops an attempt with its checkpoint grace; of a gang, all of its attempts. */
+    /**
+     * Stops an attempt, or all attempts of its gang, with the grace period that the job's tasks get
+     * to save a checkpoint.
+     */
     private void preempt(TaskAttempt victim, double nowSeconds) {
         double graceSeconds = victim.job().spec().checkpointGraceSeconds();
         if (victim.job().spec().kind() == JobKind.GANG) {
@@ -225,8 +233,10 @@
     }
 
     /**
-     * Whether machines are held for the job, or could be held. The result of the underlying search
-     * is cached for {@link #FEASIBILITY_VALIDITY_SECONDS}.
+     * Whether machines are held for the job, or could be held now. If none are held, false for a
+     * job that does not fit in its team's limit, and in the backoff after a search that found no
+     * plan or a hold that ended unused. The result of the underlying search is cached for {@link
+     * #FEASIBILITY_VALIDITY_SECONDS}.
      */
     public boolean canHoldMachines(Job job, double nowSeconds) {
         if (job.capacityAcquisition().hasHeldMachines()) {
@@ -272,7 +282,10 @@
                 || !plan.get().stopsDeadlineWork();
     }
 
-    /** Whether the job meets its class's start objective even if the fetch is slow. */
+    /**
+     * Whether the job meets its class's start objective even if the fetch is slow; false if the
+     * class has no objective.
+     */
     private boolean meetsStartObjective(Job job, double fetchSeconds, double nowSeconds) {
         double objectiveSeconds =
                 policy.startObjectiveSeconds().getOrDefault(job.spec().jobClass(), 0.0);
--- a/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/MachineReachability.java
@@ -151,7 +151,9 @@
     }
 
     /**
-     * Handles a heartbeat that is newer than all before, to which a response is sent.
+     * Handles a heartbeat that is newer than all before, to which a response is sent. It may prove
+     * that the worker receives messages, or show that it has been suspected for longer than a
+     * lease.
      *
      * @param newestAgentEpoch agent epoch of the newest message that was received before this
      *     heartbeat
--- a/src/main/java/io/kelphoist/scheduler/spi/SchedulerOutput.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/SchedulerOutput.java
@@ -29,8 +29,10 @@
     void storeProgress(int page, List<TaskProgress> progress);
 
     /**
-     * Stores that a job is done; outcome: {@code SchedulerState.onJobRecord}, or {@code
-     * SchedulerState.onJobEndNotStored}.
+     * Stores that a job is done, unless its record has changed since; outcome: {@code
+     * SchedulerState.onJobRecord}, or {@code SchedulerState.onJobEndNotStored}.
+     *
+     * @param version the version of the newest record of the job that was received
      */
     void storeDone(JobSpec job, long version);
 
--- a/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
@@ -1,8 +1,8 @@
 package io.kelphoist.scheduler.spi;
 
 /**
- * An event of a job and its tasks, for event streams and traces. Each event is published once; the
- * scheduler does not depend on its delivery.
+ * An event of a job and its tasks, for event streams and traces. Each event is published once,
+ * except {@link CapacityReserved}; the scheduler does not depend on its delivery.
  */
 public sealed interface TaskEvent {
     /** The job waits for its dependencies. */
@@ -10,9 +10,11 @@
 
     /**
      * Resources were reserved for the job, or machines are held for it, but it cannot start yet.
+     * For a gang it is published again each time that its reservations are renewed.
      *
-     * @param machineCount the number of machines with reserved resources; where machines are held,
-     *     the number of tasks that they are held for
+     * @param machineCount the number of machines with reserved resources, which is 0 if the team's
+     *     guarantee allows no reservation; where machines are held, the number of tasks that they
+     *     are held for
      */
     record CapacityReserved(int machineCount) implements TaskEvent {}
 
--- a/src/test/java/io/kelphoist/scheduler/placement/PlacementCandidatesTest.java
+++ b/src/test/java/io/kelphoist/scheduler/placement/PlacementCandidatesTest.java
@@ -40,60 +40,101 @@
     /** Machines with random types, cached images, attempts and holds. */
     private static final class RandomCluster {
         private final MachineType large =
-                new MachineType("large", new Resources(24, 4, 96), 20, 0.5, 8, 3, 25, ZONES);
+                new MachineType(
+                        "large",
+                        new Resources(/* cpus= */ 24, /* gpus= */ 4, /* memoryGb= */ 96),
+                        /* cacheGb= */ 20,
+                        /* fetchGbPerSecond= */ 0.5,
+                        /* price= */ 8,
+                        /* spotPrice= */ 3,
+                        /* bootSeconds= */ 25,
+                        ZONES);
         private final MachineType small =
-                new MachineType("small", new Resources(8, 1, 32), 8, 1.0, 3, 1, 25, ZONES);
+                new MachineType(
+                        "small",
+                        new Resources(/* cpus= */ 8, /* gpus= */ 1, /* memoryGb= */ 32),
+                        /* cacheGb= */ 8,
+                        /* fetchGbPerSecond= */ 1.0,
+                        /* price= */ 3,
+                        /* spotPrice= */ 1,
+                        /* bootSeconds= */ 25,
+                        ZONES);
         private final ImageLocations<Machine> imageLocations = new ImageLocations<>();
         private final NameIndex zones = new NameIndex();
         private final List<Machine> machines = new ArrayList<>();
         private final List<Job> jobs = new ArrayList<>();
         private final TeamUsage team =
                 new TeamUsage(
-                        new Team("t", new Resources(1e6, 1e6, 1e6), new Resources(1e6, 1e6, 1e6)));
-        private long version;
+                        new Team(
+                                "t",
+                                /* guarantee= */ new Resources(1e6, 1e6, 1e6),
+                                /* limit= */ new Resources(1e6, 1e6, 1e6)));
 
-        private Job addJob(Random random, int image) {
+        /**
+         * The last number that was assigned to a record as its version or to an attempt as its id.
+         */
+        private long lastNumber;
+
+        private JobSpec randomSpec(Random random, int image) {
             JobKind kind = List.of(JobKind.values()).get(random.nextInt(3));
             Resources resources =
                     random.nextInt(3) == 0
-                            ? new Resources(21, 4, 77)
-                            : new Resources(4 + random.nextInt(2), 1, 14);
-            JobSpec spec =
-                    new JobSpec(
-                            "job-" + jobs.size(),
-                            "c",
-                            "t",
-                            kind,
-                            List.of(Priority.values()).get(random.nextInt(4)),
-                            1 + random.nextInt(6),
-                            resources,
-                            null,
-                            random.nextInt(8) == 0 ? "b" : null,
-                            random.nextInt(3) == 0,
-                            kind != JobKind.GANG && random.nextBoolean(),
-                            random.nextBoolean(),
-                            "img-" + image,
-                            1 + image,
-                            60,
-                            15,
-                            3,
-                            null,
-                            List.of());
+                            ? new Resources(/* cpus= */ 21, /* gpus= */ 4, /* memoryGb= */ 77)
+                            : new Resources(
+                                    /* cpus= */ 4 + random.nextInt(2),
+                                    /* gpus= */ 1,
+                                    /* memoryGb= */ 14);
+            return new JobSpec(
+                    "job-" + jobs.size(),
+                    /* jobClass= */ "c",
+                    /* team= */ "t",
+                    kind,
+                    List.of(Priority.values()).get(random.nextInt(4)),
+                    /* tasks= */ 1 + random.nextInt(6),
+                    resources,
+                    /* machineTypes= */ null,
+                    /* zone= */ random.nextInt(8) == 0 ? "b" : null,
+                    /* singleZone= */ random.nextInt(3) == 0,
+                    /* spreadAcrossZones= */ kind != JobKind.GANG && random.nextBoolean(),
+                    /* spotAllowed= */ random.nextBoolean(),
+                    "img-" + image,
+                    /* imageSizeGb= */ 1 + image,
+                    /* estimatedSeconds= */ 60,
+                    /* checkpointIntervalSeconds= */ 15,
+                    /* checkpointSaveSeconds= */ 3,
+                    /* deadlineSeconds= */ null,
+                    /* dependencies= */ List.of());
+        }
+
+        private Job addJob(Random random, int image) {
+            JobSpec spec = randomSpec(random, image);
             Job job =
                     new Job(
-                            new JobRecord(spec.id(), spec, JobStatus.ACTIVE, 0, ++version),
+                            new JobRecord(
+                                    spec.id(),
+                                    spec,
+                                    JobStatus.ACTIVE,
+                                    /* timestampMillis= */ 0,
+                                    /* version= */ ++lastNumber),
                             team,
                             image,
                             zones,
-                            0,
-                            0);
+                            /* acceptedAtSeconds= */ 0,
+                            /* nowSeconds= */ 0);
             job.transitionTo(Job.State.ACTIVE);
             jobs.add(job);
             return job;
         }
 
         private TaskAttempt place(Job job, int task, Machine machine) {
-            TaskAttempt attempt = new TaskAttempt(job, task, ++version, machine, 1, 0);
+            TaskAttempt attempt =
+                    new TaskAttempt(
+                            job,
+                            task,
+                            /* attemptId= */ ++lastNumber,
+                            machine,
+                            /* agentEpoch= */ 1,
+                            /* nowSeconds= */ 0);
             machine.addAttempt(attempt);
             machine.resources().allocate(job.spec().resourcesPerTask());
             job.addAttempt(attempt);
@@ -109,26 +150,25 @@
                                 new MachineIdentity(
                                         "vm-" + i,
                                         random.nextInt(4) == 0 ? small : large,
-                                        random.nextInt(3),
-                                        random.nextBoolean()),
-                                null,
+                                        /* zone= */ random.nextInt(3),
+                                        /* spot= */ random.nextBoolean()),
+                                /* address= */ null,
                                 Machine.State.UP,
-                                0);
+                                /* launchedAtSeconds= */ 0);
                 machine.images().setLocations(imageLocations);
                 machines.add(machine);
-                for (int image = random.nextInt(4); image > 0; image--) {
-                    machine.images().recordUse(random.nextInt(5), 1 + image, number -> 1 + number);
-                }
+                cacheRandomImages(random, machine);
             }
             for (int i = random.nextInt(30); i > 0; i--) {
                 Job otherJob = addJob(random, random.nextInt(6));
                 Machine machine = machines.get(random.nextInt(machineCount));
                 if (otherJob.spec().resourcesPerTask().fitsIn(machine.free())) {
-                    TaskAttempt attempt = place(otherJob, 0, machine);
+                    TaskAttempt attempt = place(otherJob, /* task= */ 0, machine);
                     attempt.transitionTo(
+                            // Any state except REMOVED, which is the last of them.
                             List.of(TaskAttempt.State.values()).get(random.nextInt(6)),
                             ExitReason.ERROR,
-                            0);
+                            /* nowSeconds= */ 0);
                     if (attempt.state() == TaskAttempt.State.EXITED) {
                         machine.resources().deallocate(otherJob.spec().resourcesPerTask());
                     }
@@ -137,12 +177,23 @@
             holdRandomMachines(random);
         }
 
+        private static void cacheRandomImages(Random random, Machine machine) {
+            for (int image = random.nextInt(4); image > 0; image--) {
+                machine.images()
+                        .recordUse(
+                                random.nextInt(5),
+                                /* sizeGb= */ 1 + image,
+                                imageIndex -> 1 + imageIndex);
+            }
+        }
+
         private void holdRandomMachines(Random random) {
             for (int i = random.nextInt(4); i > 0; i--) {
                 Machine heldMachine = machines.get(random.nextInt(machines.size()));
                 Job holder =
                         jobs.isEmpty() ? addJob(random, 0) : jobs.get(random.nextInt(jobs.size()));
-                heldMachine.hold().addTask(holder, random.nextInt(3));
+                // The test runs at 1 s, so that some holds have expired.
+                heldMachine.hold().addTask(holder, /* newExpiresAtSeconds= */ random.nextInt(3));
             }
         }
 
@@ -179,8 +230,9 @@
         Random random = new Random(seed);
         RandomCluster cluster = new RandomCluster(random);
         PlacementCandidates candidates =
-                new PlacementCandidates(cluster.machines, cluster.imageLocations, 1);
-        ResourceOffer offer = new ResourceOffer(candidates, 1);
+                new PlacementCandidates(
+                        cluster.machines, cluster.imageLocations, /* nowSeconds= */ 1);
+        ResourceOffer offer = new ResourceOffer(candidates, /* nowSeconds= */ 1);
         List<Job> waiting = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
             waiting.add(cluster.addJob(random, random.nextInt(6)));
@@ -188,12 +240,17 @@
         for (int step = 0; step < 25; step++) {
             Job job = waiting.get(random.nextInt(5));
             int task = job.tasks().attemptCount();
+            // GangPlacement.ANY_ZONE, which is -1, or the index of a zone.
             int zone = random.nextInt(4) - 1;
             assertEquals(
                     cluster.placeGangByFullSearch(offer, job, zone),
-                    candidates.placeGang(offer, job, zone));
+                    candidates.placeGang(offer, job, zone),
+                    () -> "machines of the tasks of " + job.spec() + " as a gang, zone " + zone);
             Machine best = cluster.findBestByFullSearch(offer, job);
-            assertSame(best, candidates.findBest(offer, job));
+            assertSame(
+                    best,
+                    candidates.findBest(offer, job),
+                    () -> "machine of one more task of " + job.spec());
             if (best != null && task < job.spec().tasks()) {
                 cluster.place(job, task, best);
                 candidates.onMachineChanged(best);
