--- a/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/Allocator.java
@@ -79,17 +79,20 @@
      */
     public static Allocator create(SchedulerContext context) {
         MachineRegistry machines = context.machines();
-        AttemptLifecycle attempts = context.attemptLifecycle();
+        AttemptLifecycle attemptLifecycle = context.attemptLifecycle();
         SchedulingPolicy policy = context.policy();
         SchedulerOutput output = context.output();
-        Preemptor preemptor = new Preemptor(machines, context.catalog(), attempts, policy, output);
+        Preemptor preemptor =
+                new Preemptor(machines, context.catalog(), attemptLifecycle, policy, output);
         GangReservations reservations =
                 new GangReservations(policy, output, context.activeCandidates()::onMachineChanged);
         Map<JobKind, JobKindScheduler> schedulersByKind = new EnumMap<>(JobKind.class);
         schedulersByKind.put(
-                JobKind.ARRAY, new ArrayScheduler(attempts, policy, machines.imageLocations()));
-        schedulersByKind.put(JobKind.GANG, new GangScheduler(attempts, preemptor, reservations));
-        schedulersByKind.put(JobKind.SERVICE, new ServiceScheduler(attempts, preemptor));
+                JobKind.ARRAY,
+                new ArrayScheduler(attemptLifecycle, policy, machines.imageLocations()));
+        schedulersByKind.put(
+                JobKind.GANG, new GangScheduler(attemptLifecycle, preemptor, reservations));
+        schedulersByKind.put(JobKind.SERVICE, new ServiceScheduler(attemptLifecycle, preemptor));
         return new Allocator(
                 context.jobs(),
                 machines,
--- a/src/main/java/io/kelphoist/scheduler/allocation/ArrayScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/ArrayScheduler.java
@@ -26,10 +26,10 @@
     private final ImageLocations<Machine> imageLocations;
 
     ArrayScheduler(
-            AttemptLifecycle attempts,
+            AttemptLifecycle attemptLifecycle,
             SchedulingPolicy policy,
             ImageLocations<Machine> imageLocations) {
-        super(attempts);
+        super(attemptLifecycle);
         this.policy = policy;
         this.imageLocations = imageLocations;
     }
--- a/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
@@ -19,12 +19,13 @@
  * time, see {@link GangReservations}; nothing is reserved for a job that is suspected faulty.
  */
 final class GangScheduler implements JobKindScheduler {
-    private final AttemptLifecycle attempts;
+    private final AttemptLifecycle attemptLifecycle;
     private final Preemptor preemptor;
     private final GangReservations reservations;
 
-    GangScheduler(AttemptLifecycle attempts, Preemptor preemptor, GangReservations reservations) {
-        this.attempts = attempts;
+    GangScheduler(
+            AttemptLifecycle attemptLifecycle, Preemptor preemptor, GangReservations reservations) {
+        this.attemptLifecycle = attemptLifecycle;
         this.preemptor = preemptor;
         this.reservations = reservations;
     }
@@ -75,9 +76,10 @@
 
     private void startGang(Job job, List<Machine> taskMachines, double nowSeconds) {
         job.capacityAcquisition().endReservation();
-        job.beginGangAttempt(attempts.nextAttemptId());
+        job.beginGangAttempt(attemptLifecycle.nextAttemptId());
         for (int task = 0; task < taskMachines.size(); task++) {
-            attempts.start(job, task, taskMachines.get(task), job.gangAttemptId(), nowSeconds);
+            attemptLifecycle.start(
+                    job, task, taskMachines.get(task), job.gangAttemptId(), nowSeconds);
         }
     }
 
@@ -104,7 +106,7 @@
         if (machine == null) {
             return false;
         }
-        attempts.start(job, task, machine, job.gangAttemptId(), offer.nowSeconds());
+        attemptLifecycle.start(job, task, machine, job.gangAttemptId(), offer.nowSeconds());
         return true;
     }
 
--- a/src/main/java/io/kelphoist/scheduler/allocation/IndependentTaskScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/IndependentTaskScheduler.java
@@ -7,10 +7,10 @@
 
 /** Starts single tasks of jobs whose tasks are placed independently of each other. */
 abstract class IndependentTaskScheduler implements JobKindScheduler {
-    private final AttemptLifecycle attempts;
+    private final AttemptLifecycle attemptLifecycle;
 
-    IndependentTaskScheduler(AttemptLifecycle attempts) {
-        this.attempts = attempts;
+    IndependentTaskScheduler(AttemptLifecycle attemptLifecycle) {
+        this.attemptLifecycle = attemptLifecycle;
     }
 
     @Override
@@ -25,7 +25,8 @@
         if (machine == null || declines(job, machine, offer.nowSeconds())) {
             return false;
         }
-        attempts.start(job, task, machine, attempts.nextAttemptId(), offer.nowSeconds());
+        attemptLifecycle.start(
+                job, task, machine, attemptLifecycle.nextAttemptId(), offer.nowSeconds());
         return true;
     }
 
--- a/src/main/java/io/kelphoist/scheduler/allocation/ServiceScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/ServiceScheduler.java
@@ -13,8 +13,8 @@
 final class ServiceScheduler extends IndependentTaskScheduler {
     private final Preemptor preemptor;
 
-    ServiceScheduler(AttemptLifecycle attempts, Preemptor preemptor) {
-        super(attempts);
+    ServiceScheduler(AttemptLifecycle attemptLifecycle, Preemptor preemptor) {
+        super(attemptLifecycle);
         this.preemptor = preemptor;
     }
 
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -13,8 +13,9 @@
 
 /**
  * Reconciles the machine registry with the cloud's instance list: removes machines that the list
- * proves to be terminated, adds instances that are missing in the registry, and marks instances
- * that the list reports as failed for termination and removes the attempts on them.
+ * proves to be terminated, and adds instances that are missing in the registry. Marks the machines
+ * of instances that the list reports as failed, so that they are terminated, and removes the
+ * attempts on them.
  */
 final class InstanceListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceListReconciler.class);
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/MachineConsolidator.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/MachineConsolidator.java
@@ -32,16 +32,16 @@
     private static final double SURPLUS_MARGIN_MACHINES = 0.5;
 
     private final MachineRegistry machines;
-    private final AttemptLifecycle attempts;
+    private final AttemptLifecycle attemptLifecycle;
 
     /** When the current surplus began; NaN if there is none. */
     private double surplusSinceSeconds = Double.NaN;
 
     private double nextDrainAtSeconds;
 
-    MachineConsolidator(MachineRegistry machines, AttemptLifecycle attempts) {
+    MachineConsolidator(MachineRegistry machines, AttemptLifecycle attemptLifecycle) {
         this.machines = machines;
-        this.attempts = attempts;
+        this.attemptLifecycle = attemptLifecycle;
     }
 
     /**
@@ -150,7 +150,8 @@
                 return;
             }
         }
-        replicas.forEach(attempt -> attempts.stop(attempt, /* graceSeconds= */ 0, nowSeconds));
+        replicas.forEach(
+                attempt -> attemptLifecycle.stop(attempt, /* graceSeconds= */ 0, nowSeconds));
     }
 
     /** Whether the attempt is a running replica of a service without pending replicas. */
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutPlan.java
@@ -113,8 +113,9 @@
     }
 
     /**
-     * Plans capacity for a job's pending tasks. Jobs of which a task has run (of a gang: in its
-     * current attempt) and jobs that are suspected faulty and have an attempt are skipped.
+     * Plans capacity for a job's pending tasks, as far as its team's limit allows. Jobs of which a
+     * task has run (of a gang: in its current attempt) and jobs that are suspected faulty and have
+     * an attempt are skipped.
      */
     void addDemand(Job job) {
         if (job.hasRun() || job.isOnTrial(nowSeconds)) {
--- a/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/CapacityAcquisition.java
@@ -6,8 +6,8 @@
 /**
  * The state of the measures that obtain capacity for one job with pending tasks: capacity reserved
  * for its gang, machines held for it, the last check whether preempting other work would free
- * enough, and the preemption of its own team's tasks. Also holds when a possible placement of a job
- * array was last declined. Reservations, holds and preemption in the own team each have a time
+ * enough, and the preemption of its own team's tasks. Also records when a possible placement of a
+ * job array was last declined. Reservations, holds and preemption in the own team each have a time
  * before which they are not started again; the interval between two checks is in {@code Preemptor}.
  */
 public final class CapacityAcquisition {
--- a/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
@@ -66,7 +66,7 @@
     /** When the cloud terminates the machine; infinite: no termination notice was received. */
     private double terminationAtSeconds = Double.POSITIVE_INFINITY;
 
-    /** Drained to be returned to the cloud; cancelled if its capacity is needed. */
+    /** Draining to be returned to the cloud; this is cancelled if its capacity is needed. */
     private boolean drainingForScaleIn;
 
     /** An earlier leader drained it because it was faulty. */
@@ -171,7 +171,7 @@
         return idleSinceSeconds;
     }
 
-    /** When its lease expired, if it is {@link State#LOST}. */
+    /** When it last became {@link State#LOST}; 0: it never did. */
     public double lostAtSeconds() {
         return lostAtSeconds;
     }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/LeaseMonitor.java
@@ -35,7 +35,7 @@
     private final SchedulingPolicy policy;
     private final MachineRegistry machines;
     private final NameIndex zones;
-    private final AttemptLifecycle attempts;
+    private final AttemptLifecycle attemptLifecycle;
     private final MachineLifecycle machineLifecycle;
     private final DelegatedRenewals delegatedRenewals;
     private final StopMonitor stopMonitor;
@@ -46,10 +46,10 @@
         this.policy = context.policy();
         this.machines = context.machines();
         this.zones = context.catalog().zones();
-        this.attempts = context.attemptLifecycle();
+        this.attemptLifecycle = context.attemptLifecycle();
         this.machineLifecycle = context.machineLifecycle();
         this.delegatedRenewals = delegatedRenewals;
-        this.stopMonitor = new StopMonitor(policy, attempts);
+        this.stopMonitor = new StopMonitor(policy, attemptLifecycle);
     }
 
     /** Checks every machine, if {@link #RUN_INTERVAL_SECONDS} have passed since the last run. */
@@ -89,7 +89,7 @@
     private void withdrawUnsentStarts(Machine machine, double nowSeconds) {
         for (TaskAttempt attempt : machine.attempts().copy()) {
             if (attempt.state() == TaskAttempt.State.STARTING && !attempt.startSent()) {
-                attempts.stop(attempt, /* graceSeconds= */ 0, nowSeconds);
+                attemptLifecycle.stop(attempt, /* graceSeconds= */ 0, nowSeconds);
             }
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
@@ -15,18 +15,18 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineLifecycle.class);
 
     private final MachineRegistry machines;
-    private final AttemptLifecycle attempts;
+    private final AttemptLifecycle attemptLifecycle;
     private final StartIntentLog startIntentLog;
     private final ImageCacheRecords imageRecords;
 
     /** Creates the lifecycle of the machines of a term. */
     public MachineLifecycle(
             MachineRegistry machines,
-            AttemptLifecycle attempts,
+            AttemptLifecycle attemptLifecycle,
             StartIntentLog startIntentLog,
             ImageCacheRecords imageRecords) {
         this.machines = machines;
-        this.attempts = attempts;
+        this.attemptLifecycle = attemptLifecycle;
         this.startIntentLog = startIntentLog;
         this.imageRecords = imageRecords;
     }
@@ -37,7 +37,7 @@
      */
     void onLeaseExpired(Machine machine, double nowSeconds) {
         machine.contact().endCurrentEpoch();
-        attempts.removeAll(machine, nowSeconds);
+        attemptLifecycle.removeAll(machine, nowSeconds);
         machine.transitionTo(Machine.State.LOST, nowSeconds);
         startIntentLog.onNothingRunning(machine);
     }
@@ -68,7 +68,7 @@
      */
     public void onInstanceStopped(Machine machine, double nowSeconds) {
         machine.contact().endAllEpochs();
-        attempts.removeAll(machine, nowSeconds);
+        attemptLifecycle.removeAll(machine, nowSeconds);
     }
 
     /**
@@ -80,7 +80,7 @@
         if (machine != null) {
             machine.transitionTo(Machine.State.TERMINATED, nowSeconds);
             machine.hold().end();
-            attempts.removeAll(machine, nowSeconds);
+            attemptLifecycle.removeAll(machine, nowSeconds);
             startIntentLog.onNothingRunning(machine);
             imageRecords.onMachineTerminated(machine);
             machine.images().onMachineTerminated();
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/StopMonitor.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/StopMonitor.java
@@ -25,12 +25,12 @@
     private static final int STOP_DELIVERY_HEARTBEAT_INTERVALS = 2;
 
     private final SchedulingPolicy policy;
-    private final AttemptLifecycle attempts;
+    private final AttemptLifecycle attemptLifecycle;
 
     /** Creates the monitor of the stops of a term. */
-    StopMonitor(SchedulingPolicy policy, AttemptLifecycle attempts) {
+    StopMonitor(SchedulingPolicy policy, AttemptLifecycle attemptLifecycle) {
         this.policy = policy;
-        this.attempts = attempts;
+        this.attemptLifecycle = attemptLifecycle;
     }
 
     /**
@@ -78,9 +78,9 @@
                                 < machine.terminationAtSeconds() - nowSeconds;
         double graceSeconds = canSave ? spec.checkpointSaveSeconds() : 0;
         if (spec.kind() == JobKind.GANG) {
-            attempts.stopAll(attempt.job(), graceSeconds, nowSeconds);
+            attemptLifecycle.stopAll(attempt.job(), graceSeconds, nowSeconds);
         } else if (canSave || !spec.isCheckpointed()) {
-            attempts.stop(attempt, graceSeconds, nowSeconds);
+            attemptLifecycle.stop(attempt, graceSeconds, nowSeconds);
         }
     }
 
@@ -94,7 +94,7 @@
                 // stop() removes an attempt, which would change the list that this loop iterates
                 // over, only if its start was not sent. For these attempts a stop was requested
                 // before, which is done only if the start was sent.
-                attempts.stop(attempt, /* graceSeconds= */ 0, nowSeconds);
+                attemptLifecycle.stop(attempt, /* graceSeconds= */ 0, nowSeconds);
             }
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
+++ b/src/main/java/io/kelphoist/scheduler/preemption/Preemptor.java
@@ -63,7 +63,7 @@
 
     private final MachineRegistry machines;
     private final MachineCatalog catalog;
-    private final AttemptLifecycle attempts;
+    private final AttemptLifecycle attemptLifecycle;
     private final SchedulingPolicy policy;
     private final SchedulerOutput output;
 
@@ -71,12 +71,12 @@
     public Preemptor(
             MachineRegistry machines,
             MachineCatalog catalog,
-            AttemptLifecycle attempts,
+            AttemptLifecycle attemptLifecycle,
             SchedulingPolicy policy,
             SchedulerOutput output) {
         this.machines = machines;
         this.catalog = catalog;
-        this.attempts = attempts;
+        this.attemptLifecycle = attemptLifecycle;
         this.policy = policy;
         this.output = output;
     }
@@ -158,7 +158,7 @@
         preemptible.sort(
                 Comparator.comparingDouble(attempt -> attempt.workAtRiskSeconds(nowSeconds)));
         for (TaskAttempt victim : chooseVictims(job, preemptible, freed)) {
-            attempts.stop(victim, victim.job().spec().checkpointGraceSeconds(), nowSeconds);
+            attemptLifecycle.stop(victim, victim.job().spec().checkpointGraceSeconds(), nowSeconds);
         }
     }
 
@@ -216,9 +216,9 @@
     private void preempt(TaskAttempt victim, double nowSeconds) {
         double graceSeconds = victim.job().spec().checkpointGraceSeconds();
         if (victim.job().spec().kind() == JobKind.GANG) {
-            attempts.stopAll(victim.job(), graceSeconds, nowSeconds);
+            attemptLifecycle.stopAll(victim.job(), graceSeconds, nowSeconds);
         } else {
-            attempts.stop(victim, graceSeconds, nowSeconds);
+            attemptLifecycle.stop(victim, graceSeconds, nowSeconds);
         }
     }
 
--- a/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
@@ -30,7 +30,7 @@
 
     /**
      * When the last heartbeat was received that is not a copy; at first, when the machine was
-     * added.
+     * requested or adopted.
      */
     private double lastHeartbeatAtSeconds;
 
@@ -57,10 +57,15 @@
 
     private final MachineReachability reachability = new MachineReachability();
 
-    /** Creates the state for a machine that is added now; its lease is counted from now. */
-    public WorkerContact(double nowSeconds) {
-        this.lastPossibleResponseAtSeconds = nowSeconds;
-        this.lastHeartbeatAtSeconds = nowSeconds;
+    /**
+     * Creates the state for a machine.
+     *
+     * @param leaseFromSeconds the time from which its lease is counted, unless {@link
+     *     #onDiscovered} is called
+     */
+    public WorkerContact(double leaseFromSeconds) {
+        this.lastPossibleResponseAtSeconds = leaseFromSeconds;
+        this.lastHeartbeatAtSeconds = leaseFromSeconds;
     }
 
     // ---- the newest message ----
@@ -139,7 +144,10 @@
         lastHeartbeatAtSeconds = nowSeconds;
     }
 
-    /** When the last heartbeat was received that is not a copy. */
+    /**
+     * When the last heartbeat was received that is not a copy; before the first one, when the
+     * machine was requested or adopted.
+     */
     public double lastHeartbeatAtSeconds() {
         return lastHeartbeatAtSeconds;
     }
