--- a/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
+++ b/src/main/java/io/kelphoist/scheduler/allocation/GangScheduler.java
@@ -19,12 +19,13 @@
  * time, see {@link GangReservations}; nothing is reserved for a job that is suspected faulty.
  */
 final class GangScheduler implements JobKindScheduler {
-    private final AttemptLifecycle attempts;
+    private final AttemptLifecycle attemptLifecycle;
     private final Preemptor preemptor;
     private final GangReservations reservations;
 
-    GangScheduler(AttemptLifecycle attempts, Preemptor preemptor, GangReservations reservations) {
-        this.attempts = attempts;
+    GangScheduler(
+            AttemptLifecycle attemptLifecycle, Preemptor preemptor, GangReservations reservations) {
+        this.attemptLifecycle = attemptLifecycle;
         this.preemptor = preemptor;
         this.reservations = reservations;
     }
@@ -51,10 +52,11 @@
 
     /**
      * Starts the gang on machines with free resources, unless it would start sooner on machines
-     * where tasks are preempted for it. In that case it starts only once the machines held for it
-     * have free resources for all of its tasks.
+     * where tasks are preempted for it, see {@link Preemptor#isSoonerThanFetch}. In that case it
+     * starts only once the machines held for it have free resources for all of its tasks.
      *
      * @param taskMachines the machine of each task, with free resources for it
+     * @return whether the gang was started
      */
     private boolean startUnlessPreemptionIsSooner(
             ResourceOffer offer, Job job, List<Machine> taskMachines) {
@@ -74,16 +76,19 @@
 
     private void startGang(Job job, List<Machine> taskMachines, double nowSeconds) {
         job.capacityAcquisition().endReservation();
-        job.beginGangAttempt(attempts.nextAttemptId());
+        job.beginGangAttempt(attemptLifecycle.nextAttemptId());
         for (int task = 0; task < taskMachines.size(); task++) {
-            attempts.start(job, task, taskMachines.get(task), job.gangAttemptId(), nowSeconds);
+            attemptLifecycle.start(
+                    job, task, taskMachines.get(task), job.gangAttemptId(), nowSeconds);
         }
     }
 
     /**
-     * Restarts a task that ended before any task of the gang ran, with the attempt id of the other
-     * tasks. Does nothing while another task is stopping, or while another task is only presumed
-     * from an earlier term's record, because the gang's attempt id is not known yet.
+     * Restarts one task that ended before any task of the gang ran, with the attempt id of the
+     * other tasks. Does nothing while another task is stopping, or while another task is only
+     * presumed from an earlier term's record, because the gang's attempt id is not known yet.
+     *
+     * @return whether a task was started
      */
     private boolean startReplacement(ResourceOffer offer, Job job) {
         int task = job.tasks().firstPending();
@@ -101,7 +106,7 @@
         if (machine == null) {
             return false;
         }
-        attempts.start(job, task, machine, job.gangAttemptId(), offer.nowSeconds());
+        attemptLifecycle.start(job, task, machine, job.gangAttemptId(), offer.nowSeconds());
         return true;
     }
 
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/InstanceListReconciler.java
@@ -13,8 +13,9 @@
 
 /**
  * Reconciles the machine registry with the cloud's instance list: removes machines that the list
- * proves to be terminated, adds instances that are missing in the registry, and marks instances
- * that the list reports as failed for termination and removes the attempts on them.
+ * proves to be terminated, and adds instances that are missing in the registry. Marks the machines
+ * of instances that the list reports as failed, so that they are terminated, and removes the
+ * attempts on them.
  */
 final class InstanceListReconciler {
     private static final Logger LOG = LoggerFactory.getLogger(InstanceListReconciler.class);
@@ -33,7 +34,7 @@
 
     /** Applies a page of the instance list. */
     void onPage(InstanceListPage page, double nowSeconds) {
-        for (String name : tracker.findTerminated(page)) {
+        for (String name : tracker.applyPage(page)) {
             removeTerminated(name, nowSeconds);
         }
         for (CloudInstance instance : page.instances()) {
@@ -85,7 +86,10 @@
         return adopted;
     }
 
-    /** Takes over the instance's address, if the machine has none, and its failure. */
+    /**
+     * Sets the machine's address, if it has none. Handles a failure of the instance, unless the
+     * machine's termination was requested before.
+     */
     private void update(Machine machine, CloudInstance instance, double nowSeconds) {
         if (machine.address() == null) {
             machine.updateAddress(instance.address());
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/MachineLifecycle.java
@@ -15,26 +15,29 @@
     private static final Logger LOG = LoggerFactory.getLogger(MachineLifecycle.class);
 
     private final MachineRegistry machines;
-    private final AttemptLifecycle attempts;
+    private final AttemptLifecycle attemptLifecycle;
     private final StartIntentLog startIntentLog;
     private final ImageCacheRecords imageRecords;
 
     /** Creates the lifecycle of the machines of a term. */
     public MachineLifecycle(
             MachineRegistry machines,
-            AttemptLifecycle attempts,
+            AttemptLifecycle attemptLifecycle,
             StartIntentLog startIntentLog,
             ImageCacheRecords imageRecords) {
         this.machines = machines;
-        this.attempts = attempts;
+        this.attemptLifecycle = attemptLifecycle;
         this.startIntentLog = startIntentLog;
         this.imageRecords = imageRecords;
     }
 
-    /** Handles an expired lease: the worker has stopped all tasks. */
+    /**
+     * Handles an expired lease: the worker has stopped all tasks. The machine becomes {@link
+     * Machine.State#LOST}, unless its termination was requested before.
+     */
     void onLeaseExpired(Machine machine, double nowSeconds) {
         machine.contact().endCurrentEpoch();
-        attempts.removeAll(machine, nowSeconds);
+        attemptLifecycle.removeAll(machine, nowSeconds);
         machine.transitionTo(Machine.State.LOST, nowSeconds);
         startIntentLog.onNothingRunning(machine);
     }
@@ -65,7 +68,7 @@
      */
     public void onInstanceStopped(Machine machine, double nowSeconds) {
         machine.contact().endAllEpochs();
-        attempts.removeAll(machine, nowSeconds);
+        attemptLifecycle.removeAll(machine, nowSeconds);
     }
 
     /**
@@ -77,10 +80,10 @@
         if (machine != null) {
             machine.transitionTo(Machine.State.TERMINATED, nowSeconds);
             machine.hold().end();
-            attempts.removeAll(machine, nowSeconds);
+            attemptLifecycle.removeAll(machine, nowSeconds);
             startIntentLog.onNothingRunning(machine);
             imageRecords.onMachineTerminated(machine);
-            machine.images().clear();
+            machine.images().onMachineTerminated();
         }
     }
 }
--- a/src/main/java/io/kelphoist/scheduler/lifecycle/SchedulerContext.java
+++ b/src/main/java/io/kelphoist/scheduler/lifecycle/SchedulerContext.java
@@ -8,17 +8,17 @@
 import io.kelphoist.scheduler.spi.SchedulerOutput;
 
 /**
- * The objects that the parts of one term's scheduler share.
+ * The objects that the components of one term's scheduler share.
  *
- * @param policy the settings
+ * @param policy the parameters of the scheduler
  * @param output receives requests to other systems, and events
  * @param term the leader's term
  * @param catalog the zones and machine types
  * @param machines the machines of the term
  * @param jobs the jobs of the term
- * @param attempts starts, stops and removes attempts
+ * @param attemptLifecycle starts, stops and removes attempts
  * @param machineLifecycle handles expired leases and terminated machines
- * @param activeCandidates the candidates of the allocator's present run
+ * @param activeCandidates the machines on which the allocator's current run may place tasks
  */
 public record SchedulerContext(
         SchedulingPolicy policy,
@@ -27,6 +27,6 @@
         MachineCatalog catalog,
         MachineRegistry machines,
         JobRegistry jobs,
-        AttemptLifecycle attempts,
+        AttemptLifecycle attemptLifecycle,
         MachineLifecycle machineLifecycle,
         ActiveCandidates activeCandidates) {}
