--- a/src/main/java/io/kelphoist/records/PackedRecords.java
+++ b/src/main/java/io/kelphoist/records/PackedRecords.java
@@ -12,14 +12,15 @@
  * Packs many small entries into few values of the state store, so that entries that change at about
  * the same time cost one write together instead of one each.
  *
- * <p>An entry stays on its page until it is removed, and a page is written as a whole. A removed
- * entry stays in the stored value until its page is written again, which happens when an entry is
- * put there or after {@link #requestCompaction}.
+ * <p>A page is written as a whole. A removed entry stays in the stored value until its page is
+ * written again, for example when another entry of the page is put or moves to another page, or
+ * after {@link #requestCompaction}.
  *
- * <p>A page that an earlier term wrote may be larger than the present limit for a value. Entries
- * that do not fit any more move to other pages, and so does an entry that has outgrown its page.
- * The page that an entry leaves is written only after the entry is stored on the new page, so that
- * every entry is stored on at least one page at any time.
+ * <p>An entry stays on its page until it is removed or no longer fits there. A page that an earlier
+ * term wrote may be larger than the present limit for a value: entries that do not fit any more
+ * move to other pages, and so does an entry that has outgrown its page. The page that an entry
+ * leaves is written only after the entry is stored on the new page, so that an entry that was
+ * stored once is always stored on at least one page until it is removed.
  *
  * <p>Not thread-safe: all methods are called on one thread. Entries are compared by identity.
  *
@@ -41,7 +42,7 @@
 
     /**
      * A page with a smaller fraction of free bytes is not chosen as {@link #openPage}, unless it
-     * has no entries: each of its writes would add only few new entries.
+     * has no entries: each write of such a page would add only few new entries.
      */
     private static final double MIN_FREE_FRACTION = 0.25;
 
@@ -50,7 +51,7 @@
 
     private static final int MAX_WRITES_IN_FLIGHT = 4;
 
-    /** Number of write intervals between two writes for compaction. */
+    /** Minimum number of write intervals between two writes for compaction. */
     private static final int COMPACTION_INTERVAL_FACTOR = 8;
 
     /** The page of an entry, and the entry's size in the byte count of that page. */
@@ -58,7 +59,7 @@
 
     private final double writeIntervalSeconds;
     private final ToIntFunction<E> entryBytes;
-    private final Predicate<E> isCurrent;
+    private final Predicate<E> isNeeded;
     private final Writer<E> writer;
     private final List<RecordPage<E>> pages = new ArrayList<>();
     private final Reference2ObjectOpenHashMap<E, EntryLocation<E>> locations =
@@ -72,7 +73,10 @@
 
     private int writesInFlight;
 
-    /** Where the next search for due pages starts: in round-robin order, so that none starves. */
+    /**
+     * The page at which the next search for due pages starts: pages are searched in round-robin
+     * order, so that each due page is written after a limited number of others.
+     */
     private int nextPageNumber;
 
     private double nextWriteAtSeconds;
@@ -81,29 +85,31 @@
     /**
      * Creates records without entries.
      *
-     * @param pageByteLimit the most bytes of a page
-     * @param writeIntervalSeconds seconds between two writes; after several pages were written at
-     *     the same time, the next write follows after one interval for each of them
-     * @param entryBytes an upper bound of the bytes of an entry's stored form
-     * @param isCurrent whether an entry still belongs in the next write of its page
+     * @param pageByteLimit the most bytes of a page with more than one entry; shrinks when the
+     *     state store rejects a page as too large
+     * @param writeIntervalSeconds minimum seconds between two writes; after several pages were
+     *     written at the same time, the next write follows after one interval for each of them
+     * @param entryBytes returns an upper bound of the bytes of an entry's stored form
+     * @param isNeeded whether an entry is needed in the stored value; each write of a page leaves
+     *     out the entries that are not
      * @param writer writes the pages
      */
     public PackedRecords(
             int pageByteLimit,
             double writeIntervalSeconds,
             ToIntFunction<E> entryBytes,
-            Predicate<E> isCurrent,
+            Predicate<E> isNeeded,
             Writer<E> writer) {
         this.pageByteLimit = pageByteLimit;
         this.writeIntervalSeconds = writeIntervalSeconds;
         this.entryBytes = entryBytes;
-        this.isCurrent = isCurrent;
+        this.isNeeded = isNeeded;
         this.writer = writer;
     }
 
     /**
-     * Adds an entry that was read from a stored page. An entry that has a page already keeps that
-     * page, because an entry is on one page only.
+     * Adds an entry that was read from a stored page, and does not mark the page to be written. An
+     * entry that has a page already keeps that page, because an entry is on one page only.
      */
     public void restore(int pageNumber, E entry) {
         RecordPage<E> page = getOrCreatePage(pageNumber);
@@ -131,8 +137,9 @@
     }
 
     /**
-     * Adds a new entry or updates the size of a changed one, and marks its page to be written. An
-     * entry that has outgrown its page moves to another one.
+     * Adds a new entry or updates the size of a changed one, and marks its page to be written. A
+     * changed entry with which its page would exceed the byte limit moves to another page, unless
+     * it is the only entry of its page.
      */
     public void put(E entry) {
         EntryLocation<E> location = locations.get(entry);
@@ -158,8 +165,7 @@
         source.startMigration(entry);
         RecordPage<E> target = findPageWithRoom(bytes);
         assign(entry, target, entryBytes.applyAsInt(entry));
-        // The stored value of the target page may hold an outdated state of the entry.
-        target.removeStored(entry);
+        target.removeOutdatedStored(entry);
         target.markDirty();
     }
 
@@ -193,14 +199,14 @@
     }
 
     /**
-     * Replaces {@code entry}, which must have a page, by {@code replacement}. Both must have the
-     * same stored form.
+     * Replaces {@code entry}, which must have a page, by {@code replacement}, which must have none.
+     * Both must have the same stored form, so the page is not written because of that.
      */
     public void replace(E entry, E replacement) {
         RecordPage<E> page = locations.get(entry).page;
         remove(entry);
         assign(replacement, page, entryBytes.applyAsInt(replacement));
-        page.replaceStored(entry, replacement);
+        page.addStoredReplacement(entry, replacement);
         for (RecordPage<E> otherPage : pages) {
             otherPage.replaceMigrating(entry, replacement);
         }
@@ -215,9 +221,12 @@
     }
 
     /**
-     * Requests that pages whose stored values hold obsolete entries are written again, because the
-     * next leader would read these entries as current. Such writes start only when no other write
-     * is due or in flight.
+     * Requests that pages whose stored values hold obsolete entries are written again without them,
+     * because the next leader would read these entries as current. Such writes start only when no
+     * other write is due or in flight.
+     *
+     * @param isObsolete whether an entry is obsolete; the caller has removed all such entries, see
+     *     {@link #remove}
      */
     public void requestCompaction(Predicate<E> isObsolete) {
         for (RecordPage<E> page : pages) {
@@ -225,7 +234,12 @@
         }
     }
 
-    /** Starts the page writes that are due. */
+    /**
+     * Starts the page writes that are due: those of changed pages or, if none started and none is
+     * in flight, one for compaction. Starts none before the write interval has passed.
+     *
+     * @param nowSeconds the present time, on the same clock in each call
+     */
     public void writeDuePages(double nowSeconds) {
         if (nowSeconds < nextWriteAtSeconds) {
             return;
@@ -279,7 +293,7 @@
             E lastEntry = page.lastEntry();
             move(lastEntry, page, locations.get(lastEntry).bytes);
         }
-        return page.finishMigrations(this::isRemovedOrStored);
+        return page.removeCompleteMigrations(this::isRemovedOrStored);
     }
 
     private boolean isRemovedOrStored(E entry) {
@@ -288,7 +302,7 @@
     }
 
     private void writePage(RecordPage<E> page) {
-        List<E> entries = page.beginWrite(isCurrent);
+        List<E> entries = page.beginWrite(isNeeded);
         writesInFlight++;
         writer.write(page.number(), entries);
     }
@@ -297,7 +311,8 @@
      * Handles the outcome of a page write. A page that is not known to be stored is written again,
      * except one that is too large and cannot be split.
      *
-     * @return the entries of the write; empty if no write of this page was in flight
+     * @return the entries of the write, whatever its outcome; empty if no write of this page was in
+     *     flight
      */
     public List<E> onPageWritten(int pageNumber, PageWriteOutcome outcome) {
         RecordPage<E> page = pageNumber < pages.size() ? pages.get(pageNumber) : null;
--- a/src/main/java/io/kelphoist/records/RecordPage.java
+++ b/src/main/java/io/kelphoist/records/RecordPage.java
@@ -7,14 +7,18 @@
 import java.util.function.Predicate;
 
 /**
- * One page of {@link PackedRecords}: the entries assigned to it, the entries that its stored value
- * holds according to the last load or confirmed write, and the write in flight.
+ * One page of {@link PackedRecords}: the entries assigned to it, the entries in its stored value,
+ * and the write in flight.
  */
 final class RecordPage<E> {
     private final int number;
     private final ReferenceLinkedOpenHashSet<E> entries = new ReferenceLinkedOpenHashSet<>();
 
-    /** Entries that the stored value holds, according to the last load or confirmed write. */
+    /**
+     * Entries in the stored value, according to the last load or confirmed write. An entry that has
+     * left this page is one of them until the next confirmed write. An entry that returns to this
+     * page is not, see {@link #removeOutdatedStored}.
+     */
     private final Set<E> storedEntries = new ReferenceLinkedOpenHashSet<>();
 
     /**
@@ -23,12 +27,16 @@
      */
     private final List<E> migratingEntries = new ArrayList<>();
 
-    /** Entries in the write in flight; empty if no write is in flight. */
+    /** Entries in the write in flight; empty if no write is in flight, or if it has no entries. */
     private List<E> entriesInFlight = List.of();
 
     private boolean writeInFlight;
     private int bytes;
+
+    /** A change is to be written. */
     private boolean dirty;
+
+    /** The page is to be written again to remove entries from its stored value. */
     private boolean needsCompaction;
 
     RecordPage(int number) {
@@ -62,13 +70,18 @@
         return dirty && !writeInFlight;
     }
 
+    /**
+     * Whether the page is to be written again only to remove entries from its stored value, see
+     * {@link PackedRecords#requestCompaction}.
+     */
     boolean needsCompaction() {
         return needsCompaction;
     }
 
     /**
-     * Whether new entries may be added. A page that waits until entries of it are stored on another
-     * page accepts none, so that no two pages ever wait for each other.
+     * Whether entries may be added. None may be added while a write of the page is in flight, or
+     * while the page waits until entries that moved to other pages are stored there. Because of the
+     * second condition no two pages ever wait for each other.
      */
     boolean acceptsEntries() {
         return !writeInFlight && migratingEntries.isEmpty();
@@ -100,13 +113,17 @@
         return storedEntries.contains(entry);
     }
 
-    /** Records that the stored value holds the entry. */
+    /** Records that the entry was read from the stored value. */
     void addStored(E entry) {
         storedEntries.add(entry);
     }
 
-    /** Records that the state of the entry in the stored value is outdated. */
-    void removeStored(E entry) {
+    /**
+     * Records that an entry has moved to this page from another one. If the stored value of this
+     * page has the entry already, the entry's state there may be outdated; so the entry counts as
+     * not stored on this page until the next confirmed write.
+     */
+    void removeOutdatedStored(E entry) {
         storedEntries.remove(entry);
     }
 
@@ -116,14 +133,21 @@
         migratingEntries.add(entry);
     }
 
-    /** Removes the migrations that are complete; returns whether none is left. */
-    boolean finishMigrations(Predicate<E> isComplete) {
+    /**
+     * Forgets the entries that moved to other pages and for which {@code isComplete} holds; returns
+     * whether none is left.
+     */
+    boolean removeCompleteMigrations(Predicate<E> isComplete) {
         migratingEntries.removeIf(isComplete);
         return migratingEntries.isEmpty();
     }
 
-    /** Makes {@code replacement} the entry that the stored form of {@code entry} represents. */
-    void replaceStored(E entry, E replacement) {
+    /**
+     * Records that the stored form of {@code entry} is also that of {@code replacement}: if {@code
+     * entry} is stored, so is {@code replacement}. In the write in flight, {@code replacement}
+     * takes the place of {@code entry}.
+     */
+    void addStoredReplacement(E entry, E replacement) {
         if (storedEntries.contains(entry)) {
             storedEntries.add(replacement);
         }
@@ -133,27 +157,34 @@
         }
     }
 
+    /** Replaces an entry that moved to another page and is not known to be stored there. */
     void replaceMigrating(E entry, E replacement) {
         migratingEntries.replaceAll(e -> e == entry ? replacement : e);
     }
 
-    /** Requests compaction if an obsolete entry is stored or is in the write in flight. */
+    /**
+     * Requests that the page is written again if its stored value or the write in flight has an
+     * entry for which {@code isObsolete} holds.
+     */
     void requestCompaction(Predicate<E> isObsolete) {
         needsCompaction |=
                 storedEntries.stream().anyMatch(isObsolete)
                         || entriesInFlight.stream().anyMatch(isObsolete);
     }
 
-    /** Marks a write as in flight; returns the entries to write. */
-    List<E> beginWrite(Predicate<E> isCurrent) {
+    /**
+     * Marks a write as in flight; returns the entries to write. Entries for which {@code isNeeded}
+     * does not hold are left out, and stay assigned to the page.
+     */
+    List<E> beginWrite(Predicate<E> isNeeded) {
         dirty = false;
         needsCompaction = false;
         writeInFlight = true;
-        entriesInFlight = entries.stream().filter(isCurrent).toList();
+        entriesInFlight = entries.stream().filter(isNeeded).toList();
         return entriesInFlight;
     }
 
-    /** Ends the write in flight; returns the entries in it. */
+    /** Ends the write in flight, whatever its outcome; returns the entries in it. */
     List<E> endWrite() {
         List<E> written = entriesInFlight;
         entriesInFlight = List.of();
@@ -161,7 +192,7 @@
         return written;
     }
 
-    /** Records that the stored value holds these entries and no others. */
+    /** Records that the stored value has these entries and no others. */
     void setStored(List<E> stored) {
         storedEntries.clear();
         storedEntries.addAll(stored);
--- a/src/main/java/io/kelphoist/scheduler/SchedulerState.java
+++ b/src/main/java/io/kelphoist/scheduler/SchedulerState.java
@@ -30,9 +30,9 @@
 
 /**
  * The scheduler of one leader's term: its jobs, its machines, and the task attempts that may run on
- * each machine. This class is the entry point for input events, each of which has its time in
- * seconds of the monotonic clock; the scheduler's requests go to {@link SchedulerOutput}. The class
- * uses no I/O and no clock. Not thread-safe: all methods are called on the event loop.
+ * each machine. This class is the entry point for input events. Their times ({@code nowSeconds})
+ * are in seconds of the monotonic clock; the scheduler's requests go to {@link SchedulerOutput}.
+ * The class uses no I/O and no clock. Not thread-safe: all methods are called on the event loop.
  *
  * <p>Its state is in the components that {@link SchedulerComponents} connects.
  */
@@ -85,12 +85,15 @@
         return components.senderResolver.isDeposed();
     }
 
-    /** Whether decisions are allowed: the first round of heartbeats after failover has ended. */
+    /**
+     * Whether scheduling decisions are allowed, see {@link PromotionGate#maySchedule}. Once they
+     * are, they remain allowed for the rest of the term.
+     */
     public boolean isRecovered() {
-        return promotionGate.maySchedule(Double.NaN);
+        return promotionGate.maySchedule(/* nowSeconds= */ Double.NaN);
     }
 
-    /** Whether commands to any machine are in flight. */
+    /** Whether direct commands to any machine are in flight. */
     public boolean hasCommandsInFlight() {
         for (Machine machine : machines.all()) {
             if (machine.contact().hasCommandsInFlight()) {
@@ -100,12 +103,15 @@
         return false;
     }
 
-    /** How many machines were evaluated for jobs so far: a measure of the cost of decisions. */
+    /**
+     * How many evaluations of a machine for a job the allocator has made in this term: a measure of
+     * the cost of decisions.
+     */
     public long consideredMachineCount() {
         return components.allocator.evaluationCount();
     }
 
-    /** Names of the machines of a zone whose leases only the leader may renew. */
+    /** Names of the machines of a zone whose leases only the leader, not a delegate, may renew. */
     public List<String> machinesExcludedFromDelegation(String zone) {
         return components.leaseMonitor.machinesExcludedFromDelegation(
                 components.context.catalog().zones().find(zone));
@@ -116,7 +122,10 @@
         return components.context.catalog().zones().name(zone);
     }
 
-    /** The longest wait of a job without any started task, in seconds; 0 if no such job waits. */
+    /**
+     * The longest time since an active job without any started task became ready, in seconds; 0 if
+     * there is no such job. {@link QueueWaitTracker} updates it at an interval.
+     */
     public double longestWaitSeconds() {
         return components.queueWaitTracker.longestWaitSeconds();
     }
@@ -172,7 +181,10 @@
 
     // ---- records of earlier terms, and outcomes of writes ----
 
-    /** Restores done tasks that an earlier term stored; called after the job records are read. */
+    /**
+     * Restores done tasks that an earlier term stored; called after the job records are read. Done
+     * tasks of jobs that are not registered are ignored.
+     */
     public void onProgressLoaded(int pageNumber, TaskProgress stored) {
         components.stateRecovery.onProgressLoaded(pageNumber, stored);
     }
@@ -185,7 +197,10 @@
         components.stateRecovery.onImagesLoaded(pageNumber, images);
     }
 
-    /** Restores a start that an earlier term stored; called after the job records are read. */
+    /**
+     * Restores a start that an earlier term stored; called after the job records are read. {@code
+     * StateRecovery} states which starts are ignored.
+     */
     public void onStartLoaded(int pageNumber, RecordedStart start, double nowSeconds) {
         components.stateRecovery.onStartLoaded(pageNumber, start, nowSeconds);
     }
@@ -196,9 +211,9 @@
     }
 
     /**
-     * Handles the end of loading: all records have been read. Heartbeats that arrived during the
-     * load were acknowledged without being applied, so the lease of each machine may have been
-     * renewed at any time until now.
+     * Handles the end of loading: all records that the first decision needs have been read.
+     * Heartbeats that arrived during the load were acknowledged without being applied, so the lease
+     * of each machine may have been renewed at any time until now.
      */
     public void onRecordsLoaded(double nowSeconds) {
         for (Machine machine : machines.all()) {
@@ -265,7 +280,8 @@
     }
 
     /**
-     * Handles the outcome of {@link SchedulerOutput#sendCommands}.
+     * Handles the outcome of {@link SchedulerOutput#sendCommands}. No effect if the machine is not
+     * registered any more.
      *
      * @param heartbeat the heartbeat in the worker's response; null if there was none
      */
@@ -315,7 +331,10 @@
 
     // ---- time ----
 
-    /** Does the work that is due, and makes decisions. Called often and after each input event. */
+    /**
+     * Does the work that is due: checks leases, makes scheduling decisions if they are allowed, and
+     * requests writes, reads and commands. Called at short intervals and soon after input events.
+     */
     public void tick(double nowSeconds) {
         components.leaseMonitor.run(nowSeconds);
         components.jobEndWriter.storeDueEnds();
--- a/src/main/java/io/kelphoist/scheduler/StateRecovery.java
+++ b/src/main/java/io/kelphoist/scheduler/StateRecovery.java
@@ -58,6 +58,10 @@
      * Restores a start that an earlier term recorded. The task is presumed to run on the machine
      * until the machine sends a heartbeat under this term or its lease has expired. No task without
      * a record can run there, because each start is recorded before it is sent.
+     *
+     * <p>A start is ignored if its machine type is unknown, its job is not registered or has no
+     * task of this index, or the task is done. So is a further start of the same task on the same
+     * machine.
      */
     void onStartLoaded(int pageNumber, RecordedStart start, double nowSeconds) {
         MachineType machineType = catalog.type(start.machineType());
@@ -89,16 +93,16 @@
                         machineType,
                         catalog.zones().getOrAssign(start.zone()),
                         start.spot()),
-                null,
+                /* address= */ null,
                 Machine.State.JOINING,
                 nowSeconds);
     }
 
     /**
      * Restores a machine from the state that an earlier leader replicated. That state is only a
-     * hint as to which machines status requests are to be sent to. The lease of a machine that was
-     * not registered is measured from now, because it is unknown when an earlier leader last
-     * acknowledged a heartbeat of it.
+     * hint as to which machines status requests are to be sent to. A machine that is not registered
+     * is added, unless it is terminated or its type is unknown. Its lease is measured from now,
+     * because it is unknown when an earlier leader last acknowledged a heartbeat of it.
      */
     void onReplicatedMachine(ReplicatedMachine replicated, double nowSeconds) {
         MachineType machineType = catalog.type(replicated.machineType());
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/AttemptReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/AttemptReconciler.java
@@ -44,13 +44,13 @@
     }
 
     /**
-     * Ends the attempts of earlier agent epochs. The worker has started a new epoch, so no task of
-     * an earlier one is on the machine any more.
+     * Ends the attempts of earlier agent epochs, except presumed ones. The worker has started a new
+     * epoch, so no task of an earlier one is on the machine any more.
      */
     void endAgentEpoch(Machine machine, long newAgentEpoch, double nowSeconds) {
         int previousAttemptCount = machine.attempts().size();
         for (TaskAttempt attempt : machine.attempts().copy()) {
-            // An attempt that is known only from a record is presumed to run until the machine has
+            // An attempt that is known only from a record is presumed to run until the worker has
             // seen this term: the record does not state the agent epoch of its start.
             if (attempt.agentEpoch() < newAgentEpoch && !attempt.isPresumed()) {
                 attempts.remove(attempt, nowSeconds);
@@ -100,9 +100,11 @@
         if (attempt.isPresumed() || attempt.state() == TaskAttempt.State.EXITED) {
             attempts.remove(attempt, nowSeconds);
         } else if (attempt.state() == TaskAttempt.State.STARTING) {
-            // A start command in a response to a heartbeat is executed before the worker's next
-            // heartbeat or never. A direct command without a response may be executed at any later
-            // time, so an attempt with such a command stays until the worker lists it.
+            // An attempt that is not being stopped stays: responses to heartbeats repeat its start.
+            // One that is being stopped is removed unless its start may still arrive. A start
+            // command in a response to a heartbeat is executed before the worker's next heartbeat
+            // or never. A direct command without a response may be executed at any later time, so
+            // an attempt with such a command stays until the worker lists it.
             if (attempt.isStopping() && !attempt.mayStartArrive()) {
                 attempts.remove(attempt, nowSeconds);
             }
@@ -115,9 +117,13 @@
     }
 
     /**
-     * Adopts a task that an earlier term started. Returns null if its job is not registered, in
-     * which case {@link HeartbeatResponder} stops the task and, after it has exited, lets the
-     * worker forget it. Also returns null if the job has no task of this index.
+     * Adopts a task that an earlier term started: adds an attempt to the machine and, unless the
+     * task has exited, charges it to the machine and the team. An attempt that is not needed is
+     * stopped.
+     *
+     * @return the attempt; null if its job is not registered, in which case {@link
+     *     HeartbeatResponder} stops the task and, after it has exited, lets the worker forget it.
+     *     Also null if the job has no task of this index
      */
     private TaskAttempt adopt(
             Machine machine, TaskStatus taskStatus, long agentEpoch, double nowSeconds) {
@@ -148,14 +154,14 @@
                     taskIndex,
                     taskStatus.attemptId(),
                     machine.name());
-            attempts.stop(attempt, 0, nowSeconds);
+            attempts.stop(attempt, /* graceSeconds= */ 0, nowSeconds);
         }
         return attempt;
     }
 
     /**
-     * Ends the attempts that older records presume for a task that a worker has listed. The task is
-     * not on the machines that these records name: a task runs only once.
+     * Ends the presumed attempts at a task that a worker has listed, on all machines. The task is
+     * not on the machines of these attempts, because it is not on two machines at a time.
      */
     private void endPresumedAttempts(Job job, int taskIndex, double nowSeconds) {
         for (TaskAttempt presumed = job.tasks().attemptAt(taskIndex);
@@ -166,8 +172,9 @@
     }
 
     /**
-     * Whether an adopted task continues to run. For a gang, the gang attempt that is listed first
-     * is kept: tasks that records presume on other machines may belong to it.
+     * Whether an adopted task continues to run: its job is active, and the task is neither done nor
+     * has another attempt. For a gang, the gang attempt that is listed first is kept: tasks that
+     * are presumed on other machines because of records may belong to it.
      */
     private static boolean isStillNeeded(Job job, TaskStatus taskStatus) {
         return job.isActive()
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/DeliveryOutcomeHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/DeliveryOutcomeHandler.java
@@ -36,7 +36,8 @@
 
     /**
      * Handles the response to a direct request. Its sender may be another machine than the one that
-     * the request was meant for, because addresses are reused.
+     * the request was meant for, because addresses are reused. A response of an agent epoch that is
+     * treated as ended is ignored.
      */
     public void onResponse(Heartbeat heartbeat, double nowSeconds) {
         Machine machine = senderResolver.resolve(heartbeat, nowSeconds);
@@ -44,6 +45,7 @@
             return;
         }
         if (machine.contact().isTermConfirmed() && heartbeat.fencingToken() < term) {
+            // A delayed message, or the worker has restarted. A probe shows which.
             prober.probeIfDue(machine, nowSeconds);
         } else if (!machine.contact().isEpochEnded(heartbeat.agentEpoch())) {
             applier.apply(machine, heartbeat, nowSeconds);
@@ -56,7 +58,8 @@
     }
 
     /**
-     * Handles the outcome of a reachability probe.
+     * Handles the outcome of a reachability probe. No effect if the machine is not registered any
+     * more.
      *
      * @param heartbeat the heartbeat in the response; null if there was no response
      */
@@ -70,6 +73,8 @@
         if (heartbeat == null) {
             onProbeWithoutResponse(machine, outcome, nowSeconds);
         } else if (!heartbeat.machineName().equals(machineName)) {
+            // The address now belongs to another machine, so the response is not from the machine
+            // that was probed.
             onResponse(heartbeat, nowSeconds);
         } else if (heartbeat.fencingToken() <= term
                 && machine.reachability().provesRestart(heartbeat, term)) {
@@ -89,6 +94,8 @@
         machine.reachability().onDeliveryFailed(nowSeconds);
         Heartbeat implausibleHeartbeat = machine.reachability().takeImplausibleHeartbeat();
         if (implausibleHeartbeat != null) {
+            // Responses to heartbeats may not have arrived either. In that case the lease of the
+            // previous agent epoch may have expired, as the heartbeat reports.
             applier.apply(machine, implausibleHeartbeat, nowSeconds);
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatApplier.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatApplier.java
@@ -8,9 +8,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Applies what a worker's message reports about its machine and tasks, whichever path the message
- * was delivered by. A message is applied only if it is newer than the newest message received from
- * the machine; its task list is applied only if the worker has seen this term.
+ * Applies what a worker's message reports about its machine and tasks, whether the message is a
+ * heartbeat or the response to a direct request. A message is applied only if it is newer than the
+ * newest message received before from the machine. If its worker has not seen this term, only the
+ * agent epoch, the sequence number and the address are applied, and not the task list.
  */
 public final class HeartbeatApplier {
     private static final Logger LOG = LoggerFactory.getLogger(HeartbeatApplier.class);
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatHandler.java
@@ -9,8 +9,8 @@
 
 /**
  * Handles heartbeats from workers. Each heartbeat is applied at most once, in the order of agent
- * epochs and sequence numbers, whichever path delivered it: copies of a heartbeat may arrive late.
- * The response to an accepted heartbeat carries commands and renews the worker's lease.
+ * epochs and sequence numbers, whichever controller received it: copies of a heartbeat may arrive
+ * late. The response to an accepted heartbeat carries commands and renews the worker's lease.
  */
 public final class HeartbeatHandler {
     private final long term;
@@ -37,8 +37,11 @@
     }
 
     /**
-     * Returns the commands for the response, in the order in which the worker must execute them.
-     * Forget commands are sent only in responses to heartbeats: a worker handles these responses
+     * Handles a heartbeat. Returns the commands for the response, in the order in which the worker
+     * must execute them. There are none if the heartbeat is a copy or may be one, or if the machine
+     * is not up, draining or terminating.
+     *
+     * <p>Forget commands are sent only in responses to heartbeats: a worker handles these responses
      * one after the other, so that no start command that was decided earlier can be executed after
      * a forget command.
      *
@@ -97,6 +100,7 @@
             // term. In that case the worker waits for the response, which renews its lease.
             machine.contact().onResponseSent(nowSeconds);
         }
+        // A heartbeat that was only overtaken by a few newer ones needs no probe.
         if (heartbeat.fencingToken() < term || !reachability.isReordered(heartbeat)) {
             prober.probeIfDue(machine, nowSeconds);
         }
@@ -104,8 +108,8 @@
 
     /**
      * Whether the heartbeat starts a new agent epoch although the lease of the previous epoch
-     * cannot have expired unless responses were lost. If none were lost, the heartbeat is a late
-     * copy from before a restart of the worker that this leader has not noticed.
+     * cannot have expired unless responses were lost. If no responses were lost, the heartbeat is a
+     * late copy from before a restart of the worker that this leader has not detected.
      */
     private boolean isNewEpochImplausible(Machine machine, Heartbeat heartbeat, double nowSeconds) {
         return heartbeat.agentEpoch() > machine.agentEpoch()
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatResponder.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatResponder.java
@@ -18,7 +18,10 @@
 final class HeartbeatResponder {
     private HeartbeatResponder() {}
 
-    /** Returns the commands, and marks the start and stop commands among them as sent. */
+    /**
+     * Returns the commands for the machine's attempts and, if no newer message was received, for
+     * listed tasks of unregistered jobs. Marks the starts and stops of the attempts as sent.
+     */
     static List<WorkerCommand> commands(JobRegistry jobs, Machine machine, Heartbeat heartbeat) {
         List<WorkerCommand> commands = new ArrayList<>();
         for (TaskAttempt attempt : machine.attempts()) {
@@ -31,7 +34,7 @@
                 addStartAndStop(commands, attempt);
             }
         }
-        // Only if no message newer than this heartbeat has been received from the machine.
+        // The task list of a heartbeat is not used if a newer message of the machine was received.
         if (heartbeat.isNewerThan(machine.agentEpoch(), machine.contact().sequenceNumber() - 1)) {
             addForTasksOfUnregisteredJobs(commands, jobs, machine, heartbeat.tasks());
         }
@@ -83,7 +86,10 @@
                                 ? new WorkerCommand.Forget(
                                         task.jobId(), task.taskIndex(), task.attemptId())
                                 : new WorkerCommand.Stop(
-                                        task.jobId(), task.taskIndex(), task.attemptId(), 0));
+                                        task.jobId(),
+                                        task.taskIndex(),
+                                        task.attemptId(),
+                                        /* graceSeconds= */ 0));
             }
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenderResolver.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenderResolver.java
@@ -34,8 +34,9 @@
     }
 
     /**
-     * Returns the machine that sent a message; null if the message must be ignored, because its
-     * sender has seen a newer term, is terminated, or is of an unknown machine type.
+     * Returns the machine that sent a message; adds it to the registry if it is not there. Returns
+     * null if the message must be ignored: its sender has seen a newer term, is terminated, or is
+     * neither registered nor of a known machine type.
      */
     Machine resolve(Heartbeat heartbeat, double nowSeconds) {
         if (heartbeat.fencingToken() > term) {
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/MachineProber.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/MachineProber.java
@@ -20,8 +20,8 @@
     }
 
     /**
-     * Probes the machine unless a probe of it is in flight or was sent recently, its address is
-     * unknown, or decisions are not allowed yet.
+     * Probes the machine unless a probe of it is in flight or was sent less than the minimum time
+     * between two probes ago, its address is unknown, or decisions are not allowed yet.
      */
     void probeIfDue(Machine machine, double nowSeconds) {
         if (machine.address() != null
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
@@ -55,7 +55,10 @@
         this.output = output;
     }
 
-    /** Applies a task status from a message newer than all earlier messages from its machine. */
+    /**
+     * Applies a task status from a message that is newer than all earlier messages from its
+     * machine. No effect if the state of the attempt does not change.
+     */
     void onTaskStatus(TaskAttempt attempt, TaskStatus taskStatus, double nowSeconds) {
         TaskAttempt.State next = stateOf(taskStatus.phase());
         boolean hadRun = attempt.hasRun();
@@ -182,7 +185,10 @@
         };
     }
 
-    /** The worker did not run the task. The job waits briefly before it is placed again. */
+    /**
+     * Handles a task that the worker did not run: the job is placed again only after {@link
+     * #UNKNOWN_TASK_RETRY_SECONDS} or {@link #REFUSED_RETRY_SECONDS}.
+     */
     private static void onRefused(TaskAttempt attempt, ExitReason reason, double nowSeconds) {
         Job job = attempt.job();
         job.failures()
@@ -202,8 +208,9 @@
     }
 
     /**
-     * Stops the other attempts of a gang that lost a task. All of them must have ended before the
-     * next gang attempt starts.
+     * Stops the other attempts of a gang of which a task has exited without being done. All of them
+     * must have ended before the next gang attempt starts. No effect if the job is not an active
+     * gang.
      */
     private void stopBrokenGang(Job job, double nowSeconds) {
         if (job.spec().kind() != JobKind.GANG || !job.isActive()) {
@@ -218,8 +225,9 @@
     }
 
     /**
-     * Handles a task that ended with an error. In most cases the machine is at fault, unless the
-     * job fails on every machine.
+     * Handles a task that ended with an error. The failure is attributed to the machine unless the
+     * job is suspected faulty: in most cases the machine is at fault, but not if the job fails on
+     * every machine.
      */
     private static void onFailed(TaskAttempt attempt, double nowSeconds) {
         Job job = attempt.job();
@@ -241,6 +249,7 @@
         drainIfFaulty(machine, nowSeconds);
     }
 
+    /** Drains a machine that is up and on which enough different jobs have failed. */
     private static void drainIfFaulty(Machine machine, double nowSeconds) {
         int failedJobCount = machine.countAttributedFailures();
         if (failedJobCount >= FAULTY_MACHINE_FAILED_JOBS && machine.state() == Machine.State.UP) {
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
@@ -22,9 +22,9 @@
 
 /**
  * The graph of dependencies between jobs. A job becomes ready when all its dependencies are stored
- * as done, is cancelled when one of them is cancelled, and passes its urgency on to them. No method
- * is recursive, and the cost of an event is proportional to the number of edges that it visits.
- * Owns the edges and the cached ends of jobs.
+ * as done, is cancelled when one of its dependencies is cancelled, and passes its urgency on to its
+ * dependencies. No method is recursive, and the cost of an event is proportional to the number of
+ * edges that it visits. Owns the edges and the cached ends of jobs.
  */
 public final class JobDependencies {
     private static final Logger LOG = LoggerFactory.getLogger(JobDependencies.class);
@@ -38,7 +38,12 @@
      */
     private static final int MAX_REQUESTS = 32;
 
+    /**
+     * Time after which a record is read again if its job was neither registered nor ended since.
+     */
     private static final double READ_RETRY_SECONDS = 5;
+
+    /** Time after which a record is read again that was missing or unreadable. */
     private static final double NOT_FOUND_RETRY_SECONDS = 60;
 
     /** How a job ended, and when its end was stored. */
@@ -121,9 +126,12 @@
     }
 
     /**
-     * Handles the stored end of a job: activates or cancels its dependents.
+     * Handles the stored end of a job: activates or cancels its dependents. The job itself need not
+     * be registered.
      *
      * @param done true if the job is done, false if it is cancelled
+     * @param storedAtSeconds when the end was stored, on the same clock as {@code nowSeconds}; the
+     *     ready time of the dependents is not earlier
      */
     void onJobEnded(String jobId, boolean done, double storedAtSeconds, double nowSeconds) {
         endsByJobId.put(jobId, new JobEnd(done, storedAtSeconds));
@@ -164,7 +172,7 @@
         return end != null && !end.done;
     }
 
-    /** Removes a job that has ended from the dependents of its dependencies. */
+    /** Removes a job that has ended from the dependents of its dependencies, with its urgency. */
     private void removeDependent(Job job) {
         for (String dependencyId : job.spec().dependencies()) {
             Set<Job> otherDependents = dependentsByJobId.get(dependencyId);
@@ -284,7 +292,8 @@
 
     /**
      * Handles a dependency that has no readable record. Whether it is done is unknown, so its
-     * dependents keep waiting.
+     * dependents keep waiting, and its record is read again after {@link #NOT_FOUND_RETRY_SECONDS}.
+     * No effect if no job waits for it any more, or if it was registered or ended meanwhile.
      */
     public void onJobNotFound(String jobId, double nowSeconds) {
         if (readDueAtSecondsByJobId.containsKey(jobId)) {
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobFactory.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobFactory.java
@@ -24,7 +24,12 @@
         teams.forEach(team -> teamsByName.put(team.name(), new TeamUsage(team)));
     }
 
-    /** Creates the job of a record; null if the job's team is not configured any more. */
+    /**
+     * Creates the job of a record; returns null if the job's team is not configured any more.
+     *
+     * @param record a record with a spec
+     * @param acceptedAtSeconds when it was accepted, on the same clock as {@code nowSeconds}
+     */
     Job create(JobRecord record, double acceptedAtSeconds, double nowSeconds) {
         TeamUsage team = teamsByName.get(record.spec().team());
         if (team == null) {
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobReconciler.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobReconciler.java
@@ -42,7 +42,8 @@
     /**
      * Requeues lost tasks and finds lost jobs.
      *
-     * @param unfinished the records of all unfinished jobs
+     * @param unfinished the records of all unfinished jobs; those without a spec or of a team that
+     *     is not configured are ignored
      * @param changesReadUntilSeconds {@code unfinished} reflects all record changes before this
      *     time. A job that ended shortly before now may still be in it as unfinished and must not
      *     be started again; so a job is lost only if it was found to be missing before this time.
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
@@ -13,8 +13,8 @@
 
 /**
  * Applies job records as they are read from the state store, or as they change there: new jobs,
- * cancellations and stored ends. A record that is older than the newest one received of its job is
- * ignored.
+ * cancellations and stored ends. A record of a registered job is ignored if it is older than the
+ * newest record received of that job.
  */
 public final class JobRecordHandler {
     private static final Logger LOG = LoggerFactory.getLogger(JobRecordHandler.class);
@@ -52,7 +52,9 @@
     }
 
     /**
-     * Creates or updates the job of a record.
+     * Creates, updates or ends the job of a record. No job is created if the record is of a done
+     * job, has no spec, or names a team that is not configured; if a cancellation of the job was
+     * received; or, once all records of earlier terms are loaded, if the job is cancelled.
      *
      * @param ageSeconds seconds since the job was accepted; for a done job, since its end was
      *     stored
@@ -116,14 +118,14 @@
                     "job cancelled: job={} attemptsToStop={}",
                     job.spec().id(),
                     job.tasks().attemptCount());
-            attempts.stopAll(job, 0, nowSeconds);
-            releaseEndedJob(job, false);
+            attempts.stopAll(job, /* graceSeconds= */ 0, nowSeconds);
+            releaseEndedJob(job, /* done= */ false);
         } else if (record.status() == JobStatus.DONE && job.transitionTo(Job.State.DONE)) {
             LOG.info(
                     "job done: job={} durationSeconds={}",
                     job.spec().id(),
                     Math.round(nowSeconds - job.acceptedAtSeconds()));
-            releaseEndedJob(job, true);
+            releaseEndedJob(job, /* done= */ true);
         }
     }
 
--- a/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/ImageCacheRecords.java
@@ -13,10 +13,14 @@
 /**
  * Records in the state store of the images that each machine should have cached. Workers do not
  * report their cached images, and a leader without these records would place tasks on machines that
- * have to fetch the image first. The records are only a hint, so they are written seldom.
+ * have to fetch the image first. The records are only a hint, so they are written no more often
+ * than those of done tasks, see {@link SchedulingPolicy#progressWriteIntervalSeconds}.
  */
 public final class ImageCacheRecords {
+    /** Bytes of an entry besides the name of its machine and its images. */
     private static final int ENTRY_OVERHEAD_BYTES = 8;
+
+    /** Bytes of an image in an entry besides its name and size. */
     private static final int IMAGE_OVERHEAD_BYTES = 4;
 
     /** The cached images that an earlier term stored for a machine that is not registered yet. */
@@ -35,7 +39,7 @@
                         policy.maxRecordBytes(),
                         policy.progressWriteIntervalSeconds(),
                         this::encodedBytes,
-                        machine -> true,
+                        /* isNeeded= */ machine -> true,
                         output::storeImages);
     }
 
@@ -56,7 +60,10 @@
         unclaimedByMachine.put(images.machineName(), new UnclaimedRecord(pageNumber, images));
     }
 
-    /** Restores the cached images that an earlier term stored for a machine registered now. */
+    /**
+     * Restores the cached images that an earlier term stored for a machine, which is registered by
+     * now. No effect if none were read, or if they are restored already.
+     */
     public void restoreMachine(Machine machine) {
         UnclaimedRecord unclaimed = unclaimedByMachine.remove(machine.name());
         if (unclaimed != null) {
@@ -64,7 +71,8 @@
             boolean alreadyOnPage = pages.contains(machine);
             pages.restore(unclaimed.pageNumber, machine);
             if (alreadyOnPage) {
-                // The entry has grown by the restored images and must be written with them.
+                // This term added an entry of the machine before the images of the earlier term
+                // were read. The entry has grown by them and must be written with them.
                 pages.put(machine);
             }
         }
--- a/src/main/java/io/kelphoist/scheduler/records/ProgressRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/ProgressRecords.java
@@ -13,14 +13,14 @@
 import java.util.Map;
 
 /**
- * Records in the state store of the done tasks of unfinished jobs. A worker gets the forget command
- * for a done task only after the task is stored in one of these records.
+ * Records in the state store of the done tasks of unfinished jobs. While a job is active, a worker
+ * gets the forget command for a done task only after the task is stored in one of these records.
  */
 public final class ProgressRecords {
     /**
-     * The most tasks of a segment: one kilobyte of bits. If stored values must be smaller, segments
-     * hold a smaller power of two of tasks, so that a whole number of them covers a segment of this
-     * size.
+     * The most tasks of a segment, which are one kilobyte of bits. If stored values must be
+     * smaller, the number of tasks of a segment is a smaller power of two, so that a whole number
+     * of segments covers one with the most tasks, see {@link #restore}.
      */
     private static final int MAX_TASKS_PER_SEGMENT = 8192;
 
@@ -43,8 +43,11 @@
         private final Job job;
         private final int firstTask;
 
-        /** The done tasks in the last write, as indexes relative to the segment's first task. */
-        private BitSet doneInFlight;
+        /**
+         * The done tasks in the last write, as indexes relative to the segment's first task; null
+         * before the first write.
+         */
+        private BitSet doneInLastWrite;
 
         Segment(Job job, int firstTask) {
             this.job = job;
@@ -61,12 +64,13 @@
 
         /** Returns the entry to be written, with the tasks that are done now. */
         TaskProgress beginWrite() {
-            doneInFlight = job.tasks().copyOfDone(firstTask, firstTask + tasksPerSegment);
-            return new TaskProgress(job.spec().id(), firstTask, doneInFlight);
+            doneInLastWrite = job.tasks().copyOfDone(firstTask, firstTask + tasksPerSegment);
+            return new TaskProgress(job.spec().id(), firstTask, doneInLastWrite);
         }
 
+        /** Marks the done tasks in the last write as stored. */
         void onStored() {
-            job.tasks().onDoneStored(firstTask, doneInFlight);
+            job.tasks().onDoneStored(firstTask, doneInLastWrite);
         }
     }
 
@@ -82,7 +86,7 @@
                         policy.maxRecordBytes(),
                         policy.progressWriteIntervalSeconds(),
                         Segment::encodedBytes,
-                        segment -> true,
+                        /* isNeeded= */ segment -> true,
                         (pageNumber, segments) ->
                                 output.storeProgress(
                                         pageNumber,
@@ -96,7 +100,10 @@
                 Integer.highestOneBit(bytesForTasks * TASKS_PER_ENCODED_BYTE));
     }
 
-    /** Adds an entry that an earlier term stored. Segments of that term may have been larger. */
+    /**
+     * Adds an entry that an earlier term stored. The segments of that term may have been larger, so
+     * all segments are added that the largest possible segment from {@code firstTask} on covers.
+     */
     public void restore(int pageNumber, Job job, int firstTask) {
         int endTask = Math.min(firstTask + MAX_TASKS_PER_SEGMENT, job.spec().tasks());
         for (int task = firstTask; task < endTask; task += tasksPerSegment) {
--- a/src/main/java/io/kelphoist/scheduler/records/SchedulerRecords.java
+++ b/src/main/java/io/kelphoist/scheduler/records/SchedulerRecords.java
@@ -4,7 +4,7 @@
  * The records that are packed into shared values of the state store, see {@link
  * io.kelphoist.records.PackedRecords}.
  *
- * @param starts starts whose tasks may run on machines
+ * @param starts starts of task attempts that may run on machines
  * @param progress done tasks of unfinished jobs
  * @param images images that machines should have cached
  */
--- a/src/main/java/io/kelphoist/scheduler/records/StartIntentLog.java
+++ b/src/main/java/io/kelphoist/scheduler/records/StartIntentLog.java
@@ -16,7 +16,10 @@
  * decided at about the same time share a write.
  */
 public final class StartIntentLog {
-    /** Quotes, commas and brackets around an entry that shares nothing with other entries. */
+    /**
+     * Bytes of the quotes, commas and brackets of an entry that is the only one of its machine on a
+     * page. Further entries of the same machine take less, because the machine is stored once.
+     */
     private static final int ENTRY_OVERHEAD_BYTES = 24;
 
     /** An upper bound of the digits of a task index. */
@@ -57,7 +60,7 @@
         pages.restore(pageNumber, attempt);
     }
 
-    /** Adds an attempt whose start was decided. */
+    /** Adds an attempt whose start was decided, and marks its page to be written. */
     public void add(TaskAttempt attempt) {
         pages.put(attempt);
     }
@@ -65,7 +68,8 @@
     /**
      * Adds an attempt of an earlier term that a worker lists.
      *
-     * @param presumed the attempt that represents its stored start; null if no start is stored
+     * @param presumed the attempt that represents its stored start, and that the listed attempt
+     *     replaces; null if no stored start was read
      */
     public void adopt(TaskAttempt attempt, TaskAttempt presumed) {
         if (presumed == null) {
@@ -81,8 +85,9 @@
     }
 
     /**
-     * Requests that the stored attempts of a machine on which nothing runs any more are removed
-     * from the record: otherwise the next leader would wait for the machine.
+     * Requests that the pages with stored attempts of a machine are written again without them,
+     * because nothing runs on the machine any more: otherwise the next leader would wait for the
+     * machine. Its attempts must have been removed before, see {@link #onAttemptEnded}.
      */
     public void onNothingRunning(Machine machine) {
         pages.requestCompaction(attempt -> attempt.machine() == machine);
--- a/src/test/java/io/kelphoist/scheduler/Scenario.java
+++ b/src/test/java/io/kelphoist/scheduler/Scenario.java
@@ -16,7 +16,7 @@
  * current term and the virtual time. {@code docs/SCENARIOS.md} lists the commands.
  */
 final class Scenario {
-    /** The longest heartbeat interval: 2 s with a jitter of a quarter. */
+    /** The longest heartbeat interval of a worker: 2 s with a jitter of up to a quarter of it. */
     private static final double HEARTBEAT_ROUND_SECONDS = 2.5;
 
     private static final int MAX_STATUS_REQUESTS = 100;
@@ -26,7 +26,10 @@
     private final ScenarioElection election = new ScenarioElection();
     private final Map<String, Consumer<ScenarioLine>> commands = new HashMap<>();
 
-    /** Machines with an open status request of the new leader, with the agent epoch in it. */
+    /**
+     * The status requests of the present leader that have no outcome yet: the agent epoch in each
+     * request, by machine name.
+     */
     private final Map<String, Long> statusRequests = new TreeMap<>();
 
     private SchedulerState schedulerState;
@@ -53,7 +56,7 @@
         assertEquals(
                 List.of(),
                 line.unreadWords(),
-                "words of the line that its command does not support");
+                "words that the command '" + line.command() + "' does not support");
     }
 
     SchedulerState schedulerState() {
@@ -77,7 +80,7 @@
         return Collections.unmodifiableMap(statusRequests);
     }
 
-    /** Removes an open status request; returns whether there was one for the machine. */
+    /** Removes the open status request to a machine; returns whether there was one. */
     boolean removeStatusRequest(String machine) {
         return statusRequests.remove(machine) != null;
     }
@@ -97,7 +100,7 @@
                 new Failover(
                         term,
                         HEARTBEAT_ROUND_SECONDS,
-                        0,
+                        /* listLagSeconds= */ 0,
                         MAX_STATUS_REQUESTS,
                         (machine, agentEpoch) -> statusRequests.put(machine.name(), agentEpoch),
                         nowSeconds);
@@ -109,7 +112,7 @@
                         failover,
                         term,
                         setup.machineTypes());
-        failover.onRecordsLoaded(1, 1, nowSeconds);
+        failover.onRecordsLoaded(/* oldestRevision= */ 1, /* termRevision= */ 1, nowSeconds);
         statusRequests.clear();
         output.onTermStarted(schedulerState);
     }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
@@ -74,10 +74,14 @@
 
     /** Syntax: {@code grant-requested PEER TERM granted|refused}. */
     private void onGrantRequested(ScenarioLine line) {
-        assertTrue(peers.contains(line.word(1)), "the requester of a grant must be a peer");
+        assertTrue(
+                peers.contains(line.word(1)),
+                line.word(1) + " requests a grant, expected one of the peers " + peers);
         boolean isGranted = election.onGrantRequested(line.longAt(2), nowSeconds);
         assertEquals(
-                line.isFirstOf(3, "granted", "refused"), isGranted, "whether the grant is given");
+                line.isFirstOf(3, "granted", "refused"),
+                isGranted,
+                "whether the grant to " + line.word(1) + " is given");
     }
 
     private void onLeaderKey(ScenarioLine line) {
--- a/src/test/java/io/kelphoist/scheduler/ScenarioExpectations.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioExpectations.java
@@ -52,10 +52,16 @@
 
     private void checkHeartbeatResponse(ScenarioLine line) {
         if (line.word(1).equals("heartbeat-refused")) {
-            assertTrue(machines.wasHeartbeatReceived(), "a heartbeat must have been sent before");
-            assertNull(machines.heartbeatResponse(), "the heartbeat must be refused");
+            assertTrue(
+                    machines.wasHeartbeatReceived(),
+                    "no heartbeat was received before the line, expected one");
+            assertNull(
+                    machines.heartbeatResponse(),
+                    "response to the last heartbeat, expected a refusal");
         } else {
-            assertNotNull(machines.heartbeatResponse(), "the heartbeat must be accepted");
+            assertNotNull(
+                    machines.heartbeatResponse(),
+                    "the last heartbeat was refused, expected a response");
             assertEquals(line.textFrom(2), ScenarioOutput.describe(machines.heartbeatResponse()));
         }
     }
@@ -74,7 +80,8 @@
         assertTrue(
                 consideredSinceLastCheck <= line.intAt(2),
                 consideredSinceLastCheck
-                        + " machines considered since the last check, which exceeds the limit");
+                        + " machines considered since the last check, expected at most "
+                        + line.intAt(2));
     }
 
     private void checkRecords(ScenarioLine line) {
@@ -91,12 +98,15 @@
             case "writes-at-most" ->
                     assertTrue(
                             output.writeCount() <= line.intAt(2),
-                            output.writeCount() + " writes requested, which exceeds the limit");
+                            output.writeCount()
+                                    + " writes requested, expected at most "
+                                    + line.intAt(2));
             case "image-record-bytes-at-most" ->
                     assertTrue(
                             output.maxImageRecordBytes() <= line.intAt(2),
                             output.maxImageRecordBytes()
-                                    + " bytes in an image record, which exceeds the limit");
+                                    + " bytes in an image record, expected at most "
+                                    + line.intAt(2));
             default -> checkState(line);
         }
     }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioJobs.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioJobs.java
@@ -29,7 +29,9 @@
         this.values = values;
     }
 
-    /** Ids of the jobs that the last reconciliation found to be missing in the scheduler. */
+    /**
+     * Ids of the jobs that the last reconciliation found to be lost and whose records it applied.
+     */
     List<String> missingJobIds() {
         return Collections.unmodifiableList(missingJobIds);
     }
@@ -63,13 +65,21 @@
 
     private void putJob(ScenarioLine line, JobStatus status) {
         String id = line.word(1);
-        JobRecord job = new JobRecord(id, values.job(id, line), status, 0, ++recordVersion);
+        JobRecord job =
+                new JobRecord(
+                        id,
+                        values.job(id, line),
+                        status,
+                        /* timestampMillis= */ 0,
+                        ++recordVersion);
         double ageSeconds = status == JobStatus.ACTIVE ? line.number("age", 0) : 0;
         scenario.schedulerState().onJobRecord(job, ageSeconds, scenario.nowSeconds());
     }
 
     void putEndedJob(String id, JobStatus status, ScenarioLine line) {
-        JobRecord job = new JobRecord(id, null, status, 0, ++recordVersion);
+        JobRecord job =
+                new JobRecord(
+                        id, /* spec= */ null, status, /* timestampMillis= */ 0, ++recordVersion);
         scenario.schedulerState().onJobRecord(job, line.number("age", 0), scenario.nowSeconds());
     }
 
@@ -79,8 +89,14 @@
      */
     private void cancelJob(ScenarioLine line) {
         long version = line.has("acknowledged") ? Long.MAX_VALUE : ++recordVersion;
-        JobRecord job = new JobRecord(line.word(1), null, JobStatus.CANCELLED, 0, version);
-        scenario.schedulerState().onJobRecord(job, 0, scenario.nowSeconds());
+        JobRecord job =
+                new JobRecord(
+                        line.word(1),
+                        /* spec= */ null,
+                        JobStatus.CANCELLED,
+                        /* timestampMillis= */ 0,
+                        version);
+        scenario.schedulerState().onJobRecord(job, /* ageSeconds= */ 0, scenario.nowSeconds());
     }
 
     private void loadStarts(ScenarioLine line) {
@@ -99,7 +115,9 @@
 
     private void loadImages(ScenarioLine line) {
         List<CachedImages.Image> images =
-                line.list("images").stream().map(name -> new CachedImages.Image(name, 1)).toList();
+                line.list("images").stream()
+                        .map(name -> new CachedImages.Image(name, /* sizeGb= */ 1))
+                        .toList();
         scenario.schedulerState()
                 .onImagesLoaded(
                         (int) line.number("page", 0), new CachedImages(line.word(1), images));
@@ -108,9 +126,17 @@
     private void loadProgress(ScenarioLine line) {
         BitSet done = new BitSet();
         line.wordsFrom(2).forEach(task -> done.set(Integer.parseInt(task)));
-        scenario.schedulerState().onProgressLoaded(0, new TaskProgress(line.word(1), 0, done));
+        scenario.schedulerState()
+                .onProgressLoaded(
+                        /* pageNumber= */ 0,
+                        new TaskProgress(line.word(1), /* firstTask= */ 0, done));
     }
 
+    /**
+     * Reconciles the jobs with stored records, and applies the records of lost jobs again. Syntax:
+     * {@code reconcile-jobs CHANGES_READ_UNTIL_SECONDS JOB...}, with the jobs that are stored as
+     * unfinished.
+     */
     private void reconcileJobs(ScenarioLine line) {
         ScenarioLine lineWithoutOptions = new ScenarioLine("");
         List<JobRecord> stored = new ArrayList<>();
@@ -120,7 +146,7 @@
                             id,
                             values.job(id, lineWithoutOptions),
                             JobStatus.ACTIVE,
-                            0,
+                            /* timestampMillis= */ 0,
                             recordVersion));
         }
         missingJobIds.clear();
@@ -128,7 +154,7 @@
                 scenario.schedulerState()
                         .reconcileJobs(stored, line.doubleAt(1), scenario.nowSeconds())) {
             missingJobIds.add(job.id());
-            scenario.schedulerState().onJobRecord(job, 0, scenario.nowSeconds());
+            scenario.schedulerState().onJobRecord(job, /* ageSeconds= */ 0, scenario.nowSeconds());
         }
     }
 }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioLine.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioLine.java
@@ -59,11 +59,12 @@
         return isFirstOf(index, "true", "false");
     }
 
-    /** Whether the word is the first of two alternatives; a word that is neither is an error. */
+    /** Whether a word is the first of two alternatives; throws an exception if it is neither. */
     boolean isFirstOf(int index, String first, String second) {
         String word = word(index);
         if (!word.equals(first) && !word.equals(second)) {
-            throw new IllegalArgumentException(word + " is neither " + first + " nor " + second);
+            throw new IllegalArgumentException(
+                    "word " + index + " is '" + word + "', expected " + first + " or " + second);
         }
         return word.equals(first);
     }
@@ -96,11 +97,15 @@
         return true;
     }
 
-    /** Returns the value of an option; null if the line does not have the option. */
+    /** Returns the value of an option as {@link #option(String, String)}; null by default. */
     String option(String name) {
         return option(name, null);
     }
 
+    /**
+     * Returns the value of an option: empty if it is a name alone, {@code defaultValue} if the line
+     * does not have the option.
+     */
     String option(String name, String defaultValue) {
         if (!has(name)) {
             return defaultValue;
@@ -113,6 +118,7 @@
         return has(name) ? Double.parseDouble(option(name)) : defaultValue;
     }
 
+    /** Returns the comma-separated values of an option, which the line must have. */
     List<String> list(String name) {
         return List.of(option(name).split(",", -1));
     }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioLineTest.java
@@ -10,7 +10,8 @@
 /**
  * Guards against scenarios with mistakes that do not fail and check something else than they state.
  * A misspelled option would leave the option's default value in effect: it is detected as a word of
- * the line that the command has not read. A misspelled boolean would be read as false.
+ * the line that the command has not read. A misspelled boolean would be read as false: it is
+ * rejected.
  */
 class ScenarioLineTest {
     @Test
--- a/src/test/java/io/kelphoist/scheduler/ScenarioMachines.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioMachines.java
@@ -27,7 +27,9 @@
         this.values = values;
     }
 
-    /** The commands in the response to the last heartbeat; null if it was refused. */
+    /**
+     * The commands in the response to the last heartbeat; null if it was refused or there was none.
+     */
     List<WorkerCommand> heartbeatResponse() {
         return heartbeatResponse;
     }
@@ -84,14 +86,16 @@
         String machine = line.word(1);
         assertTrue(
                 scenario.removeStatusRequest(machine),
-                "a status request to the machine must be open");
+                "no status request to " + machine + " is open, expected one");
         scenario.schedulerState()
                 .onStatusRequestOutcome(machine, outcome(line), response, scenario.nowSeconds());
         scenario.failover().onStatusRequestOutcome(machine, outcome(line), response);
     }
 
     private void onProbeOutcome(ScenarioLine line) {
-        assertTrue(output.removeProbe(line.word(1)), "a probe of the machine must be open");
+        assertTrue(
+                output.removeProbe(line.word(1)),
+                "no probe of " + line.word(1) + " is open, expected one");
         scenario.schedulerState()
                 .onProbeOutcome(line.word(1), outcome(line), response(line), scenario.nowSeconds());
     }
@@ -125,14 +129,18 @@
                     case "refused" -> new ScaleOutResult.Refused();
                     case "unknown" -> new ScaleOutResult.Unknown();
                     default ->
-                            throw new IllegalArgumentException("unknown response: " + line.text());
+                            throw new IllegalArgumentException(
+                                    "unknown response, expected granted, refused or unknown: "
+                                            + line.text());
                 };
         scenario.schedulerState().onScaleOutResponse(request, result, scenario.nowSeconds());
     }
 
     private void onInstanceListed(ScenarioLine line) {
         CloudInstance instance = values.instance(line.word(1), line.word(2), line.number("age", 1));
-        onInstanceList(new InstanceListPage("", false, List.of(instance)));
+        onInstanceList(
+                new InstanceListPage(
+                        /* afterName= */ "", /* lastPage= */ false, List.of(instance)));
     }
 
     private void onInstanceList(InstanceListPage page) {
--- a/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioOutput.java
@@ -24,8 +24,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Records the scheduler's requests, and confirms writes of starts and images at once unless the
- * scenario specifies another outcome.
+ * Records the scheduler's requests. Reports writes of starts as stored at once, unless the scenario
+ * leaves them unacknowledged, and writes of images at once with the outcome that the scenario sets.
  */
 final class ScenarioOutput implements SchedulerOutput {
     private static final String NONE = "none";
@@ -45,7 +45,9 @@
     private boolean acknowledgesStartWrites = true;
     private PageWriteOutcome imageWriteOutcome = PageWriteOutcome.STORED;
 
-    /** Starts a new term, in which requests of earlier terms are not open any more. */
+    /**
+     * Starts a new term, in which commands, writes and scale-outs of earlier terms are not open.
+     */
     void onTermStarted(SchedulerState newState) {
         schedulerState = newState;
         commandsByMachine.clear();
@@ -78,6 +80,7 @@
         }
     }
 
+    /** The id of the attempt at a task that was started last, which must exist. */
     long newestAttemptId(String task) {
         return newestAttemptIdsByTask.get(task);
     }
@@ -90,6 +93,7 @@
         commandsByMachine.remove(machine);
     }
 
+    /** Describes commands in alphabetical order, with the stops last. */
     static String describe(List<WorkerCommand> commands) {
         return commands.isEmpty()
                 ? NONE
@@ -116,7 +120,7 @@
         probedMachines.add(machine.name());
     }
 
-    /** Removes an open probe; returns whether there was one of the machine. */
+    /** Removes the open probe of a machine; returns whether there was one. */
     boolean removeProbe(String machine) {
         return probedMachines.remove(machine);
     }
@@ -135,9 +139,12 @@
     public void storeProgress(int page, List<TaskProgress> progress) {
         writeCount++;
         progress.forEach(
-                job ->
+                range ->
                         openWrites.add(
-                                "progress " + job.jobId() + " " + job.doneTasks().cardinality()));
+                                "progress "
+                                        + range.jobId()
+                                        + " "
+                                        + range.doneTasks().cardinality()));
     }
 
     @Override
@@ -150,7 +157,7 @@
         openWrites.add("cancelled " + job.id());
     }
 
-    /** Removes an open write; returns whether there was one of this kind for the job. */
+    /** Removes the open write of a kind for a job; returns whether there was one. */
     boolean removeWrite(String kind, String jobId) {
         return openWrites.remove(kind + " " + jobId);
     }
@@ -180,6 +187,7 @@
         readJobIds.add(jobId);
     }
 
+    /** Returns the ids of the jobs whose records were read since the last call. */
     String takeReadJobIds() {
         String jobs = describe(readJobIds);
         readJobIds.clear();
@@ -230,10 +238,13 @@
     @Override
     public void storeImages(int page, List<Machine> machines) {
         writeCount++;
+        // A record of one machine cannot be split, so it may exceed the limit.
         if (machines.size() >= 2) {
             List<CachedImages> images =
                     machines.stream().map(schedulerState::cachedImages).toList();
-            byte[] value = MessageEncoding.encodeJson(RecordCodec.encodeImages(0, images).value());
+            byte[] value =
+                    MessageEncoding.encodeJson(
+                            RecordCodec.encodeImages(/* pageNumber= */ 0, images).value());
             maxImageRecordBytes = Math.max(maxImageRecordBytes, value.length);
         }
         for (Machine machine : machines) {
--- a/src/test/java/io/kelphoist/scheduler/ScenarioSetup.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioSetup.java
@@ -45,6 +45,7 @@
         teams.add(new Team(line.word(1), guaranteed, withLimitedGpus(line.number("max-gpus", 0))));
     }
 
+    /** Infinite resources except {@code gpus} GPUs; 0: an infinite number of GPUs too. */
     private static Resources withLimitedGpus(double gpus) {
         return new Resources(
                 Double.POSITIVE_INFINITY,
@@ -78,18 +79,18 @@
         return new SchedulingPolicy(
                 List.copyOf(zones),
                 List.copyOf(teams),
-                2,
-                10,
-                8,
-                5,
-                3,
-                20,
-                15,
-                0,
-                40,
+                /* heartbeatIntervalSeconds= */ 2,
+                /* leaseSeconds= */ 10,
+                /* gangPeerTimeoutSeconds= */ 8,
+                /* machineHoldBackoffSeconds= */ 5,
+                /* localityWaitSeconds= */ 3,
+                /* machineHoldSeconds= */ 20,
+                /* gangReservationSeconds= */ 15,
+                /* headroom= */ 0,
+                /* idleBeforeScaleInSeconds= */ 40,
                 maxRecordBytes,
-                0.01,
-                0.01,
-                Map.of("relaxed", 15.0));
+                /* startWriteIntervalSeconds= */ 0.01,
+                /* progressWriteIntervalSeconds= */ 0.01,
+                /* startObjectiveSeconds= */ Map.of("relaxed", 15.0));
     }
 }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioStore.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioStore.java
@@ -32,11 +32,16 @@
         commands.put("job-write-outcome", this::onJobWritten);
     }
 
+    /** Syntax: {@code start-write-outcome PAGE OUTCOME}. */
     private void onStartsWritten(ScenarioLine line) {
         PageWriteOutcome outcome = ScenarioValues.parse(PageWriteOutcome.class, line.word(2));
         scenario.schedulerState().onStartsStored(line.intAt(1), outcome);
     }
 
+    /**
+     * Reports the outcome of a job's open write: of its end if that is being written, otherwise of
+     * its done tasks, which are on page 0. Syntax: {@code job-write-outcome JOB stored|failed}.
+     */
     private void onJobWritten(ScenarioLine line) {
         String jobId = line.word(1);
         if (line.isFirstOf(2, "stored", "failed")) {
@@ -53,7 +58,8 @@
             jobs.putEndedJob(jobId, JobStatus.CANCELLED, line);
         } else {
             output.removeWritesThatStartWith("progress " + jobId);
-            scenario.schedulerState().onProgressStored(0, PageWriteOutcome.STORED);
+            scenario.schedulerState()
+                    .onProgressStored(/* pageNumber= */ 0, PageWriteOutcome.STORED);
         }
     }
 
@@ -62,7 +68,8 @@
             scenario.schedulerState().onJobEndNotStored(jobId);
         } else {
             output.removeWritesThatContain(jobId);
-            scenario.schedulerState().onProgressStored(0, PageWriteOutcome.UNKNOWN);
+            scenario.schedulerState()
+                    .onProgressStored(/* pageNumber= */ 0, PageWriteOutcome.UNKNOWN);
         }
     }
 }
--- a/src/test/java/io/kelphoist/scheduler/ScenarioValues.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioValues.java
@@ -39,13 +39,13 @@
                 (int) line.number("tasks", 1),
                 new Resources(
                         line.number("cpus", 1), line.number("gpus", 1), line.number("memory", 1)),
-                null,
+                /* machineTypes= */ null,
                 line.option("zone"),
                 line.has("single-zone"),
                 line.has("spread"),
                 line.has("spot"),
                 line.option("image", "img"),
-                1,
+                /* imageSizeGb= */ 1,
                 line.number("estimated-run-time", 60),
                 line.number("checkpoint-interval", 0),
                 line.number("checkpoint-save-time", 0),
@@ -59,7 +59,7 @@
                 name + ":1",
                 setup.machineType().name(),
                 setup.zone(),
-                false,
+                /* spot= */ false,
                 parse(CloudInstance.InstanceState.class, state),
                 ageSeconds);
     }
@@ -84,7 +84,7 @@
                 line.option("zone", setup.zone()),
                 line.has("spot"),
                 (long) line.number("epoch", 1),
-                !line.has("booting"),
+                /* hasReported= */ !line.has("booting"),
                 line.has("faulty"),
                 line.has("possibly-disconnected"),
                 line.has("command-unanswered"),
@@ -100,7 +100,9 @@
 
     /**
      * Creates the heartbeat that a line describes by the options {@code epoch=N sequence=N token=N}
-     * and the words {@code JOB/TASK=PHASE[:EXIT][@ATTEMPT]...}.
+     * and the words {@code JOB/TASK=PHASE[:EXIT_REASON][@ATTEMPT]...}. ATTEMPT is an attempt id,
+     * which contains the term that started the attempt, shifted left by 24 bits: 16777217 is the
+     * first attempt of term 1.
      *
      * @param newestAttemptId returns the id of a task's newest attempt, for words without an id
      */
@@ -138,6 +140,11 @@
                 phase == TaskPhase.EXITED ? parse(ExitReason.class, parts[1]) : null;
         TaskRef taskRef = task(task);
         return new TaskStatus(
-                taskRef.jobId(), taskRef.taskIndex(), attemptId, phase, exitReason, false);
+                taskRef.jobId(),
+                taskRef.taskIndex(),
+                attemptId,
+                phase,
+                exitReason,
+                /* checkpointSaved= */ false);
     }
 }
--- a/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
+++ b/src/test/java/io/kelphoist/scheduler/SchedulerBenchmark.java
@@ -47,7 +47,7 @@
     private final int machineCount;
     private final List<Team> teams = new ArrayList<>();
     private final MachineType type =
-            new MachineType(
+            new MachineType( // cache 50 GB, fetch 0.6 GB/s, prices 8 and (spot) 3, boot 25 s
                     "m", new Resources(24, MACHINE_GPUS, 96), 50, 0.6, 8, 3, 25, List.of("a", "b"));
     private final Map<String, Map<String, Long>> running = new HashMap<>();
     private final Deque<Runnable> outcomes = new ArrayDeque<>();
@@ -71,9 +71,9 @@
     public static void main(String[] args) {
         System.out.println(
                 "machines   failover ms  heartbeat us p50 p99     decision ms p50 p99 max machines/decision heap MiB");
-        new SchedulerBenchmark(MACHINE_COUNTS[0]).measureLoadAndFailover(false);
+        new SchedulerBenchmark(MACHINE_COUNTS[0]).measureLoadAndFailover(/* print= */ false);
         for (int machineCount : MACHINE_COUNTS) {
-            new SchedulerBenchmark(machineCount).measureLoadAndFailover(true);
+            new SchedulerBenchmark(machineCount).measureLoadAndFailover(/* print= */ true);
         }
         System.out.println("machines  fill: decisions  sum s     decision ms p50 p99 max");
         for (int machineCount : MACHINE_COUNTS) {
@@ -83,7 +83,7 @@
 
     /**
      * Measures the decisions in the first minute of a new cluster: services, gangs and arrays wait
-     * for the machines that they need, which come up one after the other with empty image caches.
+     * for machines, which come up one after the other within 40 s and have empty image caches.
      */
     private void measureFill() {
         startTerm(1);
@@ -91,7 +91,7 @@
             submit(i * 3, new int[] {3, 3, 4, 6}[i % 4], JobKind.SERVICE);
             submit(i * 3 + 1, new int[] {1, 2, 1, 4}[i % 4], JobKind.GANG);
             if (i % 2 == 0) {
-                submit(i * 3 + 2, 12, JobKind.ARRAY);
+                submit(i * 3 + 2, /* tasks= */ 12, JobKind.ARRAY);
             }
         }
         double start = nowSeconds;
@@ -101,7 +101,7 @@
             for (; up < Math.min(machineCount, machineCount * (nowSeconds - start) / 40); up++) {
                 schedulerState.onHeartbeat(createHeartbeat("vm-" + up, up, 1), "", nowSeconds);
             }
-            tick(true);
+            tick(/* measure= */ true);
         }
         System.out.printf(
                 Locale.ROOT,
@@ -130,18 +130,18 @@
                 List.of("a", "b"),
                 teams,
                 HEARTBEAT_INTERVAL_SECONDS,
-                22,
-                8,
-                5,
-                3,
-                20,
-                15,
-                0,
-                40,
-                4000,
-                0.1,
-                0.5,
-                Map.of());
+                /* leaseSeconds= */ 22,
+                /* gangPeerTimeoutSeconds= */ 8,
+                /* machineHoldBackoffSeconds= */ 5,
+                /* localityWaitSeconds= */ 3,
+                /* machineHoldSeconds= */ 20,
+                /* gangReservationSeconds= */ 15,
+                /* headroom= */ 0,
+                /* idleBeforeScaleInSeconds= */ 40,
+                /* maxRecordBytes= */ 4000,
+                /* startWriteIntervalSeconds= */ 0.1,
+                /* progressWriteIntervalSeconds= */ 0.5,
+                /* startObjectiveSeconds= */ Map.of());
     }
 
     /** The gate of a leader whose conditions for decisions and scale-out all hold. */
@@ -176,18 +176,18 @@
                         priority,
                         tasks,
                         needs,
-                        null,
-                        null,
-                        isGang,
-                        kind == JobKind.SERVICE,
-                        kind != JobKind.SERVICE,
+                        /* machineTypes= */ null,
+                        /* zone= */ null,
+                        /* singleZone= */ isGang,
+                        /* spreadAcrossZones= */ kind == JobKind.SERVICE,
+                        /* spotAllowed= */ kind != JobKind.SERVICE,
                         "img-" + number % 40,
-                        5,
-                        60,
-                        15,
-                        3,
-                        null,
-                        List.of());
+                        /* imageSizeGb= */ 5,
+                        /* estimatedSeconds= */ 60,
+                        /* checkpointIntervalSeconds= */ 15,
+                        /* checkpointSaveSeconds= */ 3,
+                        /* deadlineSeconds= */ null,
+                        /* dependencies= */ List.of());
         return new JobRecord(spec.id(), spec, JobStatus.ACTIVE, 0, ++recordVersion);
     }
 
@@ -209,18 +209,18 @@
                                                         task.substring(task.indexOf('/') + 1)),
                                                 attemptId,
                                                 TaskPhase.RUNNING,
-                                                null,
-                                                false)));
+                                                /* exitReason= */ null,
+                                                /* checkpointSaved= */ false)));
         return new Heartbeat(
                 machineName,
                 "10.0.0.1:9000",
-                "m",
-                machineNumber % 2 == 0 ? "a" : "b",
-                false,
-                1,
+                /* machineType= */ "m",
+                /* zone= */ machineNumber % 2 == 0 ? "a" : "b",
+                /* spot= */ false,
+                /* agentEpoch= */ 1,
                 ++sequenceNumber,
                 fencingToken,
-                null,
+                /* terminationNoticeSeconds= */ null,
                 tasks);
     }
 
@@ -250,12 +250,12 @@
         }
     }
 
-    /** Fills three quarters of the cluster, then measures steady load and a failover. */
+    /** Fills three quarters of the GPUs, then measures steady load and, last, a failover. */
     private void measureLoadAndFailover(boolean print) {
         startTerm(1);
-        sendHeartbeats(1);
+        sendHeartbeats(/* fencingToken= */ 1);
         int submittedCount = fillThreeQuarters();
-        sendHeartbeatRound(1, false);
+        sendHeartbeatRound(/* fencingToken= */ 1, /* measure= */ false);
         long consideredBefore = schedulerState.consideredMachineCount();
         measureSteadyLoad(submittedCount);
         long consideredPerDecision =
@@ -279,11 +279,11 @@
     private int fillThreeQuarters() {
         int submittedCount = 0;
         for (int tasks = 0; tasks < machineCount * MACHINE_GPUS * 3 / 4; tasks += 12) {
-            submit(submittedCount++, 12, JobKind.ARRAY);
+            submit(submittedCount++, /* tasks= */ 12, JobKind.ARRAY);
         }
         for (int i = 0; i < 200; i++) {
             nowSeconds += 0.02;
-            tick(false);
+            tick(/* measure= */ false);
         }
         return submittedCount;
     }
@@ -295,21 +295,21 @@
             for (int i = 0; i < machineCount / 60; i++) {
                 submit(number++, 12, i % 3 == 0 ? JobKind.SERVICE : JobKind.ARRAY);
             }
-            sendHeartbeatRound(1, true);
+            sendHeartbeatRound(/* fencingToken= */ 1, /* measure= */ true);
         }
     }
 
     /** Returns how many ms a new leader takes to load all records and handle a heartbeat round. */
     private double measureFailover() {
         long startNanos = System.nanoTime();
-        startTerm(2);
+        startTerm(/* term= */ 2);
         jobRecords.forEach(job -> schedulerState.onJobRecord(job, 0, nowSeconds));
         startsByPage.forEach(
                 (page, starts) ->
                         starts.forEach(
                                 start -> schedulerState.onStartLoaded(page, start, nowSeconds)));
-        schedulerState.onRecordsLoaded(0);
-        sendHeartbeats(2);
+        schedulerState.onRecordsLoaded(/* nowSeconds= */ 0);
+        sendHeartbeats(/* fencingToken= */ 2);
         nowSeconds += 1.3 * HEARTBEAT_INTERVAL_SECONDS;
         schedulerState.tick(nowSeconds);
         return (System.nanoTime() - startNanos) * 1e-6;
@@ -360,9 +360,9 @@
                                 attempt ->
                                         new RecordedStart(
                                                 attempt.machine().name(),
-                                                "m",
+                                                /* machineType= */ "m",
                                                 attempt.machine().zone() == 0 ? "a" : "b",
-                                                false,
+                                                /* spot= */ false,
                                                 new TaskRef(
                                                         attempt.job().spec().id(),
                                                         attempt.taskIndex())))
--- a/src/test/java/io/kelphoist/scheduler/TaskAttemptFixture.java
+++ b/src/test/java/io/kelphoist/scheduler/TaskAttemptFixture.java
@@ -18,7 +18,14 @@
 public final class TaskAttemptFixture {
     private static final MachineType MACHINE_TYPE =
             new MachineType(
-                    "g8", new Resources(96, 8, 768), 200, 1, 12, 4.5, 45, List.of("a", "b"));
+                    "g8",
+                    new Resources(/* cpus= */ 96, /* gpus= */ 8, /* memoryGb= */ 768),
+                    /* cacheGb= */ 200,
+                    /* fetchGbPerSecond= */ 1,
+                    /* price= */ 12,
+                    /* spotPrice= */ 4.5,
+                    /* bootSeconds= */ 45,
+                    List.of("a", "b"));
 
     private TaskAttemptFixture() {}
 
@@ -27,15 +34,33 @@
                 new MachineIdentity(name, MACHINE_TYPE, zone, spot),
                 "10.0.0.1:9000",
                 Machine.State.UP,
-                0);
+                /* nowSeconds= */ 0);
     }
 
     public static TaskAttempt createAttempt(JobSpec spec, int taskIndex, Machine machine) {
         NameIndex zones = new NameIndex();
         zones.getOrAssign("a");
         zones.getOrAssign("b");
-        JobRecord record = new JobRecord(spec.id(), spec, JobStatus.ACTIVE, 1, 1);
+        JobRecord record =
+                new JobRecord(
+                        spec.id(),
+                        spec,
+                        JobStatus.ACTIVE,
+                        /* timestampMillis= */ 1,
+                        /* version= */ 1);
         TeamUsage team = new TeamUsage(new Team(spec.team(), Resources.NONE, Resources.NONE));
-        return new TaskAttempt(new Job(record, team, 0, zones, 0, 0), taskIndex, 1, machine, 1, 0);
+        return new TaskAttempt(
+                new Job(
+                        record,
+                        team,
+                        /* imageIndex= */ 0,
+                        zones,
+                        /* acceptedAtSeconds= */ 0,
+                        /* nowSeconds= */ 0),
+                taskIndex,
+                /* attemptId= */ 1,
+                machine,
+                /* agentEpoch= */ 1,
+                /* nowSeconds= */ 0);
     }
 }
