--- a/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
@@ -84,6 +84,10 @@
                 "whether the grant to " + line.word(1) + " is given");
     }
 
+    /**
+     * Syntax: {@code leader-key HOLDER|absent [TERM]}. TERM is the newest stored term, which is
+     * also that of the holder; 0 if omitted.
+     */
     private void onLeaderKey(ScenarioLine line) {
         boolean isAbsent = line.word(1).equals("absent");
         long term = line.size() > 2 ? line.longAt(2) : 0;
--- a/src/test/java/io/kelphoist/scheduler/ScenarioMachines.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioMachines.java
@@ -92,6 +92,7 @@
         scenario.failover().onStatusRequestOutcome(machine, outcome(line), response);
     }
 
+    /** Syntax: {@code probe-outcome MACHINE OUTCOME [HEARTBEAT]}. */
     private void onProbeOutcome(ScenarioLine line) {
         assertTrue(
                 output.removeProbe(line.word(1)),
@@ -136,6 +137,10 @@
         scenario.schedulerState().onScaleOutResponse(request, result, scenario.nowSeconds());
     }
 
+    /**
+     * Passes on a page that lists one instance and is not the last page. Syntax: {@code
+     * listed-instance MACHINE STATE [age=SECONDS]}.
+     */
     private void onInstanceListed(ScenarioLine line) {
         CloudInstance instance = values.instance(line.word(1), line.word(2), line.number("age", 1));
         onInstanceList(
