--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobDependencies.java
@@ -46,7 +46,7 @@
     /** Time after which a record is read again that was missing or unreadable. */
     private static final double NOT_FOUND_RETRY_SECONDS = 60;
 
-    /** How a job ended, and when its end was stored. */
+    /** How a job ended and, if it is done, when its end was stored. */
     private record JobEnd(boolean done, double storedAtSeconds) {}
 
     private final JobRegistry jobs;
@@ -130,8 +130,9 @@
      * be registered.
      *
      * @param done true if the job is done, false if it is cancelled
-     * @param storedAtSeconds when the end was stored, on the same clock as {@code nowSeconds}; the
-     *     ready time of the dependents is not earlier
+     * @param storedAtSeconds when the end of a done job was stored, on the same clock as {@code
+     *     nowSeconds}; the ready time of the dependents is not earlier. Not used if the job is
+     *     cancelled
      */
     void onJobEnded(String jobId, boolean done, double storedAtSeconds, double nowSeconds) {
         endsByJobId.put(jobId, new JobEnd(done, storedAtSeconds));
--- a/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/jobrecords/JobRecordHandler.java
@@ -54,7 +54,8 @@
     /**
      * Creates, updates or ends the job of a record. No job is created if the record is of a done
      * job, has no spec, or names a team that is not configured; if a cancellation of the job was
-     * received; or, once all records of earlier terms are loaded, if the job is cancelled.
+     * received and is still cached; or, once all records of earlier terms are loaded, if the job is
+     * cancelled.
      *
      * @param ageSeconds seconds since the job was accepted; for a done job, since its end was
      *     stored
