--- a/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
+++ b/src/test/java/io/kelphoist/scheduler/ScenarioElection.java
@@ -74,12 +74,20 @@
 
     /** Syntax: {@code grant-requested PEER TERM granted|refused}. */
     private void onGrantRequested(ScenarioLine line) {
-        assertTrue(peers.contains(line.word(1)), "the requester of a grant must be a peer");
+        assertTrue(
+                peers.contains(line.word(1)),
+                line.word(1) + " requests a grant, expected one of the peers " + peers);
         boolean isGranted = election.onGrantRequested(line.longAt(2), nowSeconds);
         assertEquals(
-                line.isFirstOf(3, "granted", "refused"), isGranted, "whether the grant is given");
+                line.isFirstOf(3, "granted", "refused"),
+                isGranted,
+                "whether the grant to " + line.word(1) + " is given");
     }
 
+    /**
+     * Syntax: {@code leader-key HOLDER|absent [TERM]}. TERM is the newest stored term, which is
+     * also that of the holder; 0 if omitted.
+     */
     private void onLeaderKey(ScenarioLine line) {
         boolean isAbsent = line.word(1).equals("absent");
         long term = line.size() > 2 ? line.longAt(2) : 0;
