--- a/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
@@ -30,7 +30,10 @@
 public final class CancellationWatermark {
     /** The cancellations of one other controller that this leader has received. */
     private static final class PeerProgress {
-        /** All cancellations that the controller confirmed before this time have been received. */
+        /**
+         * All cancellations that the controller confirmed before this time have been received;
+         * negative infinity before the first read of the jobs.
+         */
         double completeUntilSeconds = Double.NEGATIVE_INFINITY;
 
         /** When the newest request to which the controller responded was sent. */
@@ -66,9 +69,11 @@
 
     /**
      * A controller responded to a request of this term. The caller must have applied the
-     * cancellations in the statement. The statement advances the progress of that controller only
-     * if it is complete and covers the whole time since the progress. It does not cover that time
-     * if the controller's process or its list started later.
+     * cancellations in the statement. The time up to which all cancellations of that controller
+     * have been received advances only if the statement is complete and covers all time since then.
+     * It does not cover that time if the controller's process started later, or if cancellations
+     * that were confirmed later have left its list without an acknowledgement of this term's
+     * leader. Statements of a controller that is not in the configuration are ignored.
      *
      * @param sentAtSeconds when the request was sent
      */
@@ -116,8 +121,8 @@
     }
 
     /**
-     * Returns the sequence number up to which the cancellations confirmed by that process have been
-     * received.
+     * Returns the sequence number up to which the cancellations that the process {@link
+     * #incarnation} of a controller confirmed have been received; 0 if none were.
      */
     public long acknowledgedSequenceNumber(String peer) {
         return peers.get(peer).acknowledgedSequenceNumber;
@@ -125,7 +130,8 @@
 
     /**
      * Returns the watermark: all cancellations that were acknowledged to any user before this time
-     * have been received. Without other controllers this is {@code nowSeconds}.
+     * have been received. Without other controllers this is {@code nowSeconds}; with others it is
+     * negative infinity until the jobs have been read.
      */
     public double watermarkSeconds(double nowSeconds) {
         return peers.values().stream()
--- a/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
+++ b/src/main/java/io/kelphoist/cancellation/ConfirmedCancellations.java
@@ -24,9 +24,9 @@
      * @param incarnation identifies the process of the controller
      * @param coveredSeconds length of the covered time, measured by the controller's own clock
      * @param lastSequenceNumber sequence number of the newest of {@code jobIds}, which the leader
-     *     acknowledges; without any, the one up to which the leader has acknowledged
+     *     acknowledges; if there are none, the number up to which the leader has acknowledged
      * @param complete false if the list holds more cancellations than the statement, so that the
-     *     statement covers no time
+     *     statement covers no time, whatever {@code coveredSeconds} is
      * @param jobIds the cancelled jobs, oldest confirmation first
      */
     public record Statement(
@@ -174,7 +174,10 @@
         return List.copyOf(confirmations.keySet());
     }
 
-    /** Returns the number of confirmed cancellations that no leader has acknowledged. */
+    /**
+     * Returns the length of the list: the number of confirmed cancellations that no leader has
+     * acknowledged, without those that were dropped from the list.
+     */
     public int size() {
         return confirmations.size();
     }
--- a/src/main/java/io/kelphoist/delegation/DelegationOffer.java
+++ b/src/main/java/io/kelphoist/delegation/DelegationOffer.java
@@ -9,7 +9,8 @@
  *
  * @param term the leader's term, which is the fencing token that the workers hold
  * @param incarnation the process of the receiver that reported the clock value on which {@code
- *     startsAtSeconds} is based; any other process ignores the offer
+ *     startsAtSeconds} is based; any other process ignores the offer. 0 and not checked in an offer
+ *     of the leader to itself
  * @param sequenceNumber increases with every offer of a term, so that a delayed offer cannot
  *     replace a newer one
  * @param startsAtSeconds start of the delegation on the receiver's own monotonic clock, in seconds.
--- a/src/main/java/io/kelphoist/delegation/HeldDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/HeldDelegation.java
@@ -74,7 +74,7 @@
         return state;
     }
 
-    /** Returns the newest term that this controller has seen. */
+    /** Returns the newest term that this controller has observed; 0 if it has observed none. */
     public long term() {
         return term;
     }
@@ -131,8 +131,10 @@
     }
 
     /**
-     * This controller is the leader and offers a delegation to itself. It is used once this
-     * controller is no longer authorized to act as the leader.
+     * This controller is the leader and offers a delegation to itself, which becomes {@link
+     * State#ACTIVE} without waiting for the leader to be silent. The caller uses it only once this
+     * controller is no longer authorized to act as the leader. Ignored if a newer term was
+     * observed.
      */
     public void onOwnOffer(DelegationOffer offer, double nowSeconds) {
         if (offer.term() >= term) {
@@ -144,8 +146,8 @@
 
     private void apply(DelegationOffer offer, double nowSeconds) {
         sequenceNumber = offer.sequenceNumber();
-        // The start is a clock value that this process reported, so it cannot be in its future.
-        // The bound protects against a leader that sends another value.
+        // The start is not later than a clock value that this process reported, so it cannot be in
+        // its future. The bound protects against a leader that sends another value.
         expiresAtSeconds =
                 Math.min(offer.startsAtSeconds(), nowSeconds) + timing.delegationSeconds();
         excludedMachines = offer.excludedMachines();
--- a/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
+++ b/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
@@ -92,7 +92,7 @@
         }
     }
 
-    /** A controller responded with a version that does not support delegation. */
+    /** A controller responded whose version does not support delegation. */
     public void onResponseWithoutSupport(String peerName, double sentAtSeconds, double nowSeconds) {
         PeerDelegation peer = peers.get(peerName);
         if (peer != null) {
@@ -156,7 +156,10 @@
 
     /**
      * A record that an earlier leader stored was loaded: the controller's delegation started at
-     * {@code startsAtSeconds} at the latest.
+     * {@code startsAtSeconds} at the latest. The start in this controller's own record is not used,
+     * and the record of a controller that is not in the configuration is ignored.
+     *
+     * @param startsAtSeconds on the leader's monotonic clock
      */
     public void onRecordLoaded(String peerName, double startsAtSeconds) {
         PeerDelegation peer = peers.get(peerName);
@@ -169,12 +172,13 @@
 
     /**
      * Returns the writes to start now; each is returned once, and {@link #onRecordWritten} must be
-     * called when it has ended. For a controller that stopped responding, the latest start of its
-     * delegation is stored, so that the next leader need not assume that the delegation started
-     * with the next leader's own term. For a controller that responds again, and for this
-     * controller, the record is cleared. A controller gets no offer until its record is cleared, so
-     * that a record never contains a start that is too early. Records are written only when a
-     * controller stops or resumes responding, or when this controller has been elected.
+     * called when it has ended. There are none if this leader does not offer delegations. For a
+     * controller that stopped responding, the latest start of its delegation is stored, so that the
+     * next leader need not assume that the delegation started with the next leader's own term. For
+     * a controller that responds again, and for this controller, the record is cleared. A
+     * controller gets no offer until its record is cleared, so that a record never contains a start
+     * that is too early. Records are written only when a controller stops or resumes responding, or
+     * when this controller has been elected.
      */
     public List<DelegationRecordWrite> dueRecordWrites(double nowSeconds) {
         List<DelegationRecordWrite> due = new ArrayList<>();
@@ -225,7 +229,7 @@
         ownLastRenewalAtSeconds = nowSeconds;
     }
 
-    /** Returns the zone of another controller of the deployment. */
+    /** Returns the zone of another controller, which must be in the configuration. */
     public String zoneOf(String peerName) {
         return peers.get(peerName).zone();
     }
--- a/src/main/java/io/kelphoist/delegation/PeerDelegation.java
+++ b/src/main/java/io/kelphoist/delegation/PeerDelegation.java
@@ -90,9 +90,10 @@
     private double lastRenewalAtSeconds = Double.NEGATIVE_INFINITY;
 
     /**
-     * Machines whose leases the peer cannot have renewed by then, because the delegations that it
-     * held excluded them. Once a newer renewal is possible, one that is longer ago than twice the
-     * duration of a delegation is disregarded.
+     * Machines whose leases the peer cannot have renewed until {@link #lastRenewalAtSeconds},
+     * because the delegations that it held excluded them. When {@link #lastRenewalAtSeconds}
+     * advances, the earlier exclusions are disregarded if its previous value is longer ago than
+     * twice the duration of a delegation.
      */
     private ImmutableSet<String> notRenewedMachines = ImmutableSet.of();
 
@@ -128,7 +129,8 @@
 
     /**
      * The peer responded to a grant request of this term. A response to an older request than the
-     * newest one responded to is ignored.
+     * newest one responded to is ignored. If the peer has accepted the newest offer, only the start
+     * and the exclusions of that offer apply from now on.
      */
     void onResponse(double sentAtSeconds, PeerStatus status, double nowSeconds) {
         if (sentAtSeconds < lastRespondedRequestSentAtSeconds) {
@@ -147,7 +149,10 @@
         }
     }
 
-    /** The peer responded with a version that does not support delegation. */
+    /**
+     * The peer, whose version does not support delegation, responded. A response to an older
+     * request than the newest one responded to is ignored.
+     */
     void onUnsupportedResponse(double sentAtSeconds, double nowSeconds) {
         if (sentAtSeconds >= lastRespondedRequestSentAtSeconds) {
             // An earlier process of the peer may have run a version with delegation.
@@ -283,7 +288,10 @@
         return latestStartAtSeconds;
     }
 
-    /** Returns the latest time at which the peer may have renewed a machine's lease. */
+    /**
+     * Returns the latest time until {@code nowSeconds} at which the peer may have renewed a
+     * machine's lease; negative infinity if it cannot have renewed it.
+     */
     double latestRenewalAtSeconds(String machineName, double nowSeconds) {
         double renewalBeforeResponseAtSeconds =
                 notRenewedMachines.contains(machineName)
--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -33,12 +33,12 @@
     /** Carries out the requests of the election and receives its events. */
     public interface Actions {
         /**
-         * Creates a lease, reads the leadership keys and writes the leader key under the lease. The
-         * result is passed to {@link #onLeadershipAcquired} or {@link #onAcquisitionFailed}.
+         * Creates a lease, reads the leadership keys, and writes the term and, under the lease, the
+         * leader key. Followed by {@link #onLeadershipAcquired} or {@link #onAcquisitionFailed}.
          */
         void acquireLeadership();
 
-        /** Renews the lease; {@link #onLeaseRenewed} is not called if the outcome is unknown. */
+        /** Renews the lease; {@link #onLeaseRenewed} is called if it was renewed or has expired. */
         void renewLease(long leaseId);
 
         /** Releases a lease that this controller does not need any more. */
@@ -54,8 +54,8 @@
         void requestGrant(String peer, long term, double sentAtSeconds);
 
         /**
-         * Whether this controller has a current replica of the leader's state and of the records.
-         * Without one it needs longer than another controller to load its state as a new leader.
+         * Whether this controller has a current replica of the records and, if it is replicated, of
+         * the leader's state. Without one it needs longer to load its state as a new leader.
          */
         boolean isReplicaCurrent();
 
@@ -107,14 +107,13 @@
     private double nextGrantRequestAtSeconds;
     private double candidacyNotBeforeSeconds;
 
-    /** When the leader key was first read as absent after it had named a leader. */
+    /** When a read of the leader key last changed {@link #leader} from a controller to null. */
     private double leaderKeyAbsentSinceSeconds = Double.NEGATIVE_INFINITY;
 
     /** Whether a key read or a handover has set {@link #leader} since the start or resignation. */
     private boolean leaderKeyLoaded;
 
     private String leader;
-
     private long leaderTerm;
 
     /** False if the last key read had no last term: before the first term there are no grants. */
@@ -189,8 +188,9 @@
     /**
      * Called with the leader key as read from the state store.
      *
-     * @param holder the controller that holds the key; null if the key is absent
-     * @param lastTerm the newest stored term; 0 if there is none or the term key was not read
+     * @param holder the controller that holds the key; null, with the term 0, if it is absent
+     * @param lastTerm the newest stored term; 0 if there is none or the term key was not read, and
+     *     a candidate then does not wait until its given grants have expired
      */
     public void onLeaderKeyRead(String holder, long holderTerm, long lastTerm, double nowSeconds) {
         leaderKeyLoaded = true;
@@ -211,9 +211,10 @@
     }
 
     /**
-     * Another controller requests a grant, the promise not to lead for a while. Refused for terms
-     * older than the newest one read: the leader of an old term may not have learned that it was
-     * replaced, and with grants of all others it would act at the same time as its successor.
+     * Another controller requests a grant, the promise not to lead for the duration of a grant.
+     * Refused if this controller is not a follower, or if the term has ended or is older than the
+     * newest one read: the leader of an old term may not have learned that it was replaced, and
+     * with grants of all others it would act at the same time as its successor.
      *
      * @return whether the grant is given
      */
@@ -230,8 +231,9 @@
 
     /**
      * The leader of a term stopped acting and sent a handover. Grants for that term become void. A
-     * grant for an older term must expire: its leader may not have learned that it was replaced,
-     * and the controller that refused it grants may have restarted and give them again.
+     * grant for an older term must expire: that term's leader may not have learned that it was
+     * replaced, and a controller that refused it a grant may have restarted and give one now.
+     * Ignored if this controller leads, or if a newer term was granted, held the key or ended.
      *
      * @param isPreferred whether this controller is the preferred successor. The others become
      *     candidates after a short delay, because the preferred successor may be down
@@ -257,9 +259,8 @@
     }
 
     /**
-     * Another controller gave the grant that this leader requested.
-     *
-     * @param sentAtSeconds when the grant was requested
+     * Another controller gave the grant that was requested at {@code sentAtSeconds}. Ignored if
+     * this controller does not lead {@code requestedTerm} any more.
      */
     public void onGrantReceived(String peer, long requestedTerm, double sentAtSeconds) {
         if (state == State.LEADER && requestedTerm == term) {
@@ -268,9 +269,8 @@
     }
 
     /**
-     * The state store stored the leader key and the new term for this controller.
-     *
-     * @param sentAtSeconds when the lease was requested
+     * The state store stored the leader key and the new term under a lease that was requested at
+     * {@code sentAtSeconds}. The lease is released unless this controller is in ACQUIRING.
      */
     public void onLeadershipAcquired(
             long newTerm, long newLeaseId, double sentAtSeconds, double nowSeconds) {
@@ -296,10 +296,10 @@
     }
 
     /**
-     * The state store responded to a renewal of the lease.
+     * The state store responded to a renewal that was requested at {@code sentAtSeconds}. Ignored
+     * if this controller does not lead under that lease any more.
      *
      * @param isAlive false if the lease has expired
-     * @param sentAtSeconds when the renewal was requested
      */
     public void onLeaseRenewed(
             long renewedLeaseId, boolean isAlive, double sentAtSeconds, double nowSeconds) {
@@ -316,7 +316,7 @@
         }
     }
 
-    /** Returns the expiry of a lease requested at this time, at the maximum clock drift. */
+    /** Returns the earliest expiry of a lease requested at this time, less the safety margin. */
     private double leaseExpiryAfter(double sentAtSeconds) {
         return sentAtSeconds
                 + leaseSeconds * (1 - 2 * SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO)
@@ -337,7 +337,7 @@
         }
     }
 
-    /** Performs the transitions and requests that are due. Called often, and after each event. */
+    /** Performs what is due: candidacies, acquisitions, renewals and grant requests start here. */
     public void tick(double nowSeconds) {
         switch (state) {
             case FOLLOWER -> tickAsFollower(nowSeconds);
@@ -357,8 +357,8 @@
     }
 
     /**
-     * A controller with a current replica may become a candidate at once. The others wait for a
-     * short delay only, as there may be no such controller, or it may be down.
+     * With a current replica, or before the first term, a controller may become a candidate at
+     * once. Others wait for a short delay only, as all controllers with a replica may be down.
      */
     private boolean mayBecomeCandidate(double nowSeconds) {
         return !hasEarlierTerm
--- a/src/main/java/io/kelphoist/election/GivenGrants.java
+++ b/src/main/java/io/kelphoist/election/GivenGrants.java
@@ -3,16 +3,16 @@
 import io.kelphoist.model.SchedulingPolicy;
 
 /**
- * The grants that this controller gave to leaders: promises not to lead until they expire. It keeps
- * the time of only two grants: the last one for the newest term, and the last one for any older
- * term.
+ * The grants that this controller gave to leaders: promises not to lead until they expire. Only two
+ * grants are recorded: the last one for the newest term, and the last one for any older term. Their
+ * times are in seconds of this controller's monotonic clock.
  */
 final class GivenGrants {
     private final double grantSeconds;
     private long newestTerm;
     private double lastGrantAtSeconds;
 
-    /** Time of the last grant for a term older than {@link #newestTerm}. */
+    /** Time of the last grant for a term older than {@link #newestTerm}, or the start time. */
     private double lastOlderTermGrantAtSeconds;
 
     /**
@@ -43,7 +43,7 @@
 
     /**
      * Voids the grants for a term whose leader has stopped acting. Grants for older terms remain
-     * valid until they expire.
+     * valid until they expire. Has no effect unless it is the newest term with a grant.
      */
     void onTermEnded(long endedTerm) {
         if (endedTerm == newestTerm) {
--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -36,10 +36,7 @@
      * only method that changes the state.
      */
     public enum State {
-        /**
-         * The records are being read from the state store, or a replica of them is being verified
-         * to be current.
-         */
+        /** The records are read from the state store, or their replica is verified as current. */
         LOADING_RECORDS,
         /** Status requests are sent to machines, or their regular heartbeats are awaited. */
         REQUESTING_STATUS,
@@ -233,7 +230,7 @@
         markPassed(PromotionCheck.LIST, " source=replica", nowSeconds);
     }
 
-    /** The cloud has returned its instance list, which contains the addresses of the machines. */
+    /** The cloud has returned a complete instance list, which contains the machines' addresses. */
     @Override
     public void onInstancesListed(double nowSeconds) {
         machineListLoaded = true;
@@ -264,7 +261,7 @@
 
     /**
      * Sends the status requests that are due, and completes the failover once no response is
-     * pending or the timeout has passed.
+     * pending or the timeout has passed. Has no effect unless the state is REQUESTING_STATUS.
      */
     public void advance(Collection<Machine> machines, double nowSeconds) {
         if (state != State.REQUESTING_STATUS) {
@@ -293,8 +290,8 @@
     }
 
     /**
-     * Whether a machine may still respond. A machine with recorded attempts, but without an address
-     * even after the machine list was loaded, cannot receive a request.
+     * Whether a machine may still respond. Without an address it cannot receive a request; if it
+     * has recorded attempts, its address may still be in the machine list until that is loaded.
      */
     private boolean isPending(Machine machine, StatusRequest request) {
         boolean canBeRequested =
@@ -319,9 +316,9 @@
 
     /**
      * Whether no further response needs to be awaited before the timeout. With outstanding starts,
-     * the machine list must be loaded and every status request must have ended; if status requests
-     * are disabled, the failover lasts until the timeout. Without outstanding starts only pending
-     * status requests are awaited.
+     * the machine list must be loaded and no response may be pending; if status requests are
+     * disabled, the failover lasts until the timeout. Without outstanding starts, only pending
+     * responses are awaited, and none if status requests are disabled.
      */
     private boolean areRequestsComplete(int pendingCount) {
         boolean requestsEnabled = maxInFlight > 0;
@@ -372,11 +369,12 @@
     }
 
     /**
-     * A status request has ended.
+     * A status request has ended. It will be sent again if it was not attempted, or if it contained
+     * a wrong agent epoch, the latter up to {@link #MAX_REQUESTS_PER_MACHINE} requests.
      *
      * @param outcome how the delivery of the request ended
-     * @param heartbeat the heartbeat in the response; null if there was no response. That of
-     *     another machine, to which the address was reassigned, counts as no response
+     * @param heartbeat the heartbeat in the response; null if there was no response. The heartbeat
+     *     of another machine, to which the address was reassigned, counts as no response
      */
     public void onStatusRequestOutcome(
             String machineName, DeliveryOutcome outcome, Heartbeat heartbeat) {
--- a/src/main/java/io/kelphoist/failover/PromotionCheck.java
+++ b/src/main/java/io/kelphoist/failover/PromotionCheck.java
@@ -2,8 +2,8 @@
 
 /**
  * The checks of a term: {@link #LIST} must pass before the first machine is requested from the
- * cloud, and the others before the first task is placed, started or stopped. Each check is logged
- * when it passes. The names are values of a metric label and therefore part of the operators'
+ * cloud, and the others before the first task is placed, started or stopped. Each check passes once
+ * and is then logged. The names are values of a metric label and therefore part of the operators'
  * interface.
  */
 public enum PromotionCheck {
