--- a/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
+++ b/src/main/java/io/kelphoist/delegation/LeaseDelegations.java
@@ -161,9 +161,9 @@
      *
      * @param startsAtSeconds on the leader's monotonic clock
      */
-    public void onRecordLoaded(String peerName, double startsAtSeconds) {
-        PeerDelegation peer = peers.get(peerName);
-        if (peerName.equals(localName)) {
+    public void onRecordLoaded(String controllerName, double startsAtSeconds) {
+        PeerDelegation peer = peers.get(controllerName);
+        if (controllerName.equals(localName)) {
             ownRecordTransitionTo(RecordState.PRESENT);
         } else if (peer != null) {
             peer.onRecordLoaded(startsAtSeconds);
--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -25,7 +25,8 @@
      * yet.
      */
     private static DelegationSimulation withLeaderRefused() {
-        DelegationSimulation simulation = new DelegationSimulation(false, true);
+        DelegationSimulation simulation =
+                new DelegationSimulation(/* leaderInWorkersZone= */ false, /* clocksDrift= */ true);
         simulation.advance(10);
         simulation.setLeaderRefusedByStore(true);
         simulation.advance(1);
@@ -63,7 +64,9 @@
     void cancelledJobStopsWhenTheLeaderIsRefusedAtThatMoment() {
         for (double cancelDelaySeconds : new double[] {-0.5, -0.25, 0, 0.25, 0.5, 0.75}) {
             for (int controller = 0; controller < 3; controller++) {
-                DelegationSimulation simulation = new DelegationSimulation(false, true);
+                DelegationSimulation simulation =
+                        new DelegationSimulation(
+                                /* leaderInWorkersZone= */ false, /* clocksDrift= */ true);
                 simulation.advance(10);
                 if (cancelDelaySeconds < 0) {
                     simulation.cancel(controller, true);
@@ -93,6 +96,7 @@
         }
     }
 
+    /** The user cancels the job at both other controllers; the leader receives both statements. */
     @Test
     void statementsOfBothOthersStopTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
@@ -111,7 +115,7 @@
     @Test
     void acknowledgedByAQueryInTheOutage() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, false);
+        simulation.cancel(2, /* isAcknowledged= */ false);
         simulation.setStoreUnavailable(true);
         simulation.advance(30);
         simulation.query(2);
@@ -141,7 +145,7 @@
         }
     }
 
-    /** Statements are delayed by more than the renewal window. */
+    /** The statements of the confirming controller are delayed by more than the renewal window. */
     @Test
     void delayedStatementsLetTheLeaseExpireOrStopTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
@@ -189,8 +193,8 @@
     }
 
     /**
-     * The outage ends, the leader's key expires, and the next leader reads the records before the
-     * next outage.
+     * The controller that confirmed the cancellation crashes, the outage ends, the leader's key
+     * expires, and the next leader reads the records before the next outage.
      */
     @Test
     void failoverAtTheEndOfAnOutageStopsTheTask() {
@@ -216,7 +220,8 @@
      */
     @Test
     void noLeaseExpiresInALongOutage() {
-        DelegationSimulation simulation = new DelegationSimulation(true, true);
+        DelegationSimulation simulation =
+                new DelegationSimulation(/* leaderInWorkersZone= */ true, /* clocksDrift= */ true);
         simulation.advance(10);
         simulation.setStoreUnavailable(true);
         simulation.advance(300);
@@ -226,20 +231,30 @@
     }
 
     /**
-     * A controller whose version lacks the field sends no statements, so the watermark stops and
-     * renewals end after the renewal window.
+     * Guards against renewals without end beside a controller whose version sends no statements: it
+     * holds the watermark back, and renewals end when the renewal window after the watermark has
+     * passed.
      */
     @Test
     void renewalsAreBoundedBesideAPeerWithoutStatements() {
         CancellationWatermark watermark = new CancellationWatermark(List.of("p", "q"));
         watermark.onJobsRead(100);
         watermark.onStatement(
-                "p", new ConfirmedCancellations.Statement(7, 50, 0, true, List.of()), 101, 101.1);
+                "p",
+                new ConfirmedCancellations.Statement(
+                        /* incarnation= */ 7,
+                        /* coveredSeconds= */ 50,
+                        /* lastSequenceNumber= */ 0,
+                        /* complete= */ true,
+                        List.of()),
+                /* sentAtSeconds= */ 101,
+                /* nowSeconds= */ 101.1);
         assertEquals(100, watermark.watermarkSeconds(102), 1e-9);
         watermark.onStatement(
                 "q", new ConfirmedCancellations.Statement(8, 50, 0, true, List.of()), 101.5, 101.6);
         assertEquals(101, watermark.watermarkSeconds(102), 1e-9);
-        DelegationTiming timing = DelegationTiming.of(42, 22);
+        DelegationTiming timing =
+                DelegationTiming.of(/* cancelSeconds= */ 42, /* leaseSeconds= */ 22);
         assertTrue(timing.allowsRenewal(101, 101 + 19.3));
         assertFalse(timing.allowsRenewal(101, 101 + 19.5));
     }
@@ -255,26 +270,52 @@
         watermark.onJobsRead(100);
         watermark.onStatement(
                 "p",
-                new ConfirmedCancellations.Statement(7, 50, 3, true, List.of("job-1")),
+                new ConfirmedCancellations.Statement(
+                        /* incarnation= */ 7,
+                        /* coveredSeconds= */ 50,
+                        /* lastSequenceNumber= */ 3,
+                        /* complete= */ true,
+                        List.of("job-1")),
                 101,
                 101.1);
         assertEquals(3, watermark.acknowledgedSequenceNumber("p"));
         watermark.onStatement(
                 "p",
-                new ConfirmedCancellations.Statement(7, 51, 5, false, List.of("job-2")),
+                new ConfirmedCancellations.Statement(
+                        /* incarnation= */ 7,
+                        /* coveredSeconds= */ 51,
+                        /* lastSequenceNumber= */ 5,
+                        /* complete= */ false,
+                        List.of("job-2")),
                 102,
                 102.1);
         assertEquals(101, watermark.watermarkSeconds(103), 1e-9);
         // This process started at 102.5, so the confirmations of the earlier process after 101 are
         // not covered.
         watermark.onStatement(
-                "p", new ConfirmedCancellations.Statement(9, 0.5, 0, true, List.of()), 103, 103.1);
+                "p",
+                new ConfirmedCancellations.Statement(
+                        /* incarnation= */ 9,
+                        /* coveredSeconds= */ 0.5,
+                        /* lastSequenceNumber= */ 0,
+                        /* complete= */ true,
+                        List.of()),
+                103,
+                103.1);
         assertEquals(101, watermark.watermarkSeconds(104), 1e-9);
         assertEquals(9, watermark.incarnation("p"));
         assertEquals(0, watermark.acknowledgedSequenceNumber("p"));
         // A delayed statement of the earlier process does not restore its sequence numbers.
         watermark.onStatement(
-                "p", new ConfirmedCancellations.Statement(7, 51, 6, true, List.of()), 102.2, 104);
+                "p",
+                new ConfirmedCancellations.Statement(
+                        /* incarnation= */ 7,
+                        /* coveredSeconds= */ 51,
+                        /* lastSequenceNumber= */ 6,
+                        /* complete= */ true,
+                        List.of()),
+                102.2,
+                104);
         assertEquals(9, watermark.incarnation("p"));
         assertEquals(0, watermark.acknowledgedSequenceNumber("p"));
         watermark.onJobsRead(103);
@@ -290,10 +331,17 @@
      */
     @Test
     void acknowledgementsToAnEarlierLeaderAreNotCoveredForTheNext() {
-        ConfirmedCancellations confirmed = new ConfirmedCancellations(7, 100);
+        ConfirmedCancellations confirmed =
+                new ConfirmedCancellations(/* incarnation= */ 7, /* nowSeconds= */ 100);
         confirmed.add("job-1", 110);
         ConfirmedCancellations.Statement statement =
-                confirmed.statementFor(3, 0, 0, 111).orElseThrow();
+                confirmed
+                        .statementFor(
+                                /* leaderTerm= */ 3,
+                                /* acknowledgedIncarnation= */ 0,
+                                /* acknowledgedSequenceNumber= */ 0,
+                                /* nowSeconds= */ 111)
+                        .orElseThrow();
         assertEquals(List.of("job-1"), statement.jobIds());
         assertEquals(11, statement.coveredSeconds(), 1e-9);
         assertEquals(
@@ -325,7 +373,8 @@
      */
     @Test
     void acknowledgementsOfAnotherProcessAreIgnored() {
-        ConfirmedCancellations confirmed = new ConfirmedCancellations(7, 100);
+        ConfirmedCancellations confirmed =
+                new ConfirmedCancellations(/* incarnation= */ 7, /* nowSeconds= */ 100);
         confirmed.add("job-1", 110);
         assertEquals(
                 List.of("job-1"), confirmed.statementFor(3, 6, 40, 111).orElseThrow().jobIds());
--- a/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationSimulation.java
@@ -49,9 +49,12 @@
 
     DelegationSimulation(boolean leaderInWorkersZone, boolean clocksDrift) {
         double drift = clocksDrift ? SchedulingPolicy.MAX_CLOCK_DRIFT_RATIO : 0;
-        addController(leaderInWorkersZone ? "b" : "a", 1000, 1 + drift);
-        addController("b", 50, 1);
-        addController("a", 7000, 1 + drift / 2);
+        addController(
+                leaderInWorkersZone ? "b" : "a",
+                /* clockOffsetSeconds= */ 1000,
+                /* clockRate= */ 1 + drift);
+        addController("b", /* clockOffsetSeconds= */ 50, /* clockRate= */ 1);
+        addController("a", /* clockOffsetSeconds= */ 7000, /* clockRate= */ 1 + drift / 2);
         beginTerm(controllers.get(0));
     }
 
@@ -112,8 +115,8 @@
     }
 
     /**
-     * A controller becomes the leader if the leader key and the last grant that it gave have
-     * expired.
+     * A controller becomes the leader if it is up, can access the state store and does not lead
+     * already, and if the leader key and the last grant that it gave have expired.
      */
     void failOver(int controller) {
         DelegationController next = controllers.get(controller);
@@ -128,7 +131,7 @@
         }
     }
 
-    /** For the duration of a leader lease, the leader's reads of job records are stale. */
+    /** Prevents the leader from reading new job records for the duration of a leader lease. */
     void makeReadsStale() {
         readsStaleUntilSeconds = network.nowSeconds() + DelegationTerm.KEY_SECONDS;
     }
@@ -148,7 +151,8 @@
     // ---- users ----
 
     /**
-     * A user cancels the job through a controller.
+     * A user cancels the job through a controller. Has no effect if the controller is down or
+     * cannot access the state store.
      *
      * @param isAcknowledged false if the response is lost; the user may query the job later
      */
@@ -303,7 +307,7 @@
                 throw new AssertionError(
                         "leader assumes that the lease has expired before it does: atSeconds="
                                 + now
-                                + " leaseExpiresAt="
+                                + " leaseExpiresAtSeconds="
                                 + worker.leaseExpiresAtSeconds());
             }
         }
--- a/src/test/java/io/kelphoist/delegation/DelegationStore.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationStore.java
@@ -8,7 +8,7 @@
 final class DelegationStore {
     private final DelegationNetwork network;
 
-    /** Recorded starts of delegations in simulated true time, by peer. */
+    /** Recorded starts of delegations in simulated true time, by controller. */
     private final Map<String, Double> delegationStartsSeconds = new LinkedHashMap<>();
 
     private boolean unavailable;
@@ -43,11 +43,11 @@
      *
      * @param startsAtSeconds latest start of the delegation; NaN clears the record
      */
-    void putDelegation(String peer, double startsAtSeconds) {
+    void putDelegation(String controllerName, double startsAtSeconds) {
         if (Double.isNaN(startsAtSeconds)) {
-            delegationStartsSeconds.remove(peer);
+            delegationStartsSeconds.remove(controllerName);
         } else {
-            delegationStartsSeconds.put(peer, startsAtSeconds);
+            delegationStartsSeconds.put(controllerName, startsAtSeconds);
         }
     }
 
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -24,8 +24,8 @@
     private static final double WALL_CLOCK_ERROR_SECONDS = 0.25;
 
     /**
-     * A worker is excluded from delegation if the leader did not renew its lease for a heartbeat
-     * round and this time.
+     * A worker is excluded from delegation if the leader did not renew its lease for the sum of a
+     * heartbeat round and this time.
      */
     private static final double SILENCE_MARGIN_SECONDS = 1.5;
 
@@ -98,10 +98,10 @@
                         new LeaseDelegations.Members(leader.name(), leader.zone(), zonesByPeer),
                         clock);
         store.forEachDelegation(
-                (peer, startsAt) ->
+                (controllerName, startsAtSeconds) ->
                         delegations.onRecordLoaded(
-                                peer,
-                                leader.clockAt(startsAt)
+                                controllerName,
+                                leader.clockAt(startsAtSeconds)
                                         + WALL_CLOCK_ERROR_SECONDS
                                         + WALL_CLOCK_ERROR_SECONDS));
         lastRenewalAtSeconds = clock;
@@ -144,8 +144,8 @@
     }
 
     /**
-     * The leader renews its key if it can access the state store, and reads job records unless
-     * reads are stale.
+     * The leader renews its key if that has not expired and the leader can access the state store,
+     * and then reads job records unless reads are stale.
      */
     void renewKey(boolean readsAreStale) {
         if (!isLeaderRunning() || !store.isReachableBy(leader) || isKeyExpired()) {
@@ -180,13 +180,13 @@
     }
 
     /**
-     * Writes the records that are due. A write takes less than three seconds, and is rejected after
-     * a later term has begun.
+     * Writes the records that are due. A write takes less than three seconds. If a later term
+     * begins before its end, the write has no effect and its outcome is not reported.
      */
     void storeRecords() {
         double now = network.nowSeconds();
         for (DelegationRecordWrite write : delegations.dueRecordWrites(leader.clock())) {
-            double startsAt =
+            double startsAtSeconds =
                     now
                             - (leader.clock() - write.latestStartAtSeconds()) / leader.clockRate()
                             - WALL_CLOCK_ERROR_SECONDS;
@@ -194,7 +194,7 @@
                     now * 7 % 3,
                     () -> {
                         if (isCurrent.getAsBoolean()) {
-                            store.putDelegation(write.controllerName(), startsAt);
+                            store.putDelegation(write.controllerName(), startsAtSeconds);
                             delegations.onRecordWritten(write, true);
                         }
                     });
@@ -279,7 +279,7 @@
 
     // ---- cancellations and leases ----
 
-    /** Returns the leader's cancellation watermark, by its clock. */
+    /** Returns the leader's cancellation watermark on the leader's clock. */
     double watermarkSeconds() {
         return watermark.watermarkSeconds(leader.clock());
     }
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -135,7 +135,9 @@
      */
     @Test
     void leasesInAPartitionedZoneAreRenewedByDelegationAndThenExpire() {
-        DelegationSimulation simulation = new DelegationSimulation(false, false);
+        DelegationSimulation simulation =
+                new DelegationSimulation(
+                        /* leaderInWorkersZone= */ false, /* clocksDrift= */ false);
         simulation.advance(10);
         for (int outside : new int[] {0, 2}) {
             simulation.setLinkBlocked(1, outside, true);
@@ -151,12 +153,13 @@
     }
 
     /**
-     * If the cancellation timeout is barely longer than a lease, a delegation would let a task of a
-     * cancelled job run too long.
+     * Guards against delegations under which a task of a cancelled job would run too long, because
+     * the cancellation timeout is barely longer than a lease.
      */
     @Test
     void isDisabledWhereCancellationTimeoutIsTooShort() {
-        assertFalse(DelegationTiming.of(22, 22).isEnabled());
+        assertFalse(
+                DelegationTiming.of(/* cancelSeconds= */ 22, /* leaseSeconds= */ 22).isEnabled());
         assertFalse(DelegationTiming.of(24, 22).isEnabled());
         assertTrue(DelegationTiming.of(47, 22).delegationSeconds() + 22 < 47);
     }
@@ -169,8 +172,19 @@
     void offersNothingBesideAVersionWithoutDelegation() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
         LeaseDelegations delegations =
-                new LeaseDelegations(timing, true, 3, members(Map.of("p", "b", "q", "a")), 100);
-        PeerStatus status = new PeerStatus(1, 5, 50, Double.POSITIVE_INFINITY, 0);
+                new LeaseDelegations(
+                        timing,
+                        /* isEnabled= */ true,
+                        /* term= */ 3,
+                        members(Map.of("p", "b", "q", "a")),
+                        /* nowSeconds= */ 100);
+        PeerStatus status =
+                new PeerStatus(
+                        /* incarnation= */ 1,
+                        /* clockSeconds= */ 5,
+                        /* uptimeSeconds= */ 50,
+                        /* sinceRenewalSeconds= */ Double.POSITIVE_INFINITY,
+                        /* sequenceNumber= */ 0);
         delegations.onResponse("p", 100, status, 100.1);
         assertEquals(Optional.empty(), delegations.offerTo("p", Set.of(), 100));
         delegations.onResponseWithoutSupport("q", 100, 100.1);
@@ -180,15 +194,20 @@
     }
 
     /**
-     * Before its first response in a term a peer may still renew leases under a delegation of an
-     * earlier leader. Without a stored record, the end of that delegation is bounded only by the
-     * settings.
+     * Guards against a new leader that assumes leases to have expired too early: before its first
+     * response in a term a peer may still renew leases under a delegation of an earlier leader.
+     * Without a stored record, the end of that delegation is bounded only by the settings.
      */
     @Test
     void accountsForDelegationsOfThePredecessor() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
         LeaseDelegations delegations =
-                new LeaseDelegations(timing, false, 3, members(Map.of("p", "b")), 100);
+                new LeaseDelegations(
+                        timing,
+                        /* isEnabled= */ false,
+                        /* term= */ 3,
+                        members(Map.of("p", "b")),
+                        /* nowSeconds= */ 100);
         assertEquals(110, delegations.latestRenewalAtSeconds("vm-1", "b", 110));
         assertEquals(
                 100 + timing.delegationSeconds(),
@@ -196,7 +215,16 @@
                 0.1);
         assertEquals(
                 Double.NEGATIVE_INFINITY, delegations.latestRenewalAtSeconds("vm-1", "a", 140));
-        delegations.onResponse("p", 140, new PeerStatus(1, 5, 50, 12, 0), 140.1);
+        delegations.onResponse(
+                "p",
+                140,
+                new PeerStatus(
+                        /* incarnation= */ 1,
+                        /* clockSeconds= */ 5,
+                        /* uptimeSeconds= */ 50,
+                        /* sinceRenewalSeconds= */ 12,
+                        /* sequenceNumber= */ 0),
+                140.1);
         assertEquals(
                 Math.min(100 + timing.delegationSeconds(), 128.1),
                 delegations.latestRenewalAtSeconds("vm-1", "b", 141),
@@ -209,11 +237,26 @@
      */
     @Test
     void allowsRenewalOnlyWhileTheLeaderIsSilent() {
-        HeldDelegation delegation = new HeldDelegation(DelegationTiming.of(47, 22), "b", 7);
+        HeldDelegation delegation =
+                new HeldDelegation(DelegationTiming.of(47, 22), "b", /* incarnation= */ 7);
         delegation.onLeaderMessage(3, 100);
-        delegation.onOffer(new DelegationOffer(3, 6, 1, 99.5, ImmutableSet.of()), 100);
+        delegation.onOffer(
+                new DelegationOffer(
+                        /* term= */ 3,
+                        /* incarnation= */ 6,
+                        /* sequenceNumber= */ 1,
+                        /* startsAtSeconds= */ 99.5,
+                        ImmutableSet.of()),
+                100);
         assertEquals(HeldDelegation.State.NONE, delegation.state(105));
-        delegation.onOffer(new DelegationOffer(3, 7, 1, 99.5, ImmutableSet.of()), 100);
+        delegation.onOffer(
+                new DelegationOffer(
+                        /* term= */ 3,
+                        /* incarnation= */ 7,
+                        /* sequenceNumber= */ 1,
+                        /* startsAtSeconds= */ 99.5,
+                        ImmutableSet.of()),
+                100);
         assertEquals(HeldDelegation.State.HELD, delegation.state(100.5));
         assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 101));
         assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 102));
@@ -224,7 +267,14 @@
                         "vm-1", "b", 3, 99.5 + DelegationTiming.of(47, 22).delegationSeconds()));
         assertEquals(HeldDelegation.State.EXPIRED, delegation.state(140));
         // A worker with the fencing token of a newer term ends the delegation for all workers.
-        delegation.onOffer(new DelegationOffer(3, 7, 2, 139.5, ImmutableSet.of()), 140);
+        delegation.onOffer(
+                new DelegationOffer(
+                        /* term= */ 3,
+                        /* incarnation= */ 7,
+                        /* sequenceNumber= */ 2,
+                        /* startsAtSeconds= */ 139.5,
+                        ImmutableSet.of()),
+                140);
         assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 142));
         assertFalse(delegation.allowsRenewal("vm-2", "b", 4, 142));
         assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 142));
@@ -239,21 +289,49 @@
     void theNextLeaderLoadsTheStartOfASilentPeersDelegation() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
         LeaseDelegations first =
-                new LeaseDelegations(timing, true, 3, members(Map.of("p", "b")), 100);
-        first.onResponse("p", 110, new PeerStatus(1, 5, 50, Double.POSITIVE_INFINITY, 0), 110.1);
+                new LeaseDelegations(
+                        timing,
+                        /* isEnabled= */ true,
+                        /* term= */ 3,
+                        members(Map.of("p", "b")),
+                        /* nowSeconds= */ 100);
+        first.onResponse(
+                "p",
+                110,
+                new PeerStatus(
+                        /* incarnation= */ 1,
+                        /* clockSeconds= */ 5,
+                        /* uptimeSeconds= */ 50,
+                        /* sinceRenewalSeconds= */ Double.POSITIVE_INFINITY,
+                        /* sequenceNumber= */ 0),
+                110.1);
         assertEquals(1, first.offerTo("p", Set.of(), 111).orElseThrow().sequenceNumber());
         assertEquals(List.of(), first.dueRecordWrites(111));
         DelegationRecordWrite storing = first.dueRecordWrites(114).get(0);
         assertEquals(110.1, storing.latestStartAtSeconds(), 1e-9);
         LeaseDelegations next =
-                new LeaseDelegations(timing, true, 4, members(Map.of("p", "b")), 120);
+                new LeaseDelegations(
+                        timing,
+                        /* isEnabled= */ true,
+                        /* term= */ 4,
+                        members(Map.of("p", "b")),
+                        /* nowSeconds= */ 120);
         next.onRecordLoaded("p", storing.latestStartAtSeconds());
         assertEquals(
                 110.1 + timing.delegationSeconds(),
                 next.latestRenewalAtSeconds("vm-1", "b", 140),
                 0.1);
         // After the peer responds again it gets no offer until the record has been cleared.
-        next.onResponse("p", 141, new PeerStatus(1, 36, 81, 5, 0), 141.1);
+        next.onResponse(
+                "p",
+                141,
+                new PeerStatus(
+                        /* incarnation= */ 1,
+                        /* clockSeconds= */ 36,
+                        /* uptimeSeconds= */ 81,
+                        /* sinceRenewalSeconds= */ 5,
+                        /* sequenceNumber= */ 0),
+                141.1);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
         DelegationRecordWrite clearing = next.dueRecordWrites(141.3).get(0);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
@@ -272,9 +350,22 @@
     void leasesOfSilentMachinesAreNotDelegated() {
         DelegationTiming timing = DelegationTiming.of(47, 22);
         LeaseDelegations delegations =
-                new LeaseDelegations(timing, true, 3, members(Map.of("p", "b")), 100);
+                new LeaseDelegations(
+                        timing,
+                        /* isEnabled= */ true,
+                        /* term= */ 3,
+                        members(Map.of("p", "b")),
+                        /* nowSeconds= */ 100);
         delegations.onResponse(
-                "p", 100, new PeerStatus(1, 5, 50, Double.POSITIVE_INFINITY, 0), 100.1);
+                "p",
+                100,
+                new PeerStatus(
+                        /* incarnation= */ 1,
+                        /* clockSeconds= */ 5,
+                        /* uptimeSeconds= */ 50,
+                        /* sinceRenewalSeconds= */ Double.POSITIVE_INFINITY,
+                        /* sequenceNumber= */ 0),
+                100.1);
         DelegationOffer offer = delegations.offerTo("p", Set.of("vm-1"), 101).orElseThrow();
         assertEquals(ImmutableSet.of("vm-1"), offer.excludedMachines());
         // The peer has not acknowledged the offer, so its exclusions may not apply yet.
@@ -282,13 +373,18 @@
         delegations.onResponse(
                 "p",
                 101,
-                new PeerStatus(1, 6, 51, Double.POSITIVE_INFINITY, offer.sequenceNumber()),
+                new PeerStatus(
+                        /* incarnation= */ 1,
+                        /* clockSeconds= */ 6,
+                        /* uptimeSeconds= */ 51,
+                        /* sinceRenewalSeconds= */ Double.POSITIVE_INFINITY,
+                        /* sequenceNumber= */ offer.sequenceNumber()),
                 101.1);
         assertTrue(delegations.latestRenewalAtSeconds("vm-1", "b", 110) < 101);
         assertEquals(110, delegations.latestRenewalAtSeconds("vm-2", "b", 110));
     }
 
     private static LeaseDelegations.Members members(Map<String, String> peerZones) {
-        return new LeaseDelegations.Members("l", "a", peerZones);
+        return new LeaseDelegations.Members(/* localName= */ "l", /* localZone= */ "a", peerZones);
     }
 }
--- a/src/test/java/io/kelphoist/election/ElectionSimulation.java
+++ b/src/test/java/io/kelphoist/election/ElectionSimulation.java
@@ -128,7 +128,7 @@
                 .forEach(controller -> controller.setRefusedByStore(true));
     }
 
-    /** Sets how many of ten transactions get no response and are committed after a delay. */
+    /** Sets how many of ten acquisitions get no response and are committed after a delay. */
     void setDelayedTransactions(int perTen) {
         store.setDelayedTransactions(perTen);
     }
@@ -263,7 +263,7 @@
         return counters.get(counter);
     }
 
-    /** Returns the longest time so far without a leader. */
+    /** Returns the longest time so far without a leader, in seconds; 0 if there was none. */
     double longestLeaderlessSeconds() {
         return longestLeaderlessSeconds;
     }
--- a/src/test/java/io/kelphoist/election/ElectionTest.java
+++ b/src/test/java/io/kelphoist/election/ElectionTest.java
@@ -99,13 +99,13 @@
     }
 
     /**
-     * The leader crashes or resigns every five seconds, also during outages of the state store.
-     * There must never be two leaders, and a new one must be elected soon after at least half of
-     * the 24 changes.
+     * Guards against two leaders at a time, or too few new ones, when leaders change often: in each
+     * of 24 rounds of five seconds the leader, if there is one, crashes or resigns, and in three of
+     * the rounds the state store is unavailable. At least 12 terms must begin.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5})
-    void aLeaderIsElectedAfterEachChange(long seed) {
+    void newTermsBeginWhileLeadersCrashAndResign(long seed) {
         ElectionSimulation simulation = new ElectionSimulation(seed);
         simulation.advance(8);
         int before = simulation.count(Counter.TERMS);
@@ -119,7 +119,7 @@
             simulation.advance(5);
         }
         int terms = simulation.count(Counter.TERMS) - before;
-        assertTrue(terms >= 12, terms + " terms, expected at least 12");
+        assertTrue(terms >= 12, terms + " terms began, expected at least 12");
         simulation.endFaultsAndCheckLeader();
     }
 
--- a/src/test/java/io/kelphoist/election/SimulatedController.java
+++ b/src/test/java/io/kelphoist/election/SimulatedController.java
@@ -63,7 +63,7 @@
         return incarnation;
     }
 
-    /** This controller's own clock, which drifts. */
+    /** Returns the time of this controller's own clock, which drifts, in seconds. */
     double clock() {
         return clockOffsetSeconds + timeline.nowSeconds() * clockRate;
     }
@@ -209,28 +209,28 @@
     @Override
     public void acquireLeadership() {
         hasTriedToAcquire = true;
-        double sentAt = clock();
+        double sentAtSeconds = clock();
         request(
                 store::grantLease,
                 lease ->
                         lease.ifPresentOrElse(
-                                leaseId -> readAndAcquire(leaseId, sentAt),
+                                leaseId -> readAndAcquire(leaseId, sentAtSeconds),
                                 () -> election.onAcquisitionFailed(clock())));
     }
 
-    private void readAndAcquire(long leaseId, double sentAt) {
+    private void readAndAcquire(long leaseId, double sentAtSeconds) {
         request(
                 store::read,
                 read -> {
                     if (read.isEmpty() || read.get().leader() != null) {
                         onAcquisitionFailed(leaseId);
                     } else {
-                        acquire(leaseId, read.get(), sentAt);
+                        acquire(leaseId, read.get(), sentAtSeconds);
                     }
                 });
     }
 
-    private void acquire(long leaseId, SimulatedElectionStore.Snapshot keys, double sentAt) {
+    private void acquire(long leaseId, SimulatedElectionStore.Snapshot keys, double sentAtSeconds) {
         long term = keys.lastTerm() + 1;
         Supplier<Long> transaction =
                 () -> store.acquire(name, leaseId, keys.lastTerm(), keys.termVersion());
@@ -244,7 +244,7 @@
                                     transaction));
             schedule(
                     TRANSACTION_TIMEOUT_SECONDS,
-                    () -> resolveUnknownOutcome(leaseId, term, sentAt));
+                    () -> resolveUnknownOutcome(leaseId, term, sentAtSeconds));
         } else if (isStoreReachable() && store.drawLostResponse()) {
             timeline.schedule(
                     random.nextInt(20) / 100.0,
@@ -255,13 +255,13 @@
                                     transaction));
             schedule(
                     TRANSACTION_TIMEOUT_SECONDS,
-                    () -> resolveUnknownOutcome(leaseId, term, sentAt));
+                    () -> resolveUnknownOutcome(leaseId, term, sentAtSeconds));
         } else {
             request(
                     transaction,
                     revision -> {
                         if (revision.isPresent() && revision.get() > 0) {
-                            onAcquired(leaseId, term, revision.get(), sentAt);
+                            onAcquired(leaseId, term, revision.get(), sentAtSeconds);
                         } else {
                             onAcquisitionFailed(leaseId);
                         }
@@ -276,8 +276,8 @@
         }
     }
 
-    /** Reads from the keys whether a transaction without a response was committed. */
-    private void resolveUnknownOutcome(long leaseId, long term, double sentAt) {
+    /** Reads the keys to determine whether a transaction without a response was committed. */
+    private void resolveUnknownOutcome(long leaseId, long term, double sentAtSeconds) {
         request(
                 store::read,
                 read -> {
@@ -287,16 +287,16 @@
                                     && read.get().leader().term() == term
                                     && read.get().leader().leaseId() == leaseId;
                     if (isAcquired) {
-                        onAcquired(leaseId, term, read.get().leader().revision(), sentAt);
+                        onAcquired(leaseId, term, read.get().leader().revision(), sentAtSeconds);
                     } else {
                         onAcquisitionFailed(leaseId);
                     }
                 });
     }
 
-    private void onAcquired(long leaseId, long term, long revision, double sentAt) {
+    private void onAcquired(long leaseId, long term, long revision, double sentAtSeconds) {
         newestRevision = Math.max(newestRevision, revision);
-        election.onLeadershipAcquired(term, leaseId, sentAt, clock());
+        election.onLeadershipAcquired(term, leaseId, sentAtSeconds, clock());
     }
 
     private void onAcquisitionFailed(long leaseId) {
@@ -307,13 +307,13 @@
 
     @Override
     public void renewLease(long leaseId) {
-        double sentAt = clock();
+        double sentAtSeconds = clock();
         boolean isResponseLost = store.drawLostResponse();
         request(
                 () -> store.renewLease(leaseId),
                 renewed -> {
                     if (renewed.isPresent() && !isResponseLost) {
-                        election.onLeaseRenewed(leaseId, renewed.get(), sentAt, clock());
+                        election.onLeaseRenewed(leaseId, renewed.get(), sentAtSeconds, clock());
                         if (!renewed.get()) {
                             readKeys();
                         }
@@ -358,10 +358,10 @@
     }
 
     @Override
-    public void requestGrant(String peerName, long term, double sentAt) {
+    public void requestGrant(String peerName, long term, double sentAtSeconds) {
         SimulatedController peer =
                 environment.controllers().get(ElectionSimulation.NAMES.indexOf(peerName));
-        Runnable onGranted = () -> election.onGrantReceived(peerName, term, sentAt);
+        Runnable onGranted = () -> election.onGrantReceived(peerName, term, sentAtSeconds);
         environment
                 .links()
                 .send(
--- a/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
+++ b/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
@@ -134,7 +134,8 @@
 
     /**
      * Runs the transaction that acquires the leader key for the term after {@code lastTerm}. It is
-     * rejected if the lease has expired, whether or not its conditions hold.
+     * rejected if the lease has expired, if the leader key exists, or if the term key has another
+     * version than {@code termVersion}.
      *
      * @return the revision of the transaction; 0 if it was rejected
      */
--- a/src/test/java/io/kelphoist/failover/CommandDelivery.java
+++ b/src/test/java/io/kelphoist/failover/CommandDelivery.java
@@ -33,7 +33,9 @@
     /**
      * Creates a request that is sent now.
      *
-     * @param worker the receiver; null if the machine with the address has been terminated
+     * @param worker the receiver; null if the machine with the address has been terminated, and the
+     *     request is then not delivered
+     * @param agentEpoch the agent epoch that the leader takes the worker to have
      */
     CommandDelivery(
             SimulatedLeader leader,
@@ -72,7 +74,7 @@
         return nowSeconds >= sentAtSeconds + timeout;
     }
 
-    /** The connection on which it was sent was closed, so it is lost. */
+    /** The connection on which the request was sent was closed, so the request is lost. */
     void markLost() {
         lost = true;
     }
--- a/src/test/java/io/kelphoist/failover/ElectedLeadership.java
+++ b/src/test/java/io/kelphoist/failover/ElectedLeadership.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Leaders that three controllers elect in an {@link ElectionSimulation}. Front end {@code i} runs
- * in the process of controller {@code ElectionSimulation.NAMES.get(i)}.
+ * Leaders that three controllers elect in an {@link ElectionSimulation}. The admission with the
+ * index {@code i} runs in the process of controller {@code ElectionSimulation.NAMES.get(i)}.
  */
 final class ElectedLeadership extends Leadership implements ElectionSimulation.Listener {
     /** The process restarts before its leader lease of 3 s has expired. */
@@ -58,15 +58,16 @@
     }
 
     @Override
-    boolean isAdmissionRefusedByStore(int frontEnd) {
-        return elections.isRefusedByStore(ElectionSimulation.NAMES.get(frontEnd));
+    boolean isAdmissionRefusedByStore(int controller) {
+        return elections.isRefusedByStore(ElectionSimulation.NAMES.get(controller));
     }
 
     /**
-     * Ends the leader's term. What the next leader receives depends only on {@code handover}. Each
-     * kind of handover is combined with another way in which the leader ends, so that all of these
-     * are simulated: it resigns, or its process crashes and restarts before or after its leader
-     * lease expires.
+     * Ends the term of the leader, if there is one. What the next leader receives depends only on
+     * {@code handover}. Each handover is combined with another way in which the term ends, so that
+     * all of these are simulated: for {@code REPLICA} the leader resigns, for {@code NOTHING} its
+     * process crashes and restarts before its leader lease expires, and for {@code
+     * CORRUPTED_REPLICA} it crashes and restarts after that.
      */
     @Override
     void failOver(Handover handover) {
@@ -98,8 +99,8 @@
     }
 
     @Override
-    void setStateStoreUnavailable(boolean down) {
-        elections.setStoreUnavailable(down);
+    void setStateStoreUnavailable(boolean unavailable) {
+        elections.setStoreUnavailable(unavailable);
     }
 
     @Override
--- a/src/test/java/io/kelphoist/failover/FailoverSimulation.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulation.java
@@ -27,8 +27,8 @@
  */
 final class FailoverSimulation {
     /**
-     * Time within which the system must converge after the last fault. It passes twice: before and
-     * after a last instance list.
+     * Time within which the system must converge after the last fault, and again after the last
+     * instance list, which the leader receives when this time has passed once.
      */
     private static final double CONVERGENCE_SECONDS = 45;
 
@@ -48,7 +48,7 @@
 
     /** Creates a run of the usual size in which the test changes the leader. */
     FailoverSimulation(long seed) {
-        this(seed, 2, SimulationSize.USUAL, false);
+        this(seed, /* maxStatusRequests= */ 2, SimulationSize.USUAL, /* elected= */ false);
     }
 
     /**
@@ -96,8 +96,9 @@
     private static Team createTeam(SimulationSize size) {
         return new Team(
                 "t",
-                new Resources(1e6, size.taskLimit() / 2.0, 1e6),
-                new Resources(1e6, size.taskLimit(), 1e6));
+                new Resources(
+                        /* cpus= */ 1e6, /* gpus= */ size.taskLimit() / 2.0, /* memoryGb= */ 1e6),
+                new Resources(/* cpus= */ 1e6, /* gpus= */ size.taskLimit(), /* memoryGb= */ 1e6));
     }
 
     private void onLeaderRecordsLoaded(SimulatedLeader leader) {
@@ -147,9 +148,9 @@
         setLeaderRefusedByStore(false);
         leadership.endFaults();
         context.disableRandomFaults();
-        advance(CONVERGENCE_SECONDS, 0);
+        advance(CONVERGENCE_SECONDS, /* delayedPerTen= */ 0);
         listInstances();
-        advance(CONVERGENCE_SECONDS, 0);
+        advance(CONVERGENCE_SECONDS, /* delayedPerTen= */ 0);
         SimulatedLeader leader =
                 leadership
                         .actingLeader()
@@ -269,7 +270,7 @@
      */
     void cancelDuringFailover(int number) {
         cancel(number);
-        advance(number % 7 / 10.0, 0);
+        advance(number % 7 / 10.0, /* delayedPerTen= */ 0);
         failOver(number % 2 == 0 ? Leadership.Handover.NOTHING : Leadership.Handover.REPLICA);
         cancel(number + 4);
         queryInBurst(number);
@@ -284,8 +285,9 @@
     }
 
     /**
-     * Checks that all jobs have ended, and returns the longest wait until the first start among the
-     * jobs that were not cancelled.
+     * Checks that all jobs have ended, and returns the longest wait from the acceptance until the
+     * first start among the submitted jobs of a priority that were not cancelled; 0 if there are
+     * none.
      */
     double longestWaitSeconds(Priority priority) {
         checker.checkAllJobsEnded(jobs.all(), queueWaits);
@@ -310,7 +312,10 @@
         return (int) leadership.termCount();
     }
 
-    /** Returns the seconds from the newest leader's election to its first scheduling decision. */
+    /**
+     * Returns the seconds from the newest leader's election to its first scheduling decision; NaN
+     * before that.
+     */
     double newestFirstDecisionAfterSeconds() {
         return leadership.newestLeader().firstDecisionAfterSeconds();
     }
--- a/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
@@ -32,7 +32,7 @@
             @ForAll long seed,
             @ForAll @Size(min = 4, max = 40) List<@IntRange(min = 0, max = 1499) Integer> steps) {
         FailoverSimulation simulation = new FailoverSimulation(seed);
-        simulation.advance(6, 0);
+        simulation.advance(6, /* delayedPerTen= */ 0);
         steps.forEach(step -> FailoverSteps.apply(simulation, step));
         simulation.endFaultsAndCheckConvergence();
         SCRIPTED_RUN_COUNTERS.addAll(simulation.counters());
@@ -48,8 +48,13 @@
     void noTaskRunsTwiceAcrossElections(
             @ForAll long seed,
             @ForAll @Size(min = 4, max = 40) List<@IntRange(min = 0, max = 1499) Integer> steps) {
-        FailoverSimulation simulation = new FailoverSimulation(seed, 2, SimulationSize.USUAL, true);
-        simulation.advance(10, 0);
+        FailoverSimulation simulation =
+                new FailoverSimulation(
+                        seed,
+                        /* maxStatusRequests= */ 2,
+                        SimulationSize.USUAL,
+                        /* elected= */ true);
+        simulation.advance(10, /* delayedPerTen= */ 0);
         steps.forEach(step -> FailoverSteps.apply(simulation, step));
         simulation.endFaultsAndCheckConvergence();
         tasksStartedByElectedLeaders += simulation.count(Counter.TASKS_STARTED);
@@ -89,30 +94,35 @@
     }
 
     /**
-     * If status requests are disabled, a new leader waits for a full heartbeat round before it
-     * decides.
+     * Guards against a leader that decides too early although status requests are disabled: it must
+     * wait for a full heartbeat round, because only regular heartbeats report which tasks run.
      */
     @Test
     void withoutStatusRequestsALeaderWaitsForAHeartbeatRound() {
-        FailoverSimulation simulation = new FailoverSimulation(3, 0, SimulationSize.USUAL, false);
-        simulation.advance(6, 0);
+        FailoverSimulation simulation =
+                new FailoverSimulation(
+                        /* seed= */ 3,
+                        /* maxStatusRequests= */ 0,
+                        SimulationSize.USUAL,
+                        /* elected= */ false);
+        simulation.advance(6, /* delayedPerTen= */ 0);
         simulation.failOver(Leadership.Handover.REPLICA);
-        simulation.advance(6, 0);
+        simulation.advance(6, /* delayedPerTen= */ 0);
         assertEquals(2.5, simulation.newestFirstDecisionAfterSeconds(), 0.15);
     }
 
     /**
-     * The leader changes ten times within two minutes; in two further rounds the state store is
-     * unavailable, so that no new leader can be elected. Jobs are cancelled immediately before each
-     * change and cancelled and queried after it, and copies of heartbeats are delivered to the next
-     * leader.
+     * Guards against rules that are broken only when leaders change in quick succession. The leader
+     * changes ten times within two minutes; in two further rounds the state store is unavailable,
+     * so that no new leader can be elected. Jobs are cancelled immediately before each change and
+     * cancelled and queried after it, and copies of heartbeats are delivered to the next leader.
      */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
     void rulesHoldWhenLeadersChangeTenTimes(long seed) {
         FailoverSimulation simulation = new FailoverSimulation(seed);
         simulation.setKeepHeartbeatsForNextLeader(true);
-        simulation.advance(6, 0);
+        simulation.advance(6, /* delayedPerTen= */ 0);
         for (int i = 0; i < 12; i++) {
             simulation.setStateStoreUnavailable(i % 6 == 3);
             simulation.setLostResponses(i % 3);
@@ -135,13 +145,22 @@
     }
 
     /**
-     * Guards against a leader that decides on stale records: records that were read before its term
-     * was stored must be read again.
+     * Guards against a leader that decides on stale records: records as of a revision before that
+     * of its term must be read again.
      */
     @Test
     void recordsOlderThanTheTermAreReadAgain() {
-        Failover failover = new Failover(3, 5, 4, 10, (machine, agentEpoch) -> {}, 100);
-        assertFalse(failover.onRecordsLoaded(41, 42, 100.1));
+        Failover failover =
+                new Failover(
+                        /* term= */ 3,
+                        /* timeoutSeconds= */ 5,
+                        /* listLagSeconds= */ 4,
+                        /* maxInFlight= */ 10,
+                        (machine, agentEpoch) -> {},
+                        /* nowSeconds= */ 100);
+        assertFalse(
+                failover.onRecordsLoaded(
+                        /* oldestRevision= */ 41, /* termRevision= */ 42, /* nowSeconds= */ 100.1));
         assertEquals(Failover.State.LOADING_RECORDS, failover.state());
         failover.advance(List.of(), 106);
         assertFalse(failover.maySchedule(106));
--- a/src/test/java/io/kelphoist/failover/FailoverSteps.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSteps.java
@@ -40,7 +40,7 @@
             case 7, 8 -> simulation.setPartitioned(argument, false);
             case 9, 10, 11 -> simulation.finishTask(argument);
             case 12 -> simulation.listInstances();
-            default -> throw new IllegalArgumentException("kind " + kind);
+            default -> throw new IllegalArgumentException("unexpected kind of event: " + kind);
         }
     }
 
@@ -53,7 +53,7 @@
             case 16 -> simulation.setDelayedTransactions(argument % 8);
             case 17 -> simulation.setStateStoreUnavailable(argument % 2 == 0);
             case 18 -> simulation.setLeaderRefusedByStore(argument % 3 > 0);
-            default -> throw new IllegalArgumentException("kind " + kind);
+            default -> throw new IllegalArgumentException("unexpected kind of event: " + kind);
         }
     }
 
--- a/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
@@ -9,11 +9,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Submits four jobs per second, of one task each, for three minutes and cancels a quarter of them
- * within seconds, with a failover in the middle. The write limit is the smallest of any deployment
- * (15 changes per second, 8 per transaction) or lower. The rules of {@link SimulationChecker} must
- * hold, every job must end, and every job that is not cancelled must start in time: high-priority
- * jobs within 10 s of their acceptance, the others within 15 s.
+ * Guards against jobs that never end, or that start late, while writes are limited and the leader
+ * changes. Submits four jobs per second, of one task each, for three minutes and cancels a quarter
+ * of them within seconds, with a failover in the middle. The write limit is the smallest of any
+ * deployment (15 changes per second, 8 per transaction) or lower. The rules of {@link
+ * SimulationChecker} must hold, every job must end, and every job that is not cancelled must start
+ * in time: high-priority jobs within 10 s of their acceptance, the others within 15 s.
  */
 class JobStreamSimulationTest {
     private static final int SECONDS = 180;
@@ -29,9 +30,17 @@
     void everyJobOfTheStreamEnds(long seed, double writesPerSecond) {
         FailoverSimulation simulation =
                 new FailoverSimulation(
-                        seed, 2, new SimulationSize(24, 40, false, writesPerSecond, 8), false);
+                        seed,
+                        /* maxStatusRequests= */ 2,
+                        new SimulationSize(
+                                /* workers= */ 24,
+                                /* taskLimit= */ 40,
+                                /* withInitialJobs= */ false,
+                                writesPerSecond,
+                                /* operationsPerTransaction= */ 8),
+                        /* elected= */ false);
         Random random = new Random(seed);
-        simulation.advance(6, 0);
+        simulation.advance(6, /* delayedPerTen= */ 0);
         for (int i = 0; i < 4 * SECONDS; i++) {
             boolean isCancelled = random.nextInt(4) == 0;
             simulation.submit(
@@ -42,7 +51,7 @@
             if (i == 2 * SECONDS) {
                 simulation.failOver(Leadership.Handover.REPLICA);
             }
-            simulation.advance(0.25, 0);
+            simulation.advance(0.25, /* delayedPerTen= */ 0);
         }
         simulation.endFaultsAndCheckConvergence();
         double highPriorityWaitSeconds = simulation.longestWaitSeconds(Priority.HIGH);
--- a/src/test/java/io/kelphoist/failover/Leadership.java
+++ b/src/test/java/io/kelphoist/failover/Leadership.java
@@ -87,7 +87,7 @@
     /** Whether the state store refuses the requests of this controller's admission. */
     abstract boolean isAdmissionRefusedByStore(int controller);
 
-    /** Changes the leader. The next one receives {@code handover}. */
+    /** Changes the leader, if that is possible now. The next one receives {@code handover}. */
     abstract void failOver(Handover handover);
 
     abstract void advance(double seconds);
--- a/src/test/java/io/kelphoist/failover/QueueWaitRecorder.java
+++ b/src/test/java/io/kelphoist/failover/QueueWaitRecorder.java
@@ -31,8 +31,9 @@
     }
 
     /**
-     * Returns the longest wait from acceptance to the first start among the jobs of a priority that
-     * pass the filter.
+     * Returns the longest wait in seconds from acceptance to the first start among the accepted
+     * jobs of a priority that pass the filter, each of which must have started; 0 if there are
+     * none.
      */
     double longestSeconds(Priority priority, Predicate<String> filter) {
         double longest = 0;
--- a/src/test/java/io/kelphoist/failover/ReplicaHandover.java
+++ b/src/test/java/io/kelphoist/failover/ReplicaHandover.java
@@ -60,23 +60,36 @@
     private ReplicatedMachine unknownMachine() {
         double now = context.nowSeconds();
         return new ReplicatedMachine(
-                "vm-9", "vm-0:1", "m", "a", false, 7, true, false, false, true, now, now + 5);
+                /* name= */ "vm-9",
+                /* address= */ "vm-0:1",
+                /* machineType= */ "m",
+                /* zone= */ "a",
+                /* spot= */ false,
+                /* agentEpoch= */ 7,
+                /* hasReported= */ true,
+                /* drainedAsFaulty= */ false,
+                /* possiblyDisconnected= */ false,
+                /* commandOutcomeUnknown= */ true,
+                /* launchedAtSeconds= */ now,
+                /* terminationAtSeconds= */ now + 5);
     }
 
     private ReplicatedMachine corrupt(ReplicatedMachine machine) {
         Random random = context.random();
         return new ReplicatedMachine(
                 machine.name(),
-                fleet.workers().get(random.nextInt(context.size().workers())).address(),
+                /* address= */ fleet.workers()
+                        .get(random.nextInt(context.size().workers()))
+                        .address(),
                 machine.machineType(),
                 machine.zone(),
                 machine.spot(),
-                random.nextInt(4),
-                random.nextInt(5) > 0,
-                false,
-                random.nextInt(5) == 0,
-                random.nextBoolean(),
-                machine.launchedAtSeconds() - random.nextInt(100),
-                Double.POSITIVE_INFINITY);
+                /* agentEpoch= */ random.nextInt(4),
+                /* hasReported= */ random.nextInt(5) > 0,
+                /* drainedAsFaulty= */ false,
+                /* possiblyDisconnected= */ random.nextInt(5) == 0,
+                /* commandOutcomeUnknown= */ random.nextBoolean(),
+                /* launchedAtSeconds= */ machine.launchedAtSeconds() - random.nextInt(100),
+                /* terminationAtSeconds= */ Double.POSITIVE_INFINITY);
     }
 }
--- a/src/test/java/io/kelphoist/failover/SimulatedFleet.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedFleet.java
@@ -20,14 +20,17 @@
     /** Maximum number of machines that leaders may scale out. */
     private static final int MAX_EXTRA_MACHINES = 3;
 
-    /** Machines that replace others, or are scaled out, are numbered after a gap of this size. */
+    /** Unused numbers between the first machines and those that replace them or are scaled out. */
     private static final int RESERVED_MACHINE_NUMBERS = 10;
 
     private final SimulationContext context;
     private final SimulatedTasks tasks;
     private final SimulationChecker checker;
     private final QueueWaitRecorder queueWaits;
+
+    /** The state store, which also schedules actions in virtual time. */
     private final StateStoreSimulation timer;
+
     private final List<SimulatedWorker> workers = new ArrayList<>();
     private final Map<String, List<String>> machinesByRequest = new HashMap<>();
     private int bootingCount;
@@ -46,7 +49,7 @@
         this.timer = timer;
         nextNumber = context.size().workers() + RESERVED_MACHINE_NUMBERS;
         for (int i = 0; i < context.size().workers(); i++) {
-            workers.add(createWorker(i, false));
+            workers.add(createWorker(i, /* scaledOut= */ false));
         }
     }
 
@@ -106,7 +109,7 @@
                     workers.remove(i);
                     return;
                 }
-                workers.set(i, createWorker(nextNumber++, false));
+                workers.set(i, createWorker(nextNumber++, /* scaledOut= */ false));
             }
         }
     }
@@ -134,7 +137,9 @@
 
     private void onBooted(String name) {
         bootingCount--;
-        workers.add(createWorker(Integer.parseInt(name.substring("vm-".length())), true));
+        workers.add(
+                createWorker(
+                        Integer.parseInt(name.substring("vm-".length())), /* scaledOut= */ true));
         context.counters().increment(Counter.MACHINES_SCALED_OUT);
     }
 
@@ -146,11 +151,11 @@
         return new CloudInstance(
                 worker.name(),
                 worker.address(),
-                "m",
-                "a",
-                false,
+                /* machineType= */ "m",
+                /* zone= */ "a",
+                /* spot= */ false,
                 CloudInstance.InstanceState.RUNNING,
-                context.nowSeconds());
+                /* ageSeconds= */ context.nowSeconds());
     }
 
     // ---- tasks ----
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -28,7 +28,15 @@
 /** The term of one leader: the scheduler's state, the failover and the record store. */
 final class SimulatedLeader {
     static final MachineType MACHINE_TYPE =
-            new MachineType("m", new Resources(8, 2, 64), 50, 1, 8, 3, 25, List.of("a"));
+            new MachineType(
+                    "m",
+                    new Resources(/* cpus= */ 8, /* gpus= */ 2, /* memoryGb= */ 64),
+                    /* cacheGb= */ 50,
+                    /* fetchGbPerSecond= */ 1,
+                    /* price= */ 8,
+                    /* spotPrice= */ 3,
+                    /* bootSeconds= */ 25,
+                    /* zones= */ List.of("a"));
 
     private static final double HEARTBEAT_ROUND_SECONDS =
             1.25 * SimulationContext.HEARTBEAT_INTERVAL_SECONDS;
@@ -97,8 +105,8 @@
         failover =
                 new Failover(
                         term,
-                        HEARTBEAT_ROUND_SECONDS,
-                        1,
+                        /* timeoutSeconds= */ HEARTBEAT_ROUND_SECONDS,
+                        /* listLagSeconds= */ 1,
                         dependencies.maxStatusRequests(),
                         this::requestStatus,
                         now);
@@ -124,30 +132,30 @@
                         stateStore.createCommitter(view),
                         stateStore.store(),
                         leadership.newestTermRevision(),
-                        () -> {},
-                        () -> {}),
+                        /* onNewerTerm= */ () -> {},
+                        /* requestTick= */ () -> {}),
                 stateStore.store(),
-                () -> 0,
+                /* wallClockMillis= */ () -> 0,
                 MAX_VALUE_BYTES);
     }
 
     private static SchedulingPolicy createPolicy(Team team) {
         return new SchedulingPolicy(
-                List.of("a"),
+                /* zones= */ List.of("a"),
                 List.of(team),
                 SimulationContext.HEARTBEAT_INTERVAL_SECONDS,
                 SimulationContext.LEASE_SECONDS,
                 SimulatedWorker.GANG_PEER_SECONDS,
-                5,
-                1,
-                20,
-                15,
-                0,
-                1e6,
-                600,
-                0.01,
-                0.01,
-                Map.of());
+                /* machineHoldBackoffSeconds= */ 5,
+                /* localityWaitSeconds= */ 1,
+                /* machineHoldSeconds= */ 20,
+                /* gangReservationSeconds= */ 15,
+                /* headroom= */ 0,
+                /* idleBeforeScaleInSeconds= */ 1e6,
+                /* maxRecordBytes= */ 600,
+                /* startWriteIntervalSeconds= */ 0.01,
+                /* progressWriteIntervalSeconds= */ 0.01,
+                /* startObjectiveSeconds= */ Map.of());
     }
 
     double nowSeconds() {
@@ -286,7 +294,13 @@
     }
 
     private void onAcknowledgedCancellation(String jobId) {
-        JobRecord record = new JobRecord(jobId, null, JobStatus.CANCELLED, 0, Long.MAX_VALUE);
+        JobRecord record =
+                new JobRecord(
+                        jobId,
+                        /* spec= */ null,
+                        JobStatus.CANCELLED,
+                        /* timestampMillis= */ 0,
+                        /* version= */ Long.MAX_VALUE);
         schedulerState.onJobRecord(record, 0, context.nowSeconds());
     }
 
@@ -294,12 +308,14 @@
 
     /** Returns the commands in the response; null if the heartbeat is refused. */
     List<WorkerCommand> onHeartbeat(Heartbeat heartbeat) {
-        return schedulerState.onHeartbeat(heartbeat, "", context.nowSeconds());
+        return schedulerState.onHeartbeat(
+                heartbeat, /* receivingController= */ "", context.nowSeconds());
     }
 
     /** Processes a copy of a heartbeat, which did not arrive over the worker's own connection. */
     void onHeartbeatCopy(Heartbeat heartbeat) {
-        schedulerState.onHeartbeat(heartbeat, "copy", context.nowSeconds());
+        schedulerState.onHeartbeat(
+                heartbeat, /* receivingController= */ "copy", context.nowSeconds());
     }
 
     void onReplicatedMachine(ReplicatedMachine machine) {
@@ -313,7 +329,8 @@
     void onInstanceList(List<CloudInstance> instances) {
         listedAtSeconds = context.nowSeconds();
         schedulerState.onInstanceList(
-                List.of(new InstanceListPage("", true, instances)), context.nowSeconds());
+                List.of(new InstanceListPage(/* afterName= */ "", /* lastPage= */ true, instances)),
+                context.nowSeconds());
     }
 
     void onScaleOutResponse(ScaleOutRequest request, ScaleOutResult result) {
--- a/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
@@ -92,7 +92,7 @@
                         item.revision());
             }
         } catch (MalformedMessageException e) {
-            throw new AssertionError(e);
+            throw new AssertionError("stored page of progress or starts is malformed", e);
         }
         return records;
     }
@@ -102,7 +102,7 @@
             return RecordCodec.decodeJob(
                     new StoredRecord(item.key(), item.value(), item.revision()));
         } catch (MalformedMessageException e) {
-            throw new AssertionError(e);
+            throw new AssertionError("stored job record is malformed: key=" + item.key(), e);
         }
     }
 }
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -38,7 +38,10 @@
     private final SimulationChecker checker;
     private final AcknowledgedCancellationLog cancellations;
     private final QueueWaitRecorder queueWaits;
+
+    /** The state store, which also schedules actions in virtual time. */
     private final StateStoreSimulation timer;
+
     private final List<Admission> admissions = new ArrayList<>();
 
     /**
@@ -163,7 +166,8 @@
     /** Sends a request, and again to the next controller while the response is to retry later. */
     private void sendWithRetries(int number, Request request, String jobId, Runnable onDone) {
         Consumer<AdmissionResult> responseHandler = checkAndRecordResponse(jobId);
-        // The first controller is not used: its admission shares the write limit of the leader.
+        // The first controller is not used: the leader runs in it, and the leader and the admission
+        // of a controller share one write limit.
         Admission admission = admissions.get(1 + number % (CONTROLLERS - 1));
         request.send(
                 admission,
--- a/src/test/java/io/kelphoist/failover/SimulatedWorker.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedWorker.java
@@ -203,7 +203,7 @@
         return lastHeartbeatReceivedAtSeconds;
     }
 
-    /** The lease lasts from when the heartbeat was sent. */
+    /** Renews the lease; its duration is measured from when the heartbeat was sent. */
     void renewLease(double heartbeatSentAtSeconds) {
         leaseStartSeconds = Math.max(leaseStartSeconds, heartbeatSentAtSeconds);
     }
@@ -230,9 +230,9 @@
         return new Heartbeat(
                 name,
                 address(),
-                "m",
-                "a",
-                false,
+                /* machineType= */ "m",
+                /* zone= */ "a",
+                /* spot= */ false,
                 agentEpoch,
                 ++heartbeatSequence,
                 fencingToken,
--- a/src/test/java/io/kelphoist/failover/SimulationChecker.java
+++ b/src/test/java/io/kelphoist/failover/SimulationChecker.java
@@ -318,10 +318,10 @@
     }
 
     /**
-     * Every front end, the part of a controller that serves users, must have responded to the query
-     * of every job, and must not have asked the user to retry later.
+     * The admission of every controller must have responded to the query of every job, and must not
+     * have asked the user to retry later.
      *
-     * @param responses the last response to each request; the key names the job and the front end
+     * @param responses the last response to each request; the key names the job and the controller
      * @param expectedCount number of requests
      */
     void checkResponsesAtEnd(Map<String, AdmissionResult> responses, int expectedCount) {
--- a/src/test/java/io/kelphoist/failover/SimulationSize.java
+++ b/src/test/java/io/kelphoist/failover/SimulationSize.java
@@ -15,5 +15,11 @@
         boolean withInitialJobs,
         double writesPerSecond,
         int operationsPerTransaction) {
-    static final SimulationSize USUAL = new SimulationSize(5, 7, true, 1e6, 48);
+    static final SimulationSize USUAL =
+            new SimulationSize(
+                    /* workers= */ 5,
+                    /* taskLimit= */ 7,
+                    /* withInitialJobs= */ true,
+                    /* writesPerSecond= */ 1e6,
+                    /* operationsPerTransaction= */ 48);
 }
