--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -281,41 +281,20 @@
         assertEquals(3, watermark.acknowledgedSequenceNumber("p"));
         watermark.onStatement(
                 "p",
-                new ConfirmedCancellations.Statement(
-                        /* incarnation= */ 7,
-                        /* coveredSeconds= */ 51,
-                        /* lastSequenceNumber= */ 5,
-                        /* complete= */ false,
-                        List.of("job-2")),
+                new ConfirmedCancellations.Statement(7, 51, 5, false, List.of("job-2")),
                 102,
                 102.1);
         assertEquals(101, watermark.watermarkSeconds(103), 1e-9);
         // This process started at 102.5, so the confirmations of the earlier process after 101 are
         // not covered.
         watermark.onStatement(
-                "p",
-                new ConfirmedCancellations.Statement(
-                        /* incarnation= */ 9,
-                        /* coveredSeconds= */ 0.5,
-                        /* lastSequenceNumber= */ 0,
-                        /* complete= */ true,
-                        List.of()),
-                103,
-                103.1);
+                "p", new ConfirmedCancellations.Statement(9, 0.5, 0, true, List.of()), 103, 103.1);
         assertEquals(101, watermark.watermarkSeconds(104), 1e-9);
         assertEquals(9, watermark.incarnation("p"));
         assertEquals(0, watermark.acknowledgedSequenceNumber("p"));
         // A delayed statement of the earlier process does not restore its sequence numbers.
         watermark.onStatement(
-                "p",
-                new ConfirmedCancellations.Statement(
-                        /* incarnation= */ 7,
-                        /* coveredSeconds= */ 51,
-                        /* lastSequenceNumber= */ 6,
-                        /* complete= */ true,
-                        List.of()),
-                102.2,
-                104);
+                "p", new ConfirmedCancellations.Statement(7, 51, 6, true, List.of()), 102.2, 104);
         assertEquals(9, watermark.incarnation("p"));
         assertEquals(0, watermark.acknowledgedSequenceNumber("p"));
         watermark.onJobsRead(103);
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -249,14 +249,7 @@
                         ImmutableSet.of()),
                 100);
         assertEquals(HeldDelegation.State.NONE, delegation.state(105));
-        delegation.onOffer(
-                new DelegationOffer(
-                        /* term= */ 3,
-                        /* incarnation= */ 7,
-                        /* sequenceNumber= */ 1,
-                        /* startsAtSeconds= */ 99.5,
-                        ImmutableSet.of()),
-                100);
+        delegation.onOffer(new DelegationOffer(3, 7, 1, 99.5, ImmutableSet.of()), 100);
         assertEquals(HeldDelegation.State.HELD, delegation.state(100.5));
         assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 101));
         assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 102));
@@ -267,14 +260,7 @@
                         "vm-1", "b", 3, 99.5 + DelegationTiming.of(47, 22).delegationSeconds()));
         assertEquals(HeldDelegation.State.EXPIRED, delegation.state(140));
         // A worker with the fencing token of a newer term ends the delegation for all workers.
-        delegation.onOffer(
-                new DelegationOffer(
-                        /* term= */ 3,
-                        /* incarnation= */ 7,
-                        /* sequenceNumber= */ 2,
-                        /* startsAtSeconds= */ 139.5,
-                        ImmutableSet.of()),
-                140);
+        delegation.onOffer(new DelegationOffer(3, 7, 2, 139.5, ImmutableSet.of()), 140);
         assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 142));
         assertFalse(delegation.allowsRenewal("vm-2", "b", 4, 142));
         assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 142));
@@ -295,16 +281,7 @@
                         /* term= */ 3,
                         members(Map.of("p", "b")),
                         /* nowSeconds= */ 100);
-        first.onResponse(
-                "p",
-                110,
-                new PeerStatus(
-                        /* incarnation= */ 1,
-                        /* clockSeconds= */ 5,
-                        /* uptimeSeconds= */ 50,
-                        /* sinceRenewalSeconds= */ Double.POSITIVE_INFINITY,
-                        /* sequenceNumber= */ 0),
-                110.1);
+        first.onResponse("p", 110, new PeerStatus(1, 5, 50, Double.POSITIVE_INFINITY, 0), 110.1);
         assertEquals(1, first.offerTo("p", Set.of(), 111).orElseThrow().sequenceNumber());
         assertEquals(List.of(), first.dueRecordWrites(111));
         DelegationRecordWrite storing = first.dueRecordWrites(114).get(0);
@@ -322,16 +299,7 @@
                 next.latestRenewalAtSeconds("vm-1", "b", 140),
                 0.1);
         // After the peer responds again it gets no offer until the record has been cleared.
-        next.onResponse(
-                "p",
-                141,
-                new PeerStatus(
-                        /* incarnation= */ 1,
-                        /* clockSeconds= */ 36,
-                        /* uptimeSeconds= */ 81,
-                        /* sinceRenewalSeconds= */ 5,
-                        /* sequenceNumber= */ 0),
-                141.1);
+        next.onResponse("p", 141, new PeerStatus(1, 36, 81, 5, 0), 141.1);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
         DelegationRecordWrite clearing = next.dueRecordWrites(141.3).get(0);
         assertEquals(Optional.empty(), next.offerTo("p", Set.of(), 141));
--- a/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/JobStreamSimulationTest.java
@@ -20,7 +20,8 @@
     private static final int SECONDS = 180;
 
     /**
-     * Runs the job stream.
+     * Runs the job stream on 24 machines with a limit of 40 tasks, without initial jobs and without
+     * elections, with at most 2 status requests without a response and 8 changes per transaction.
      *
      * @param writesPerSecond the smallest limit (15), or a limit that the job stream alone nearly
      *     uses up (9), so that transactions are rejected throughout the run
@@ -30,15 +31,7 @@
     void everyJobOfTheStreamEnds(long seed, double writesPerSecond) {
         FailoverSimulation simulation =
                 new FailoverSimulation(
-                        seed,
-                        /* maxStatusRequests= */ 2,
-                        new SimulationSize(
-                                /* workers= */ 24,
-                                /* taskLimit= */ 40,
-                                /* withInitialJobs= */ false,
-                                writesPerSecond,
-                                /* operationsPerTransaction= */ 8),
-                        /* elected= */ false);
+                        seed, 2, new SimulationSize(24, 40, false, writesPerSecond, 8), false);
         Random random = new Random(seed);
         simulation.advance(6, /* delayedPerTen= */ 0);
         for (int i = 0; i < 4 * SECONDS; i++) {
