--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -188,7 +188,7 @@
     /**
      * Called with the leader key as read from the state store.
      *
-     * @param holder the controller that holds the key; null, with the term 0, if it is absent
+     * @param holder the controller that holds the key; null, with {@code holderTerm} 0, if absent
      * @param lastTerm the newest stored term; 0 if there is none or the term key was not read, and
      *     a candidate then does not wait until its given grants have expired
      */
--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -48,7 +48,7 @@
     @Test
     void aStatementOfAnotherControllerStopsTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
         passOutage(simulation);
         assertEquals(1, simulation.acknowledgementsUnknownToLeader());
         assertEquals(0, simulation.withheldRenewals());
@@ -100,8 +100,8 @@
     @Test
     void statementsOfBothOthersStopTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(1, true);
-        simulation.cancel(2, true);
+        simulation.cancel(/* controller= */ 1, /* isAcknowledged= */ true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
         passOutage(simulation);
         assertEquals(0, simulation.withheldRenewals());
         assertFalse(simulation.isTaskRunning());
@@ -115,7 +115,7 @@
     @Test
     void acknowledgedByAQueryInTheOutage() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, /* isAcknowledged= */ false);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ false);
         simulation.setStoreUnavailable(true);
         simulation.advance(30);
         simulation.query(2);
@@ -134,7 +134,7 @@
     void renewalsAreWithheldAfterTheConfirmingControllerCrashed() {
         for (double restartSeconds : new double[] {0.1, 5}) {
             DelegationSimulation simulation = withLeaderRefused();
-            simulation.cancel(2, true);
+            simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
             simulation.crash(2, restartSeconds);
             passOutage(simulation);
             assertTrue(
@@ -149,11 +149,11 @@
     @Test
     void delayedStatementsLetTheLeaseExpireOrStopTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
-        simulation.setOneWayBlocked(2, 0, true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
+        simulation.setOneWayBlocked(/* from= */ 2, /* to= */ 0, /* blocked= */ true);
         simulation.setStoreUnavailable(true);
         simulation.advance(40);
-        simulation.setOneWayBlocked(2, 0, false);
+        simulation.setOneWayBlocked(/* from= */ 2, /* to= */ 0, /* blocked= */ false);
         simulation.advance(30);
         assertTrue(
                 simulation.expiredLeases() > 0 || !simulation.isTaskRunning(),
@@ -167,7 +167,7 @@
     @Test
     void renewalsAreWithheldAfterTheListOverflowed() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
         simulation.overflowConfirmedCancellations(2);
         passOutage(simulation);
         assertTrue(
@@ -183,7 +183,7 @@
     @Test
     void taskInAPartitionedZoneStops() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
         for (int outside : new int[] {0, 2}) {
             simulation.setLinkBlocked(1, outside, true);
             simulation.setWorkerBlocked(outside, true);
@@ -199,8 +199,8 @@
     @Test
     void failoverAtTheEndOfAnOutageStopsTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
-        simulation.crash(2, 0.1);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
+        simulation.crash(/* controller= */ 2, /* restartSeconds= */ 0.1);
         simulation.setStoreUnavailable(true);
         simulation.advance(15);
         simulation.setStoreUnavailable(false);
--- a/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
+++ b/src/test/java/io/kelphoist/delegation/LeaseDelegationTest.java
@@ -185,9 +185,10 @@
                         /* uptimeSeconds= */ 50,
                         /* sinceRenewalSeconds= */ Double.POSITIVE_INFINITY,
                         /* sequenceNumber= */ 0);
-        delegations.onResponse("p", 100, status, 100.1);
+        delegations.onResponse("p", /* sentAtSeconds= */ 100, status, /* nowSeconds= */ 100.1);
         assertEquals(Optional.empty(), delegations.offerTo("p", Set.of(), 100));
-        delegations.onResponseWithoutSupport("q", 100, 100.1);
+        delegations.onResponseWithoutSupport(
+                "q", /* sentAtSeconds= */ 100, /* nowSeconds= */ 100.1);
         assertEquals(Optional.empty(), delegations.offerTo("p", Set.of(), 100));
         delegations.onResponse("q", 101, status, 101.1);
         assertEquals(1, delegations.offerTo("p", Set.of(), 101).orElseThrow().sequenceNumber());
@@ -239,7 +240,7 @@
     void allowsRenewalOnlyWhileTheLeaderIsSilent() {
         HeldDelegation delegation =
                 new HeldDelegation(DelegationTiming.of(47, 22), "b", /* incarnation= */ 7);
-        delegation.onLeaderMessage(3, 100);
+        delegation.onLeaderMessage(/* leaderTerm= */ 3, /* nowSeconds= */ 100);
         delegation.onOffer(
                 new DelegationOffer(
                         /* term= */ 3,
@@ -251,7 +252,7 @@
         assertEquals(HeldDelegation.State.NONE, delegation.state(105));
         delegation.onOffer(new DelegationOffer(3, 7, 1, 99.5, ImmutableSet.of()), 100);
         assertEquals(HeldDelegation.State.HELD, delegation.state(100.5));
-        assertFalse(delegation.allowsRenewal("vm-1", "b", 3, 101));
+        assertFalse(delegation.allowsRenewal("vm-1", "b", /* fencingToken= */ 3, 101));
         assertTrue(delegation.allowsRenewal("vm-1", "b", 3, 102));
         assertFalse(delegation.allowsRenewal("vm-1", "a", 3, 102));
         assertFalse(delegation.allowsRenewal("vm-1", "b", 2, 102));
--- a/src/test/java/io/kelphoist/election/ElectionTest.java
+++ b/src/test/java/io/kelphoist/election/ElectionTest.java
@@ -31,7 +31,7 @@
             case 0, 1, 2 -> simulation.setLinkBlocked(controller, (controller + 1) % 3, enabled);
             case 3, 4, 5 -> simulation.setLinkBlocked((controller + 1) % 3, controller, enabled);
             case 6 -> setIsolated(simulation, controller, enabled);
-            case 7, 8 -> simulation.crash(controller, enabled ? 0.1 : 5);
+            case 7, 8 -> simulation.crash(controller, /* restartSeconds= */ enabled ? 0.1 : 5);
             case 9 -> crashAll(simulation, controller);
             case 10, 11 -> simulation.freeze(controller, argument % 10);
             case 12, 13 -> simulation.setStoreUnavailable(enabled);
@@ -56,7 +56,8 @@
 
     private static void crashAll(ElectionSimulation simulation, int firstRestarted) {
         for (int controller = 0; controller < 3; controller++) {
-            simulation.crash(controller, controller == firstRestarted ? 0.3 : 6);
+            simulation.crash(
+                    controller, /* restartSeconds= */ controller == firstRestarted ? 0.3 : 6);
         }
     }
 
@@ -82,9 +83,9 @@
     void anAcquisitionWithoutResponseDoesNotBlockElections(long seed) {
         ElectionSimulation simulation = new ElectionSimulation(seed);
         simulation.advance(8);
-        simulation.setLostResponses(5);
+        simulation.setLostResponses(/* perTen= */ 5);
         for (int i = 0; i < 30; i++) {
-            simulation.crash(i % 3, 0.3);
+            simulation.crash(i % 3, /* restartSeconds= */ 0.3);
             simulation.advance(13);
         }
         int withoutResponse = simulation.count(Counter.ACQUISITIONS_WITHOUT_RESPONSE);
--- a/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
+++ b/src/test/java/io/kelphoist/election/SimulatedElectionStore.java
@@ -145,7 +145,7 @@
                 || read().termVersion() != termVersion) {
             return 0;
         }
-        term = new Key(controller, lastTerm + 1, 0, ++revision);
+        term = new Key(controller, lastTerm + 1, /* leaseId= */ 0, ++revision);
         leader = new Key(controller, lastTerm + 1, leaseId, revision);
         listener.onTermStored(controller, lastTerm + 1);
         onKeysChanged.run();
--- a/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedStateStore.java
@@ -51,7 +51,9 @@
     }
 
     void putJob(JobSpec job) {
-        store.put(StateStoreKeys.jobKey(job.id()), RecordCodec.encodeActiveJob(job, 0).value());
+        store.put(
+                StateStoreKeys.jobKey(job.id()),
+                RecordCodec.encodeActiveJob(job, /* acceptedAtMillis= */ 0).value());
     }
 
     /** Called with each stored item before any other reader can read it. */
@@ -82,13 +84,15 @@
                     store.withPrefix(StateStoreKeys.PROGRESS_PREFIX)) {
                 records.applyProgressPage(
                         StateStoreKeys.pageNumber(StateStoreKeys.PROGRESS_PREFIX, item.key()),
-                        RecordCodec.decodeProgress(new StoredRecord("", item.value(), 0)),
+                        RecordCodec.decodeProgress(
+                                new StoredRecord(/* key= */ "", item.value(), /* version= */ 0)),
                         item.revision());
             }
             for (StateStoreSimulation.Item item : store.withPrefix(StateStoreKeys.STARTS_PREFIX)) {
                 records.applyStartPage(
                         StateStoreKeys.pageNumber(StateStoreKeys.STARTS_PREFIX, item.key()),
-                        RecordCodec.decodeStarts(new StoredRecord("", item.value(), 0)),
+                        RecordCodec.decodeStarts(
+                                new StoredRecord(/* key= */ "", item.value(), /* version= */ 0)),
                         item.revision());
             }
         } catch (MalformedMessageException e) {
--- a/src/test/java/io/kelphoist/failover/SimulatedUsers.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedUsers.java
@@ -85,7 +85,7 @@
                 new Admission.StoreAccess(
                         view, dependencies.stateStore().createCommitter(view)::submit),
                 timer,
-                () -> 0,
+                /* wallClockMillis= */ () -> 0,
                 new FixedMachineTypes(List.of(SimulatedLeader.MACHINE_TYPE)),
                 settings,
                 this::beforeResponse);
