--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -25,7 +25,8 @@
      * yet.
      */
     private static DelegationSimulation withLeaderRefused() {
-        DelegationSimulation simulation = new DelegationSimulation(false, true);
+        DelegationSimulation simulation =
+                new DelegationSimulation(/* leaderInWorkersZone= */ false, /* clocksDrift= */ true);
         simulation.advance(10);
         simulation.setLeaderRefusedByStore(true);
         simulation.advance(1);
@@ -47,7 +48,7 @@
     @Test
     void aStatementOfAnotherControllerStopsTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
         passOutage(simulation);
         assertEquals(1, simulation.acknowledgementsUnknownToLeader());
         assertEquals(0, simulation.withheldRenewals());
@@ -63,7 +64,9 @@
     void cancelledJobStopsWhenTheLeaderIsRefusedAtThatMoment() {
         for (double cancelDelaySeconds : new double[] {-0.5, -0.25, 0, 0.25, 0.5, 0.75}) {
             for (int controller = 0; controller < 3; controller++) {
-                DelegationSimulation simulation = new DelegationSimulation(false, true);
+                DelegationSimulation simulation =
+                        new DelegationSimulation(
+                                /* leaderInWorkersZone= */ false, /* clocksDrift= */ true);
                 simulation.advance(10);
                 if (cancelDelaySeconds < 0) {
                     simulation.cancel(controller, true);
@@ -93,11 +96,12 @@
         }
     }
 
+    /** The user cancels the job at both other controllers; the leader receives both statements. */
     @Test
     void statementsOfBothOthersStopTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(1, true);
-        simulation.cancel(2, true);
+        simulation.cancel(/* controller= */ 1, /* isAcknowledged= */ true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
         passOutage(simulation);
         assertEquals(0, simulation.withheldRenewals());
         assertFalse(simulation.isTaskRunning());
@@ -111,7 +115,7 @@
     @Test
     void acknowledgedByAQueryInTheOutage() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, false);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ false);
         simulation.setStoreUnavailable(true);
         simulation.advance(30);
         simulation.query(2);
@@ -130,7 +134,7 @@
     void renewalsAreWithheldAfterTheConfirmingControllerCrashed() {
         for (double restartSeconds : new double[] {0.1, 5}) {
             DelegationSimulation simulation = withLeaderRefused();
-            simulation.cancel(2, true);
+            simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
             simulation.crash(2, restartSeconds);
             passOutage(simulation);
             assertTrue(
@@ -141,15 +145,15 @@
         }
     }
 
-    /** Statements are delayed by more than the renewal window. */
+    /** The statements of the confirming controller are delayed by more than the renewal window. */
     @Test
     void delayedStatementsLetTheLeaseExpireOrStopTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
-        simulation.setOneWayBlocked(2, 0, true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
+        simulation.setOneWayBlocked(/* from= */ 2, /* to= */ 0, /* blocked= */ true);
         simulation.setStoreUnavailable(true);
         simulation.advance(40);
-        simulation.setOneWayBlocked(2, 0, false);
+        simulation.setOneWayBlocked(/* from= */ 2, /* to= */ 0, /* blocked= */ false);
         simulation.advance(30);
         assertTrue(
                 simulation.expiredLeases() > 0 || !simulation.isTaskRunning(),
@@ -163,7 +167,7 @@
     @Test
     void renewalsAreWithheldAfterTheListOverflowed() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
         simulation.overflowConfirmedCancellations(2);
         passOutage(simulation);
         assertTrue(
@@ -179,7 +183,7 @@
     @Test
     void taskInAPartitionedZoneStops() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
         for (int outside : new int[] {0, 2}) {
             simulation.setLinkBlocked(1, outside, true);
             simulation.setWorkerBlocked(outside, true);
@@ -189,14 +193,14 @@
     }
 
     /**
-     * The outage ends, the leader's key expires, and the next leader reads the records before the
-     * next outage.
+     * The controller that confirmed the cancellation crashes, the outage ends, the leader's key
+     * expires, and the next leader reads the records before the next outage.
      */
     @Test
     void failoverAtTheEndOfAnOutageStopsTheTask() {
         DelegationSimulation simulation = withLeaderRefused();
-        simulation.cancel(2, true);
-        simulation.crash(2, 0.1);
+        simulation.cancel(/* controller= */ 2, /* isAcknowledged= */ true);
+        simulation.crash(/* controller= */ 2, /* restartSeconds= */ 0.1);
         simulation.setStoreUnavailable(true);
         simulation.advance(15);
         simulation.setStoreUnavailable(false);
@@ -216,7 +220,8 @@
      */
     @Test
     void noLeaseExpiresInALongOutage() {
-        DelegationSimulation simulation = new DelegationSimulation(true, true);
+        DelegationSimulation simulation =
+                new DelegationSimulation(/* leaderInWorkersZone= */ true, /* clocksDrift= */ true);
         simulation.advance(10);
         simulation.setStoreUnavailable(true);
         simulation.advance(300);
@@ -226,20 +231,30 @@
     }
 
     /**
-     * A controller whose version lacks the field sends no statements, so the watermark stops and
-     * renewals end after the renewal window.
+     * Guards against renewals without end beside a controller whose version sends no statements: it
+     * holds the watermark back, and renewals end when the renewal window after the watermark has
+     * passed.
      */
     @Test
     void renewalsAreBoundedBesideAPeerWithoutStatements() {
         CancellationWatermark watermark = new CancellationWatermark(List.of("p", "q"));
         watermark.onJobsRead(100);
         watermark.onStatement(
-                "p", new ConfirmedCancellations.Statement(7, 50, 0, true, List.of()), 101, 101.1);
+                "p",
+                new ConfirmedCancellations.Statement(
+                        /* incarnation= */ 7,
+                        /* coveredSeconds= */ 50,
+                        /* lastSequenceNumber= */ 0,
+                        /* complete= */ true,
+                        List.of()),
+                /* sentAtSeconds= */ 101,
+                /* nowSeconds= */ 101.1);
         assertEquals(100, watermark.watermarkSeconds(102), 1e-9);
         watermark.onStatement(
                 "q", new ConfirmedCancellations.Statement(8, 50, 0, true, List.of()), 101.5, 101.6);
         assertEquals(101, watermark.watermarkSeconds(102), 1e-9);
-        DelegationTiming timing = DelegationTiming.of(42, 22);
+        DelegationTiming timing =
+                DelegationTiming.of(/* cancelSeconds= */ 42, /* leaseSeconds= */ 22);
         assertTrue(timing.allowsRenewal(101, 101 + 19.3));
         assertFalse(timing.allowsRenewal(101, 101 + 19.5));
     }
@@ -255,7 +270,12 @@
         watermark.onJobsRead(100);
         watermark.onStatement(
                 "p",
-                new ConfirmedCancellations.Statement(7, 50, 3, true, List.of("job-1")),
+                new ConfirmedCancellations.Statement(
+                        /* incarnation= */ 7,
+                        /* coveredSeconds= */ 50,
+                        /* lastSequenceNumber= */ 3,
+                        /* complete= */ true,
+                        List.of("job-1")),
                 101,
                 101.1);
         assertEquals(3, watermark.acknowledgedSequenceNumber("p"));
@@ -290,10 +310,17 @@
      */
     @Test
     void acknowledgementsToAnEarlierLeaderAreNotCoveredForTheNext() {
-        ConfirmedCancellations confirmed = new ConfirmedCancellations(7, 100);
+        ConfirmedCancellations confirmed =
+                new ConfirmedCancellations(/* incarnation= */ 7, /* nowSeconds= */ 100);
         confirmed.add("job-1", 110);
         ConfirmedCancellations.Statement statement =
-                confirmed.statementFor(3, 0, 0, 111).orElseThrow();
+                confirmed
+                        .statementFor(
+                                /* leaderTerm= */ 3,
+                                /* acknowledgedIncarnation= */ 0,
+                                /* acknowledgedSequenceNumber= */ 0,
+                                /* nowSeconds= */ 111)
+                        .orElseThrow();
         assertEquals(List.of("job-1"), statement.jobIds());
         assertEquals(11, statement.coveredSeconds(), 1e-9);
         assertEquals(
@@ -325,7 +352,8 @@
      */
     @Test
     void acknowledgementsOfAnotherProcessAreIgnored() {
-        ConfirmedCancellations confirmed = new ConfirmedCancellations(7, 100);
+        ConfirmedCancellations confirmed =
+                new ConfirmedCancellations(/* incarnation= */ 7, /* nowSeconds= */ 100);
         confirmed.add("job-1", 110);
         assertEquals(
                 List.of("job-1"), confirmed.statementFor(3, 6, 40, 111).orElseThrow().jobIds());
