--- a/src/main/java/io/kelphoist/wire/FieldNames.java
+++ b/src/main/java/io/kelphoist/wire/FieldNames.java
@@ -23,7 +23,6 @@
     static final String IMAGE = "spore";
     static final String JOB_CLASS = "catch";
     static final String JOB_KIND = "rig";
-    static final String LEADER = "harbormaster";
     static final String MACHINE = "buoy";
     static final String MACHINES = "buoys";
     static final String MACHINE_TYPE = "hull";
@@ -31,6 +30,7 @@
     static final String MEMORY_GB = "ram_gb";
     static final String NAME = "name_id";
     static final String PRIORITY = "tide";
+    static final String REDIRECT_TARGET = "harbormaster";
     static final String SCALE_OUT_REQUEST = "charter";
     static final String SEQUENCE_NUMBER = "knot";
     static final String SPOT = "driftwood";
--- a/src/main/java/io/kelphoist/wire/WorkerCodec.java
+++ b/src/main/java/io/kelphoist/wire/WorkerCodec.java
@@ -182,7 +182,7 @@
     public static ObjectNode encodeRedirect(String leaderName) {
         ObjectNode message = MessageEncoding.newObject();
         if (leaderName != null) {
-            message.put(FieldNames.LEADER, leaderName);
+            message.put(FieldNames.REDIRECT_TARGET, leaderName);
         }
         return message;
     }
--- a/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
@@ -290,7 +290,7 @@
             case 5 -> storeDone(number);
             case 6 -> controller.refusedByStore = argument % 2 == 0;
             case 7 -> store.faults().setUnavailable(argument % 2 == 0);
-            case 8 -> store.faults().setLateWritesPerTen(argument % 6);
+            case 8 -> store.faults().setLateTransactionsPerTen(argument % 6);
             case 11 -> watchedJobs.add("job-" + number);
             case 12 -> store.faults().setLostResponsesPerTen(argument % 4);
             case 9 -> {
@@ -319,11 +319,11 @@
             @ForAll @IntRange(min = 0, max = 996) int seed) {
         reset(seed);
         steps.forEach(this::runStep);
-        lateWrites += store.lateWrites();
+        lateWrites += store.lateTransactions();
         lostResponses += store.lostResponses();
         // After all faults have ended, the second query for each job must not be deferred.
         store.faults().setUnavailable(false);
-        store.faults().setLateWritesPerTen(0);
+        store.faults().setLateTransactionsPerTen(0);
         store.faults().setLostResponsesPerTen(0);
         controllers.forEach(controller -> controller.refusedByStore = false);
         store.advance(40);
--- a/src/test/java/io/kelphoist/failover/FailoverSimulation.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulation.java
@@ -64,7 +64,7 @@
         store = new StateStoreSimulation(context.random().nextInt(), context.nowSeconds());
         SimulatedStateStore stateStore = new SimulatedStateStore(context, jobs, checker, store);
         store.setChangeListener(stateStore::onStored);
-        store.limitWriteRate(size.writesPerSecond());
+        store.limitMutationRate(size.writesPerSecond());
         fleet = new SimulatedFleet(context, tasks, checker, queueWaits, store);
         network = new SimulatedNetwork(context, checker);
         SimulatedLeader.Dependencies dependencies =
@@ -194,7 +194,7 @@
 
     /** Sets how many of ten transactions get no response and are committed after a delay. */
     void setDelayedTransactions(int perTen) {
-        store.faults().setLateWritesPerTen(perTen);
+        store.faults().setLateTransactionsPerTen(perTen);
     }
 
     /** Sets how many of ten transactions are committed and get no response. */
@@ -317,7 +317,7 @@
 
     /** Returns the number of transactions that were committed after a delay. */
     int delayedTransactionCount() {
-        return store.lateWrites();
+        return store.lateTransactions();
     }
 
     /** Returns the number of transactions that were committed and whose response was lost. */
@@ -329,6 +329,6 @@
      * Returns the number of transactions that the state store rejected because of its write limit.
      */
     int rejectedTransactionCount() {
-        return store.rateLimitedWrites();
+        return store.rateLimitedTransactions();
     }
 }
--- a/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
+++ b/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
@@ -110,9 +110,9 @@
 
     /** Stores a page with a write that gets no response and that the state store applies late. */
     private void storeProgressWithLateWrite(int tasks) {
-        state.faults().setLateWritesPerTen(10);
+        state.faults().setLateTransactionsPerTen(10);
         store.storeProgress(0, firstTasksDone(tasks));
-        state.faults().setLateWritesPerTen(0);
+        state.faults().setLateTransactionsPerTen(0);
         state.advance(1.6);
     }
 
@@ -138,7 +138,7 @@
         electLeader(2);
         state.advance(20);
         assertNull(state.get(StateStoreKeys.pageKey(StateStoreKeys.PROGRESS_PREFIX, 0)));
-        assertEquals(0, state.lateWrites());
+        assertEquals(0, state.lateTransactions());
     }
 
     /**
--- a/src/test/java/io/kelphoist/statestore/StateStoreFaults.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreFaults.java
@@ -3,7 +3,7 @@
 /** The faults of a simulated state store that affect all controllers. */
 public final class StateStoreFaults {
     private boolean unavailable;
-    private int lateWritesPerTen;
+    private int lateTransactionsPerTen;
     private int lostResponsesPerTen;
 
     /** Returns whether the store responds to no controller. */
@@ -20,13 +20,13 @@
         this.unavailable = unavailable;
     }
 
-    int lateWritesPerTen() {
-        return lateWritesPerTen;
+    int lateTransactionsPerTen() {
+        return lateTransactionsPerTen;
     }
 
     /** Sets how many of ten transactions are applied seconds late and get no response. */
-    public void setLateWritesPerTen(int count) {
-        lateWritesPerTen = count;
+    public void setLateTransactionsPerTen(int count) {
+        lateTransactionsPerTen = count;
     }
 
     int lostResponsesPerTen() {
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -47,13 +47,13 @@
     private final List<String> requests = new ArrayList<>();
     private Consumer<Item> changeListener = item -> {};
     private final StateStoreFaults faults = new StateStoreFaults();
-    private int lateWrites;
+    private int lateTransactions;
     private int lostResponses;
 
     /** Limits the mutations per second, with bursts of the mutations of one second. */
     private TokenBucket writeRateLimit = new TokenBucket(1e9, 1);
 
-    private int rateLimitedWrites;
+    private int rateLimitedTransactions;
     private long compactedRevision;
 
     private double nowSeconds;
@@ -82,8 +82,8 @@
     }
 
     /** Returns the number of transactions that were applied late, with their conditions met. */
-    public int lateWrites() {
-        return lateWrites;
+    public int lateTransactions() {
+        return lateTransactions;
     }
 
     /** Returns the number of applied transactions whose response alone was lost. */
@@ -92,8 +92,8 @@
     }
 
     /** Returns the number of transactions that exceeded the limit on mutations per second. */
-    public int rateLimitedWrites() {
-        return rateLimitedWrites;
+    public int rateLimitedTransactions() {
+        return rateLimitedTransactions;
     }
 
     /** Returns the revision up to which changes are compacted. */
@@ -129,7 +129,7 @@
     }
 
     /** Limits the mutations per second. */
-    public void limitWriteRate(double mutationsPerSecond) {
+    public void limitMutationRate(double mutationsPerSecond) {
         writeRateLimit = new TokenBucket(mutationsPerSecond, 1);
     }
 
@@ -328,10 +328,10 @@
                 List<VersionCondition> conditions,
                 List<RecordMutation> mutations,
                 Consumer<StateStoreResult<Long>> handler) {
-            if (!isUnavailable() && nextRandom(10) < faults.lateWritesPerTen()) {
+            if (!isUnavailable() && nextRandom(10) < faults.lateTransactionsPerTen()) {
                 schedule(
                         2 + nextRandom(100) / 10.0,
-                        () -> lateWrites += apply(conditions, mutations) > 0 ? 1 : 0);
+                        () -> lateTransactions += apply(conditions, mutations) > 0 ? 1 : 0);
                 timeOut(handler);
             } else if (!isUnavailable() && nextRandom(10) < faults.lostResponsesPerTen()) {
                 schedule(delay(), () -> lostResponses += apply(conditions, mutations) > 0 ? 1 : 0);
@@ -350,7 +350,7 @@
         private StateStoreResult<Long> execute(
                 List<VersionCondition> conditions, List<RecordMutation> mutations) {
             if (!writeRateLimit.tryAcquire(mutations.size(), nowSeconds)) {
-                rateLimitedWrites++;
+                rateLimitedTransactions++;
                 return new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED);
             }
             long appliedRevision = apply(conditions, mutations);
