--- a/src/main/java/io/kelphoist/statestore/GroupCommitter.java
+++ b/src/main/java/io/kelphoist/statestore/GroupCommitter.java
@@ -26,8 +26,8 @@
  * keys that it changes, unless its order does not matter. Urgent writes, for whose outcome users or
  * other operations wait, are sent before the others.
  *
- * <p>Owns the queues of writes and the limit on their rate. Methods and callbacks run on the event
- * loop.
+ * <p>Owns the queues of writes and the rate limiter of mutations. Methods and callbacks run on the
+ * event loop.
  */
 public final class GroupCommitter {
     /** How a write ended. */
@@ -35,7 +35,9 @@
         /** The write is stored. */
         STORED,
         /**
-         * One of the write's own conditions does not hold, or the store did not say which does not.
+         * One of the write's own conditions does not hold, or the store rejected the transaction
+         * without saying which condition does not: it named no key, or gave a reason other than
+         * {@link Reason#CONDITION_FAILED} and {@link Reason#INVALID}.
          */
         CONFLICT,
         /** The write was not executed and will not be executed later. */
@@ -60,7 +62,10 @@
         NORMAL
     }
 
-    /** What happens to a write that was not executed because the store is unavailable. */
+    /**
+     * What happens to a write that was not executed because the store is unavailable. A write that
+     * was not executed because of a rate limit is always sent again until it expires.
+     */
     public enum WhenUnavailable {
         /** The write is sent again until it expires. */
         RETRY,
@@ -72,8 +77,10 @@
      * Mutations that are applied together if all conditions hold.
      *
      * @param sizeBytes estimated size of the write in a transaction
-     * @param expiresAtSeconds time after which the write is no longer sent and ends with {@link
-     *     Outcome#NOT_EXECUTED}; checked only while the write is the first one in its queue
+     * @param expiresAtSeconds time on the event loop's clock after which the write is no longer
+     *     sent and ends with {@link Outcome#NOT_EXECUTED}. It is checked only while the write is
+     *     the first one in its queue: a write behind the first one may be sent in the same
+     *     transaction although it has expired
      */
     public record Write(
             List<VersionCondition> conditions,
@@ -87,7 +94,7 @@
     /** Receives the outcome of a write. */
     public interface OutcomeListener {
         /**
-         * Called once for each write.
+         * Called once for each write, possibly before {@link #submit} returns.
          *
          * @param revision revision of the transaction if the write is stored, otherwise 0
          */
@@ -103,6 +110,7 @@
      */
     public static final int MAX_IN_FLIGHT = 3;
 
+    /** A submitted write is not queued if both queues together hold this many already. */
     static final int MAX_QUEUED_WRITES = 2000;
 
     private static final Logger LOG = LoggerFactory.getLogger(GroupCommitter.class);
@@ -114,39 +122,43 @@
     private static final double SLOW_TRANSACTION_SECONDS = 0.25;
 
     /**
-     * Added to the delay of the check whether a transaction is slow, so that it is slow by then.
+     * Added to {@link #SLOW_TRANSACTION_SECONDS} for the timer that tries to send the next
+     * transaction, so that a transaction without response counts as slow when the timer runs.
      */
     private static final double SLOW_CHECK_MARGIN_SECONDS = 0.001;
 
     /** Burst size: as many mutations as the rate limit allows in this time may be sent at once. */
-    private static final double WRITE_BURST_SECONDS = 0.9;
+    private static final double MUTATION_BURST_SECONDS = 0.9;
 
     private static final double MIN_PAUSE_SECONDS = 0.01;
 
-    /** No transaction is sent for this long after the store did not execute one. */
+    /** Sending pauses for this long after the store did not execute a transaction. */
     private static final double NOT_EXECUTED_PAUSE_SECONDS = 0.15;
 
     private final StateStoreWriter stateWriter;
     private final EventLoop loop;
-    private final TokenBucket writeLimiter;
+    private final TokenBucket mutationLimiter;
     private final int maxMutations;
     private final Deque<Write> urgentQueue = new ArrayDeque<>();
     private final Deque<Write> normalQueue = new ArrayDeque<>();
 
     /**
-     * Maximum number of writes per transaction; lowered after the store rejected a transaction of
-     * several writes as invalid, and unlimited again after it rejected a single write as invalid.
+     * Maximum number of writes per transaction. After the store rejected a transaction of several
+     * writes as invalid, half their number; unlimited again after it rejected a single write as
+     * invalid.
      */
-    private int maxBatchSize = Integer.MAX_VALUE;
+    private int maxWritesPerTransaction = Integer.MAX_VALUE;
 
     private boolean paused;
     private int inFlight;
 
-    /** Number of the transaction that was sent last. */
+    /** Number of the transaction that was sent last, counted from 1; 0 if none was sent. */
     private long newestTransactionNumber;
 
     private double newestSentAtSeconds;
-    private boolean newestHasResponse = true;
+
+    /** Whether the transaction that was sent last has ended, also without a response. */
+    private boolean newestHasEnded = true;
 
     /**
      * Creates a committer.
@@ -162,7 +174,7 @@
             int maxMutations) {
         this.stateWriter = stateWriter;
         this.loop = loop;
-        this.writeLimiter = new TokenBucket(mutationsPerSecond, WRITE_BURST_SECONDS);
+        this.mutationLimiter = new TokenBucket(mutationsPerSecond, MUTATION_BURST_SECONDS);
         this.maxMutations = maxMutations;
     }
 
@@ -172,7 +184,8 @@
     }
 
     /**
-     * Queues a write. If the queues are full, it ends at once with {@link Outcome#NOT_EXECUTED}.
+     * Queues a write. If {@link #MAX_QUEUED_WRITES} writes are queued already, the new one ends at
+     * once with {@link Outcome#NOT_EXECUTED}.
      */
     public void submit(Write write) {
         if (queuedWrites() >= MAX_QUEUED_WRITES) {
@@ -192,20 +205,20 @@
             return;
         }
         double nowSeconds = loop.nowSeconds();
-        rejectExpired(urgentQueue, nowSeconds);
-        rejectExpired(normalQueue, nowSeconds);
+        endExpired(urgentQueue, nowSeconds);
+        endExpired(normalQueue, nowSeconds);
         // The listeners of expired writes may have submitted and sent others.
         if (mustWait() || queuedWrites() == 0) {
             return;
         }
-        List<Write> writes = withinWriteLimit(nextBatch(), nowSeconds);
+        List<Write> writes = withinMutationLimit(nextBatch(), nowSeconds);
         if (!writes.isEmpty()) {
             writes.forEach(write -> queueOf(write).poll());
             send(writes);
         }
     }
 
-    private static void rejectExpired(Deque<Write> queue, double nowSeconds) {
+    private static void endExpired(Deque<Write> queue, double nowSeconds) {
         while (!queue.isEmpty() && queue.peek().expiresAtSeconds() < nowSeconds) {
             queue.poll().listener().onOutcome(Outcome.NOT_EXECUTED, 0);
         }
@@ -218,12 +231,12 @@
     private boolean mustWait() {
         return paused
                 || inFlight >= MAX_IN_FLIGHT
-                || (!newestHasResponse
+                || (!newestHasEnded
                         && loop.nowSeconds() < newestSentAtSeconds + SLOW_TRANSACTION_SECONDS);
     }
 
     private List<Write> nextBatch() {
-        WriteBatch batch = new WriteBatch(maxBatchSize, maxMutations);
+        WriteBatch batch = new WriteBatch(maxWritesPerTransaction, maxMutations);
         for (Write write : Iterables.concat(urgentQueue, normalQueue)) {
             if (!batch.tryAdd(write)) {
                 break;
@@ -233,27 +246,31 @@
     }
 
     /**
-     * Returns the writes of a batch that may be sent now, and charges them to the write rate limit:
-     * all of them if the limit allows it, otherwise only the first one, which need not wait until
-     * the limit allows all. If the limit does not allow even the first one, returns none and pauses
-     * sending until it does.
+     * Returns the writes of a batch that may be sent now, and charges their mutations to the rate
+     * limit: all writes if the limit allows it, otherwise only the first one, which need not wait
+     * until the limit allows all. If the limit does not allow even the first one, returns none and
+     * pauses sending until it does.
      */
-    private List<Write> withinWriteLimit(List<Write> batch, double nowSeconds) {
+    private List<Write> withinMutationLimit(List<Write> batch, double nowSeconds) {
         int mutationCount = 0;
         for (Write write : batch) {
             mutationCount += write.mutations().size();
         }
-        if (writeLimiter.tryAcquire(mutationCount, nowSeconds)) {
+        if (mutationLimiter.tryAcquire(mutationCount, nowSeconds)) {
             return batch;
         }
         int firstMutationCount = batch.get(0).mutations().size();
-        if (batch.size() > 1 && writeLimiter.tryAcquire(firstMutationCount, nowSeconds)) {
+        if (batch.size() > 1 && mutationLimiter.tryAcquire(firstMutationCount, nowSeconds)) {
             return List.of(batch.get(0));
         }
-        pauseFor(writeLimiter.secondsUntilAvailable(firstMutationCount, nowSeconds));
+        pauseFor(mutationLimiter.secondsUntilAvailable(firstMutationCount, nowSeconds));
         return List.of();
     }
 
+    /**
+     * Pauses sending, for at least {@link #MIN_PAUSE_SECONDS}. If an earlier pause ends before this
+     * one, sending resumes then.
+     */
     private void pauseFor(double seconds) {
         paused = true;
         loop.schedule(
@@ -268,14 +285,14 @@
         inFlight++;
         long transactionNumber = ++newestTransactionNumber;
         newestSentAtSeconds = loop.nowSeconds();
-        newestHasResponse = false;
+        newestHasEnded = false;
         loop.schedule(SLOW_TRANSACTION_SECONDS + SLOW_CHECK_MARGIN_SECONDS, this::sendNext);
         stateWriter.commit(
                 WriteBatch.conditionsOf(batch),
                 WriteBatch.mutationsOf(batch),
                 result -> {
                     inFlight--;
-                    newestHasResponse |= transactionNumber == newestTransactionNumber;
+                    newestHasEnded |= transactionNumber == newestTransactionNumber;
                     complete(batch, result);
                     sendNext();
                 });
@@ -297,7 +314,7 @@
         if (rejected.reason() == Reason.CONDITION_FAILED) {
             onConflict(batch, new HashSet<>(rejected.failedKeys()));
         } else if (rejected.reason() == Reason.INVALID) {
-            onTooLarge(batch, rejected.message());
+            onInvalid(batch, rejected.message());
         } else {
             notifyListeners(batch, Outcome.CONFLICT, 0);
         }
@@ -320,24 +337,24 @@
      * Several writes are sent again in smaller batches. A write that was rejected alone is itself
      * the cause, so the limit on the batch size is lifted.
      */
-    private void onTooLarge(List<Write> batch, String reason) {
+    private void onInvalid(List<Write> batch, String errorMessage) {
         if (batch.size() > 1) {
-            maxBatchSize = batch.size() / 2;
+            maxWritesPerTransaction = batch.size() / 2;
             LOG.warn(
                     "transaction rejected by the state store: writes={} error={} newMaxWrites={}",
                     batch.size(),
-                    reason,
-                    maxBatchSize);
+                    errorMessage,
+                    maxWritesPerTransaction);
             requeue(batch);
             return;
         }
-        maxBatchSize = Integer.MAX_VALUE;
+        maxWritesPerTransaction = Integer.MAX_VALUE;
         Write write = batch.get(0);
         LOG.error(
                 "write rejected by the state store: keys={} sizeBytes={} error={}",
                 write.mutations().stream().map(RecordMutation::key).toList(),
                 write.sizeBytes(),
-                reason);
+                errorMessage);
         write.listener().onOutcome(Outcome.TOO_LARGE, 0);
     }
 
--- a/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
+++ b/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
@@ -11,8 +11,9 @@
 
 /**
  * Limits the rate of reads for users' requests to a share of the state store's rate limit, so that
- * reads for record replication, for elections and by the leader never wait behind them. A read that
- * would have to wait too long is rejected at once.
+ * the rest of it is left for reads for record replication, for elections and by the leader, which
+ * are not to wait behind users' reads. A read that would have to wait too long is rejected at once.
+ * {@link #changesSince} is charged to the share, but neither delayed nor rejected.
  *
  * <p>Owns the rate limit of users' reads. Runs on the event loop.
  */
@@ -57,7 +58,7 @@
     public void changesSince(
             String prefix, long afterRevision, Consumer<StateStoreResult<StoredChanges>> callback) {
         // One request serves all users who wait at the time. So the number of these requests is
-        // bounded without a limit, and a rejection would fail the queries of all these users.
+        // bounded without a rate limit, and a rejection would fail the queries of all these users.
         requestLimiter.acquireUnconditionally(1, loop.nowSeconds());
         reader.changesSince(prefix, afterRevision, callback);
     }
--- a/src/main/java/io/kelphoist/statestore/RecordWatcher.java
+++ b/src/main/java/io/kelphoist/statestore/RecordWatcher.java
@@ -48,6 +48,11 @@
     }
 
     private static final Logger LOG = LoggerFactory.getLogger(RecordWatcher.class);
+
+    /**
+     * Pause after a failed request; not after a watch request that the store rejected because it
+     * has compacted the changes.
+     */
     private static final double RETRY_DELAY_SECONDS = 0.25;
 
     /** The value of {@link #deliveredRevision} if a snapshot must be read first. */
@@ -87,7 +92,7 @@
     /**
      * Creates a watcher. It sends no request before the first call of a method.
      *
-     * @param holdMillis how long the store may hold a request for changes
+     * @param holdMillis how long the store may hold a watch request
      */
     public RecordWatcher(
             StateStoreWatcher watcher,
@@ -105,8 +110,9 @@
     /**
      * Watches the records from the delivered revision on, or from a new snapshot if there is none.
      *
-     * @param pauseSeconds pause between a response and the next request; changes in that time are
-     *     received with one response
+     * @param pauseSeconds pause between the response to a watch request and the next request;
+     *     changes in that time are received with one response. After a failed request the pause is
+     *     0.25 s instead
      */
     public void watch(double pauseSeconds) {
         requestPauseSeconds = pauseSeconds;
@@ -175,9 +181,9 @@
             return;
         }
         if (watchInFlight) {
-            // The response to the request in flight has all changes since the revision that it
-            // names, or is dropped if that revision was discarded. In either case onWatchResponse
-            // schedules the next request.
+            // The response to the request in flight has all changes after the revision in that
+            // request, or is dropped if that revision was discarded since. In either case
+            // onWatchResponse schedules the next request.
             return;
         }
         watchInFlight = true;
--- a/src/main/java/io/kelphoist/statestore/StateStoreClient.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreClient.java
@@ -23,7 +23,7 @@
  *
  * <p>All requests are charged to this controller's share of the store's rate limit; urgent requests
  * and watch requests are sent at once even if they exceed it. Owns the rate limiter and the time
- * since when requests have been failing. Methods and callbacks run on the event loop.
+ * since which requests have been failing. Methods and callbacks run on the event loop.
  *
  * <p>A request fails if it gets no response, a malformed one, status {@link
  * StateStoreResponses#SERVICE_UNAVAILABLE} or a status that the protocol does not have. A request
@@ -62,9 +62,9 @@
     private static final double RATE_LIMITED_PAUSE_SECONDS = 0.1;
 
     /**
-     * When a request fails, requests are assumed to have been failing since this long after the
-     * last usable response at the latest, because a failure may be noticed late, for example only
-     * when a request times out.
+     * When a request fails, requests are assumed to have been failing since that time, but since
+     * this long after the last usable response at the latest, because a failure may be noticed
+     * late, for example only when a request times out.
      */
     private static final double MAX_SECONDS_FROM_RESPONSE_TO_FAILURE = 1;
 
@@ -76,12 +76,13 @@
     private final Consumer<String> onMalformedResponse;
 
     /**
-     * When the last usable response was received: a success or a rejection by the store that could
-     * be decoded. Before the first one, when this client was created.
+     * When the last usable response was received, by the event loop's clock: a success or a
+     * rejection by the store that could be decoded. Before the first one, when this client was
+     * created.
      */
     private double lastUsableResponseAtSeconds;
 
-    /** Time since when requests have been failing; NaN if they are not failing. */
+    /** Since when requests have been failing, by the event loop's clock; NaN if they are not. */
     private double failingSinceSeconds = Double.NaN;
 
     /**
@@ -128,15 +129,18 @@
                 callback);
     }
 
-    /** Reads the records page by page, with one request for each page. */
+    /**
+     * Reads the records page by page, with one request for each page. The result is empty if any of
+     * the requests fails.
+     */
     @Override
     public void readAll(String prefix, Consumer<Optional<StateSnapshot>> callback) {
-        new SnapshotRead(prefix, /* urgent= */ false, callback).requestPage("");
+        new SnapshotRead(prefix, /* urgent= */ false, callback).requestPage(/* afterKey= */ "");
     }
 
     /** As {@link #readAll}, but with urgent requests, for reads on which an election waits. */
     public void readAllUrgently(String prefix, Consumer<Optional<StateSnapshot>> callback) {
-        new SnapshotRead(prefix, /* urgent= */ true, callback).requestPage("");
+        new SnapshotRead(prefix, /* urgent= */ true, callback).requestPage(/* afterKey= */ "");
     }
 
     @Override
--- a/src/main/java/io/kelphoist/statestore/StateStoreWatcher.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreWatcher.java
@@ -8,7 +8,8 @@
 public interface StateStoreWatcher extends StateStoreReader {
     /**
      * Waits for changes below a prefix after a revision. The store responds at once if it has any
-     * already, otherwise when there is a change or when the hold time has expired.
+     * already, otherwise when there is a change or, with an empty list, when the hold time has
+     * expired. The result is rejected as {@code COMPACTED} if the store no longer has all changes.
      *
      * @param holdMillis maximum time that the store holds the request
      */
--- a/src/main/java/io/kelphoist/statestore/StateStoreWriter.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreWriter.java
@@ -9,8 +9,9 @@
 /** Writes to the state store. */
 public interface StateStoreWriter {
     /**
-     * Applies all mutations in one transaction if all conditions hold. The callback runs once, on
-     * the event loop; a success has the revision of the transaction.
+     * Applies all mutations in one transaction if all conditions hold; otherwise the result is
+     * rejected as {@code CONDITION_FAILED}. The callback runs once, on the event loop; a success
+     * has the revision of the transaction.
      */
     void commit(
             List<VersionCondition> conditions,
--- a/src/main/java/io/kelphoist/statestore/TokenBucket.java
+++ b/src/main/java/io/kelphoist/statestore/TokenBucket.java
@@ -8,7 +8,10 @@
     private final double tokensPerSecond;
     private final double capacity;
 
-    /** Negative if more tokens were taken unconditionally than were available. */
+    /**
+     * Negative after more tokens were taken than were available: unconditionally, or more than the
+     * capacity at once.
+     */
     private double availableTokens;
 
     private double refilledAtSeconds;
@@ -41,8 +44,8 @@
     }
 
     /**
-     * Returns the seconds until this many tokens are available; zero or negative if they are
-     * available now.
+     * Returns the seconds until {@link #tryAcquire} can take this many tokens if no others are
+     * taken; zero or negative if it can now.
      */
     public double secondsUntilAvailable(double tokens, double nowSeconds) {
         refill(nowSeconds);
@@ -57,7 +60,10 @@
         availableTokens -= tokens;
     }
 
-    /** Makes {@link #tryAcquire} fail for this long, after the server has rejected a request. */
+    /**
+     * Makes {@link #tryAcquire} fail for at least this long, after the server has rejected a
+     * request.
+     */
     public void blockFor(double seconds, double nowSeconds) {
         blockedUntilSeconds = Math.max(blockedUntilSeconds, nowSeconds + seconds);
     }
--- a/src/main/java/io/kelphoist/statestore/WriteBatch.java
+++ b/src/main/java/io/kelphoist/statestore/WriteBatch.java
@@ -18,9 +18,10 @@
  * expect another version of a key than the batch does.
  */
 final class WriteBatch {
+    /** Maximum sum of {@link GroupCommitter.Write#sizeBytes} in a batch of several writes. */
     private static final int MAX_BYTES = 48 * 1024;
 
-    /** A transaction may have this many times as many conditions as it may have mutations. */
+    /** Maximum number of conditions per transaction, as a multiple of that of mutations. */
     private static final int MAX_CONDITIONS_PER_MUTATION = 4;
 
     private final int maxWrites;
--- a/src/main/java/io/kelphoist/statestore/protocol/RecordCodec.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/RecordCodec.java
@@ -24,7 +24,7 @@
 
 /**
  * Encodes and decodes the values of stored records. Values that were stored by any earlier version
- * can be decoded.
+ * can be decoded. Timestamps are wall-clock times in ms since the epoch.
  */
 public final class RecordCodec {
     private static final String STATUS_ACTIVE = "active";
@@ -84,11 +84,13 @@
 
     /**
      * Encodes the record of a cancelled job. The record keeps the spec, since the job's tasks are
-     * still charged for their resources until they have exited, by the next leader too. A spec that
-     * was accepted when the limit on the size of values was higher is abridged to the fields that
-     * are still needed.
+     * still charged for their resources until they have exited, by the next leader too. If the
+     * value would exceed {@code maxBytes}, for example because the job was accepted when the limit
+     * on the size of values was higher, the spec is abridged to the fields that are still needed.
      *
-     * @param maxBytes maximum size of the value's JSON encoding
+     * @param job a record with a spec; its status is ignored
+     * @param maxBytes maximum size of the value's JSON encoding; even with an abridged spec the
+     *     value may exceed it
      */
     public static RecordMutation encodeCancelledJob(JobRecord job, int maxBytes) {
         RecordMutation mutation =
@@ -108,7 +110,7 @@
     }
 
     /**
-     * Decodes the record of a job.
+     * Decodes the record of a job, whose key must start with {@link StateStoreKeys#JOBS_PREFIX}.
      *
      * @throws MalformedMessageException if the status or the spec can't be decoded
      */
@@ -158,7 +160,12 @@
                 StateStoreKeys.pageKey(StateStoreKeys.PROGRESS_PREFIX, pageNumber), page);
     }
 
-    /** Decodes a page of done tasks. */
+    /**
+     * Decodes a page of done tasks.
+     *
+     * @throws MalformedMessageException if the first task of a range or its bit set can't be
+     *     decoded
+     */
     public static List<TaskProgress> decodeProgress(StoredRecord page)
             throws MalformedMessageException {
         List<TaskProgress> ranges = new ArrayList<>();
@@ -185,7 +192,10 @@
 
     /**
      * Decodes a page of recorded starts: tasks that may run on machines. {@link StartPageEncoder}
-     * is the inverse.
+     * is the inverse. A missing machine type or zone is decoded as empty, a missing spot flag as
+     * false.
+     *
+     * @throws MalformedMessageException if the name of a task can't be decoded
      */
     public static List<RecordedStart> decodeStarts(StoredRecord page)
             throws MalformedMessageException {
@@ -243,7 +253,8 @@
     /**
      * Encodes the latest possible start of a controller's lease delegation.
      *
-     * @param startMillis wall-clock time in ms since the epoch; NaN to clear the record
+     * @param startMillis wall-clock time in ms since the epoch, stored rounded up; NaN to clear the
+     *     record
      */
     public static RecordMutation encodeDelegation(String controller, double startMillis) {
         ObjectNode value = MessageEncoding.newObject();
@@ -270,7 +281,11 @@
                 StateStoreKeys.MACHINE_TYPES, CloudCodec.encodeMachineTypes(machineTypes));
     }
 
-    /** Decodes the machine types that the cloud offers. */
+    /**
+     * Decodes the machine types that the cloud offers.
+     *
+     * @throws MalformedMessageException if a field is missing or invalid
+     */
     public static List<MachineType> decodeMachineTypes(StoredRecord record)
             throws MalformedMessageException {
         return CloudCodec.decodeMachineTypes(record.value());
--- a/src/main/java/io/kelphoist/statestore/protocol/RecordMutation.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/RecordMutation.java
@@ -29,7 +29,10 @@
         return value == null;
     }
 
-    /** Returns the size of the value's JSON encoding in bytes. Each call encodes the value. */
+    /**
+     * Returns the size of the value's JSON encoding in bytes; for a deletion that of a JSON null.
+     * Each call encodes the value.
+     */
     public int valueBytes() {
         return MessageEncoding.encodeJson(value).length;
     }
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreKeys.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreKeys.java
@@ -47,13 +47,17 @@
         return JOBS_PREFIX + jobId;
     }
 
-    /** Returns the key of a page. Keys sort by page number. */
+    /**
+     * Returns the key of a page. Keys sort by page number.
+     *
+     * @param pageNumber 0 to 999,999
+     */
     public static String pageKey(String prefix, int pageNumber) {
         return prefix + Integer.toString(PAGE_NUMBER_OFFSET + pageNumber).substring(1);
     }
 
     /**
-     * Decodes the page number in the key of a page.
+     * Decodes the page number in the key of a page, which must start with the prefix.
      *
      * @throws MalformedMessageException if no page number follows the prefix
      */
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreRequests.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreRequests.java
@@ -13,7 +13,7 @@
  * occur only here and in {@link StateStoreResponses}.
  */
 public final class StateStoreRequests {
-    /** Records per page of a snapshot. */
+    /** Maximum number of records per page of a snapshot. */
     private static final int PAGE_SIZE = 500;
 
     private StateStoreRequests() {}
@@ -41,7 +41,7 @@
 
     /**
      * As {@link #changes}, but the store holds the request until a change is available or the hold
-     * time has expired.
+     * time has expired; the response then has no changes.
      */
     public static HttpRequest watch(String prefix, long afterRevision, int holdMillis) {
         String path = changesPath(prefix, afterRevision) + "&hold_ms=" + holdMillis;
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreResponses.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreResponses.java
@@ -11,7 +11,8 @@
 
 /**
  * Decodes the state store's responses. A missing field is decoded as empty, as zero or as a
- * constant that says that it is missing; a response is malformed only if its body is not a message.
+ * constant that says that it is missing. A response is malformed only if its body is neither empty
+ * nor a CBOR map.
  */
 public final class StateStoreResponses {
     /**
@@ -35,7 +36,7 @@
     /** Status of a successful response. */
     public static final int OK = 200;
 
-    /** Status of a request that is malformed or exceeds a limit. */
+    /** Status of a request that is malformed or exceeds a limit other than the rate limit. */
     public static final int BAD_REQUEST = 400;
 
     /** Status of a request for a key or a lease that does not exist. */
@@ -82,7 +83,7 @@
         return body -> body.path("tether").asLong();
     }
 
-    /** Returns the id of the lease that the request named and ignores the body. */
+    /** Ignores the body and returns the id of the lease that the request named. */
     public static Decoder<Long> requestedLeaseId(long leaseId) {
         return body -> leaseId;
     }
@@ -91,7 +92,7 @@
      * Decodes a response with one of the statuses {@link #OK}, {@link #BAD_REQUEST}, {@link
      * #NOT_FOUND}, {@link #CONFLICT} and {@link #GONE}.
      *
-     * @throws MalformedMessageException if the body is not a message
+     * @throws MalformedMessageException if the body is neither empty nor a CBOR map
      */
     public static <T> StateStoreResult<T> decodeResponse(
             int status, byte[] bytes, Decoder<T> decoder) throws MalformedMessageException {
--- a/src/main/java/io/kelphoist/statestore/protocol/StateStoreResult.java
+++ b/src/main/java/io/kelphoist/statestore/protocol/StateStoreResult.java
@@ -23,7 +23,10 @@
          * The store has compacted some of the requested changes; the caller must read a snapshot.
          */
         COMPACTED,
-        /** The request is malformed or exceeds a limit; repeating it unchanged would fail again. */
+        /**
+         * The request is malformed or exceeds a limit other than the rate limit; repeating it
+         * unchanged would fail again.
+         */
         INVALID
     }
 
@@ -31,7 +34,7 @@
     enum NotExecutedCause {
         /** A rate limit of the store or of this client was exceeded. */
         RATE_LIMITED,
-        /** The store is unavailable. */
+        /** The request could not be sent, or the store responded that it is unavailable. */
         STORE_UNAVAILABLE
     }
 
--- a/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
+++ b/src/test/java/io/kelphoist/statestore/GroupCommitterTest.java
@@ -13,9 +13,13 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Tests which writes share a transaction and which wait for a transaction in flight. */
+/**
+ * Tests which writes share a transaction, and which ones wait or end without being sent while a
+ * transaction is in flight, the queue is full or the store limits the rate.
+ */
 class GroupCommitterTest {
-    private final StateStoreSimulation loop = new StateStoreSimulation(1, 0);
+    private final StateStoreSimulation loop =
+            new StateStoreSimulation(/* seed= */ 1, /* startSeconds= */ 0);
 
     /** The mutations of each transaction that was sent. */
     private final List<List<RecordMutation>> sent = new ArrayList<>();
@@ -33,16 +37,18 @@
                         callbacks.add(callback);
                     },
                     loop,
-                    100,
-                    8);
+                    /* mutationsPerSecond= */ 100,
+                    /* maxMutations= */ 8);
 
     private void write(String key) {
         committer.submit(
                 new GroupCommitter.Write(
-                        List.of(new VersionCondition(key, 0)),
-                        List.of(new RecordMutation(key, MessageEncoding.newObject(), 0)),
-                        10,
-                        100,
+                        List.of(new VersionCondition(key, /* version= */ 0)),
+                        List.of(
+                                new RecordMutation(
+                                        key, MessageEncoding.newObject(), /* leaseId= */ 0)),
+                        /* sizeBytes= */ 10,
+                        /* expiresAtSeconds= */ 100,
                         GroupCommitter.Urgency.URGENT,
                         GroupCommitter.WhenUnavailable.FAIL,
                         (outcome, revision) -> outcomes.add(key + " " + outcome)));
@@ -72,8 +78,8 @@
     }
 
     /**
-     * A transaction that has had no response for longer than 0.25 s no longer delays the next one,
-     * up to the maximum number of transactions in flight.
+     * Guards against a transaction without response that blocks all later writes: after 0.25 s it
+     * no longer delays the next one, up to the maximum number of transactions in flight.
      */
     @Test
     void transactionWithoutResponseDoesNotBlockOthers() {
@@ -136,6 +142,7 @@
         assertEquals(3, sent.size());
         assertTrue(
                 sent.get(2).size() == 2,
-                "the rejected write must be sent in one transaction with the later one");
+                "expected the rate-limited write and the later one in one transaction, was "
+                        + sent.get(2));
     }
 }
--- a/src/test/java/io/kelphoist/statestore/RateLimitedReaderTest.java
+++ b/src/test/java/io/kelphoist/statestore/RateLimitedReaderTest.java
@@ -71,27 +71,27 @@
             @ForAll @DoubleRange(min = 0.01, max = 0.4) double pause) {
         ImmediateStore store = new ImmediateStore();
         RateLimitedReader reader = new RateLimitedReader(store, store, READS_PER_SECOND);
-        int[] sentCount = {0};
+        int[] requestedCount = {0};
         int[] resultCount = {0};
         for (int burst : bursts) {
             for (int i = 0; i < burst; i++) {
-                sentCount[0]++;
-                double sentAtSeconds = store.nowSeconds;
+                requestedCount[0]++;
+                double requestedAtSeconds = store.nowSeconds;
                 reader.get(
                         "j/job-1",
                         result -> {
                             resultCount[0]++;
                             assertTrue(
-                                    store.nowSeconds - sentAtSeconds < 0.51,
+                                    store.nowSeconds - requestedAtSeconds < 0.51,
                                     "a read must end within 0.5 s, but took "
-                                            + (store.nowSeconds - sentAtSeconds)
+                                            + (store.nowSeconds - requestedAtSeconds)
                                             + " s");
                         });
             }
             store.advanceTo(store.nowSeconds + pause);
         }
         store.advanceTo(store.nowSeconds + 1);
-        assertEquals(sentCount[0], resultCount[0], "each read must have exactly one result");
+        assertEquals(requestedCount[0], resultCount[0], "each read must have exactly one result");
         for (int i = 0; i < store.sentAtSeconds.size(); i++) {
             double startSeconds = store.sentAtSeconds.get(i);
             long readsInASecond =
@@ -101,9 +101,10 @@
                                             atSeconds >= startSeconds
                                                     && atSeconds < startSeconds + 1)
                             .count();
+            // The reads of one second, a burst of the reads of another half second, and one.
             assertTrue(
                     readsInASecond <= READS_PER_SECOND * 1.5 + 1,
-                    readsInASecond + " reads in one second");
+                    "expected at most 31 reads in one second, was " + readsInASecond);
         }
     }
 }
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -20,10 +20,10 @@
 import java.util.function.Consumer;
 
 /**
- * Simulates the state store in virtual time. A request is processed some time after it was sent,
- * and its response arrives some time after that. The response to a transaction may be lost; the
- * transaction is then applied after the usual delay, or seconds later and after newer ones. The
- * store may be unavailable to all controllers or to one of them.
+ * Simulates the state store in virtual time, without leases and deletions. A request is processed
+ * some time after it was sent, and its response arrives some time after that. The response to a
+ * transaction may be lost; the transaction is then applied after the usual delay, or seconds later
+ * and after newer ones. The store may be unavailable to all controllers or to one of them.
  */
 public final class StateStoreSimulation implements StateStoreWatcher, StateStoreWriter, EventLoop {
     /** A key's value and the revision of its last change. */
@@ -51,7 +51,7 @@
     private int lostResponses;
 
     /** Limits the mutations per second, with bursts of the mutations of one second. */
-    private TokenBucket writeRateLimit = new TokenBucket(1e9, 1);
+    private TokenBucket mutationLimiter = new TokenBucket(1e9, 1);
 
     private int rateLimitedTransactions;
     private long compactedRevision;
@@ -130,7 +130,7 @@
 
     /** Limits the mutations per second. */
     public void limitMutationRate(double mutationsPerSecond) {
-        writeRateLimit = new TokenBucket(mutationsPerSecond, 1);
+        mutationLimiter = new TokenBucket(mutationsPerSecond, 1);
     }
 
     /** Returns what is stored under a key now, or null if the key is not stored. */
@@ -174,7 +174,7 @@
         schedule(delay(), () -> handler.accept(result));
     }
 
-    // ---- requests of a controller that the store never refuses ----
+    // ---- requests of a controller to which only the faults for all controllers apply ----
 
     @Override
     public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
@@ -209,7 +209,7 @@
         viewFor(() -> false).awaitChanges(prefix, after, holdMillis, handler);
     }
 
-    /** Returns one controller's view; the store refuses its requests while {@code refused}. */
+    /** Returns one controller's view; while {@code refused}, the store is unavailable to it. */
     public View viewFor(BooleanSupplier refused) {
         return new View(refused);
     }
@@ -349,7 +349,7 @@
 
         private StateStoreResult<Long> execute(
                 List<VersionCondition> conditions, List<RecordMutation> mutations) {
-            if (!writeRateLimit.tryAcquire(mutations.size(), nowSeconds)) {
+            if (!mutationLimiter.tryAcquire(mutations.size(), nowSeconds)) {
                 rateLimitedTransactions++;
                 return new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED);
             }
--- a/src/test/java/io/kelphoist/statestore/StoredJobs.java
+++ b/src/test/java/io/kelphoist/statestore/StoredJobs.java
@@ -29,12 +29,19 @@
     /** Stores the record of an active job and returns the new revision. */
     public long putActive(String jobId) {
         return store.put(
-                StateStoreKeys.jobKey(jobId), RecordCodec.encodeActiveJob(spec(jobId), 1).value());
+                StateStoreKeys.jobKey(jobId),
+                RecordCodec.encodeActiveJob(spec(jobId), /* acceptedAtMillis= */ 1).value());
     }
 
     /** Stores the record of a cancelled job and returns the new revision. */
     public long putCancelled(String jobId) {
-        JobRecord active = new JobRecord(jobId, spec(jobId), JobStatus.ACTIVE, 1, 0);
+        JobRecord active =
+                new JobRecord(
+                        jobId,
+                        spec(jobId),
+                        JobStatus.ACTIVE,
+                        /* timestampMillis= */ 1,
+                        /* version= */ 0);
         return store.put(
                 StateStoreKeys.jobKey(jobId),
                 RecordCodec.encodeCancelledJob(active, MAX_RECORD_BYTES).value());
@@ -43,7 +50,8 @@
     /** Stores the record of a done job and returns the new revision. */
     public long putDone(String jobId) {
         return store.put(
-                StateStoreKeys.jobKey(jobId), RecordCodec.encodeDoneJob(jobId, 1, null).value());
+                StateStoreKeys.jobKey(jobId),
+                RecordCodec.encodeDoneJob(jobId, /* doneAtMillis= */ 1, /* owner= */ null).value());
     }
 
     /** Returns the status in a job's record, or empty if the job has no record. */
--- a/src/test/java/io/kelphoist/statestore/protocol/RecordCodecTest.java
+++ b/src/test/java/io/kelphoist/statestore/protocol/RecordCodecTest.java
@@ -22,7 +22,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tests the encoding and decoding of stored records, including those of earlier versions. */
+/**
+ * Guards against stored records that can't be decoded, or are decoded to something else than what
+ * was encoded, also by another version than the one that stored them. The numbers in stored records
+ * are their versions, and page 0 stands for any page.
+ */
 class RecordCodecTest {
     /**
      * Records of the version without dependencies can still be decoded, and jobs without
@@ -39,10 +43,12 @@
         JobRecord job = RecordCodec.decodeJob(new StoredRecord("j/job-7", cbor(active), 9));
         assertEquals(List.of(), job.spec().dependencies());
         assertEquals(5, job.timestampMillis());
-        assertEquals(active, json(RecordCodec.encodeActiveJob(job.spec(), 5).value()));
+        assertEquals(
+                active,
+                json(RecordCodec.encodeActiveJob(job.spec(), /* acceptedAtMillis= */ 5).value()));
         assertEquals(
                 active.replace("active", "cancelled"),
-                json(RecordCodec.encodeCancelledJob(job, 4096).value()));
+                json(RecordCodec.encodeCancelledJob(job, /* maxBytes= */ 4096).value()));
         assertEquals(
                 JobStatus.CANCELLED,
                 RecordCodec.decodeJob(
@@ -56,10 +62,16 @@
         assertEquals(0, done.timestampMillis());
         assertEquals(
                 "{\"status\":\"done\",\"at\":12}",
-                json(RecordCodec.encodeDoneJob("job-1", 12, null).value()));
+                json(
+                        RecordCodec.encodeDoneJob(
+                                        "job-1", /* doneAtMillis= */ 12, /* owner= */ null)
+                                .value()));
         assertEquals(
                 "{\"status\":\"done\",\"at\":12,\"team\":\"red\",\"class\":\"c\"}",
-                json(RecordCodec.encodeDoneJob("job-1", 12, new JobOwner("red", "c")).value()));
+                json(
+                        RecordCodec.encodeDoneJob(
+                                        "job-1", /* doneAtMillis= */ 12, new JobOwner("red", "c"))
+                                .value()));
     }
 
     /**
@@ -75,8 +87,10 @@
                                 0));
         assertEquals(
                 List.of(
-                        new RecordedStart("vm-1", "m", "z", true, new TaskRef("job-7", 0)),
-                        new RecordedStart("vm-1", "m", "z", true, new TaskRef("job-8", 12))),
+                        new RecordedStart(
+                                "vm-1", "m", "z", /* spot= */ true, new TaskRef("job-7", 0)),
+                        new RecordedStart(
+                                "vm-1", "m", "z", /* spot= */ true, new TaskRef("job-8", 12))),
                 starts);
         String progress = "{\"job-7/0\":\"BQ==\"}";
         assertEquals(
@@ -120,10 +134,16 @@
         assertEquals(List.of("job-1", "job-2"), spec.dependencies());
         ObjectNode record =
                 RecordCodec.encodeCancelledJob(
-                                new JobRecord(spec.id(), spec, JobStatus.ACTIVE, 5, 9), 1024)
+                                new JobRecord(
+                                        spec.id(),
+                                        spec,
+                                        JobStatus.ACTIVE,
+                                        /* timestampMillis= */ 5,
+                                        9),
+                                /* maxBytes= */ 1024)
                         .value();
         int bytes = MessageEncoding.encodeJson(record).length;
-        assertTrue(bytes <= 1024, bytes + " bytes");
+        assertTrue(bytes <= 1024, "expected at most 1024 bytes, was " + bytes);
         JobRecord read =
                 RecordCodec.decodeJob(
                         new StoredRecord(StateStoreKeys.jobKey(spec.id()), record, 10));
@@ -138,7 +158,9 @@
     @Test
     void undecodableDependenciesAreNotReadAsNone() throws MalformedMessageException {
         ObjectNode stored =
-                RecordCodec.encodeActiveJob(JobCodec.decodeJob(cbor(GANG_JOB)), 5).value();
+                RecordCodec.encodeActiveJob(
+                                JobCodec.decodeJob(cbor(GANG_JOB)), /* acceptedAtMillis= */ 5)
+                        .value();
         ((ObjectNode) stored.get("spec")).put("holdfast", "job-1");
         JobSpec spec = RecordCodec.decodeJob(new StoredRecord("j/job-000412", stored, 9)).spec();
         assertEquals(1, spec.dependencies().size());
@@ -173,7 +195,7 @@
                         .status());
         BitSet done = new BitSet();
         done.set(1, 5000);
-        TaskProgress progress = new TaskProgress(spec.id(), 8192, done);
+        TaskProgress progress = new TaskProgress(spec.id(), /* firstTask= */ 8192, done);
         assertEquals(
                 List.of(progress),
                 RecordCodec.decodeProgress(
