--- a/src/main/java/io/kelphoist/admission/Admission.java
+++ b/src/main/java/io/kelphoist/admission/Admission.java
@@ -14,8 +14,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Submission, query and cancellation of jobs: the only entry point for the HTTP and the gRPC front
- * ends. Every controller serves these requests, whether it is the leader or a follower. A
+ * Submission, query and cancellation of jobs: the only entry point for the HTTP and the gRPC user
+ * APIs. Every controller serves these requests, whether it is the leader or a follower. A
  * controller that can't determine a job's current state does not report an assumed one; it defers
  * the request, so that the user retries.
  *
@@ -53,7 +53,7 @@
         }
     }
 
-    /** Accepts writes to the state store; {@link GroupCommitter#submit} except in tests. */
+    /** Accepts writes to the state store, as {@link GroupCommitter#submit} does. */
     public interface RecordWriter {
         /** Queues a write; its listener receives the outcome on the event loop. */
         void submit(GroupCommitter.Write write);
@@ -161,7 +161,8 @@
     /**
      * Cancels a job and responds with its state, which is final: a job that has already ended is
      * not changed. If no job with this id is stored, responds with {@link
-     * AdmissionResult.NotFound}.
+     * AdmissionResult.NotFound}. Defers the request unless it is certain that the cancellation is
+     * stored.
      */
     public void cancel(String jobId, Consumer<AdmissionResult> callback) {
         if (JobCodec.isJobId(jobId)) {
--- a/src/main/java/io/kelphoist/admission/AdmissionResult.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionResult.java
@@ -58,8 +58,8 @@
     record NotFound() implements AdmissionResult {}
 
     /**
-     * The submission is invalid. Repeated unchanged, it would be rejected again, unless the reason
-     * lies elsewhere and has changed: a dependency that was not accepted yet, or the machine types.
+     * The submission is invalid. Repeated unchanged, it would be rejected again, unless a
+     * dependency that was missing has been accepted since, or the machine types have changed.
      */
     record Rejected(Reason reason, String message) implements AdmissionResult {
         /** Why a submission was rejected. */
--- a/src/main/java/io/kelphoist/admission/CancellationHandler.java
+++ b/src/main/java/io/kelphoist/admission/CancellationHandler.java
@@ -24,7 +24,8 @@
 
     /**
      * Cancels a job, unless its status is final already. Responds with its state, or with {@link
-     * AdmissionResult.NotFound}.
+     * AdmissionResult.NotFound}; defers the request unless it is certain that the cancellation is
+     * stored.
      */
     void cancel(String jobId, Consumer<AdmissionResult> callback) {
         readAndCancel(jobId, MAX_WRITE_ATTEMPTS, callback);
--- a/src/main/java/io/kelphoist/admission/DependencyWalk.java
+++ b/src/main/java/io/kelphoist/admission/DependencyWalk.java
@@ -35,7 +35,7 @@
 
     /**
      * Checks whether a job must be cancelled because a job that it depends on is cancelled. The
-     * leader cancels such jobs. This check covers times when there is no leader or it is
+     * leader cancels such jobs. This check covers times when there is no leader or the leader is
      * unreachable, so that no job is reported as queued long after the cancellation of a dependency
      * was reported.
      *
--- a/src/main/java/io/kelphoist/admission/JobLookup.java
+++ b/src/main/java/io/kelphoist/admission/JobLookup.java
@@ -21,7 +21,7 @@
 /**
  * Reads job records for responses to users: from a cache if the cached record is guaranteed to be
  * current, otherwise from the state store. Owns the cache of ended jobs, the {@link JobRecordCache}
- * of unfinished jobs and the list of recent responses ({@link MonotonicReads}).
+ * of unfinished jobs and the job states that were reported recently ({@link MonotonicReads}).
  *
  * <p>Callbacks are called on the event loop, possibly before the call returns.
  */
@@ -36,8 +36,8 @@
     private final double maxRecentAgeSeconds;
 
     /**
-     * Records of ended jobs. They never change, so they are valid also while the state store is
-     * unavailable.
+     * Records of ended jobs, without their specs. They never change, so they are valid also while
+     * the state store is unavailable.
      */
     private final Cache<String, JobRecord> finalRecords =
             CacheBuilder.newBuilder().maximumSize(MAX_CACHED_JOBS).concurrencyLevel(1).build();
@@ -72,6 +72,8 @@
     /**
      * Reads the records of several jobs like {@link #read}; the results have the order of the job
      * ids.
+     *
+     * @param jobIds must not be empty: otherwise the callback is never called
      */
     void readAll(List<String> jobIds, Consumer<List<JobReadResult>> callback) {
         ResultCollector results = new ResultCollector(jobIds.size(), callback);
@@ -142,11 +144,11 @@
     }
 
     /**
-     * Returns what may be reported to a user, given the result of a read or a write: the result
-     * itself, a newer record that this controller has cached or reported since, or {@link
-     * JobReadResult.Unavailable} if the result may be outdated.
+     * Returns what may be reported to a user, given the result of a read or a write: the final
+     * record if this controller has cached it, otherwise the result of {@link
+     * MonotonicReads#ensureMonotonic}.
      *
-     * @param requestedAtSeconds a time before the read or write was sent
+     * @param requestedAtSeconds a time before the read or write was sent, by the event loop's clock
      */
     JobReadResult ensureMonotonic(String jobId, JobReadResult result, double requestedAtSeconds) {
         JobRecord finalRecord = finalRecords.getIfPresent(jobId);
--- a/src/main/java/io/kelphoist/admission/JobRecordCache.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordCache.java
@@ -39,7 +39,10 @@
         CURRENT,
         /** Changes may have been missed, so all cached records were dropped. */
         RESET,
-        /** The state store is unavailable. */
+        /**
+         * The state store did not process the request for changes, or its outcome is unknown. The
+         * cached records stay, but may be outdated.
+         */
         UNAVAILABLE
     }
 
@@ -48,6 +51,7 @@
     /** Maximum number of unfinished jobs that are cached. */
     static final int MAX_CACHED_JOBS = 4000;
 
+    /** Maximum number of jobs whose {@link #latestRevisions latest revision} is kept. */
     private static final int MAX_TRACKED_REVISIONS = 20_000;
 
     /**
@@ -56,8 +60,8 @@
     private static final double REVALIDATION_INTERVAL_SECONDS = 0.02;
 
     /**
-     * If the last successful revalidation is longer ago than this, reading all changes since costs
-     * more than a reset.
+     * If the last successful revalidation is longer ago than this, the cache is reset, because
+     * reading all changes since then costs more.
      */
     private static final double MAX_AGE_SECONDS = 5;
 
@@ -90,7 +94,7 @@
     /** The revision at which this epoch began. */
     private long firstRevision;
 
-    /** The time as of which the cached records are current. */
+    /** The time as of which the cached records are current, by the event loop's clock. */
     private double currentAsOfSeconds = Double.NEGATIVE_INFINITY;
 
     /**
@@ -183,7 +187,10 @@
         return records.getIfPresent(jobId);
     }
 
-    /** Returns the maximum age of the cached records in seconds. */
+    /**
+     * Returns the maximum age of the cached records in seconds; infinite if no initial revision was
+     * ever read.
+     */
     double ageSeconds() {
         return loop.nowSeconds() - currentAsOfSeconds;
     }
--- a/src/main/java/io/kelphoist/admission/JobRecordWriter.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordWriter.java
@@ -11,7 +11,9 @@
 
 /** Writes job records to the state store with compare-and-swap on the record's version. */
 final class JobRecordWriter {
+    /** Time after which a write that was not sent yet expires. */
     private static final double WRITE_TIMEOUT_SECONDS = 3.0;
+
     private static final int BYTES_PER_KILOBYTE = 1024;
 
     /** Bytes of a value that stay unused, for what later changes of the record add to it. */
@@ -41,10 +43,11 @@
     }
 
     /**
-     * Encodes the record of an active or a cancelled job.
+     * Encodes the record of an active or a cancelled job. The spec of a cancelled job is abridged
+     * if the record would not {@linkplain #fits fit} otherwise.
      *
-     * @param record the record to write; its version is that of the stored record to be replaced,
-     *     or 0 if no record may be stored yet
+     * @param record the record to write, with a spec; its version is that of the stored record to
+     *     be replaced, or 0 if no record may be stored yet
      */
     EncodedRecord encode(JobRecord record) {
         RecordMutation mutation =
--- a/src/main/java/io/kelphoist/admission/MonotonicReads.java
+++ b/src/main/java/io/kelphoist/admission/MonotonicReads.java
@@ -11,10 +11,10 @@
  * was sent later arrives and is reported within milliseconds; the result of the first read is then
  * outdated.
  *
- * <p>The list is bounded. If a read was sent before the newest evicted entry was reported, its
- * result may be older than an evicted entry, so it is replaced by {@link
- * JobReadResult.Unavailable}. Performs no I/O; all times are seconds of the event loop's monotonic
- * clock.
+ * <p>Each job has at most one entry; entries are evicted by number and by age. If a read was sent
+ * before the newest evicted entry was reported, its result may be older than an evicted entry, so
+ * it is replaced by {@link JobReadResult.Unavailable}. Performs no I/O; all times are seconds of
+ * the event loop's monotonic clock.
  */
 final class MonotonicReads {
     /** Maximum number of jobs whose last reported state is kept. */
@@ -23,28 +23,29 @@
     /** Time for which a reported state is kept. Longer than any read takes. */
     static final double RETENTION_SECONDS = 20;
 
-    private record Response(JobRecord record, double reportedAtSeconds) {}
+    /** The newest reported record of a job, and when it was first reported. */
+    private record Entry(JobRecord record, double reportedAtSeconds) {}
 
-    /** By job id, the oldest response first. */
-    private final Map<String, Response> responses = new LinkedHashMap<>();
+    /** By job id, the oldest entry first. */
+    private final Map<String, Entry> entries = new LinkedHashMap<>();
 
     /** When the newest of the evicted entries was reported. */
     private double newestEvictedReportedAtSeconds = Double.NEGATIVE_INFINITY;
 
     /** Records that this job record is about to be reported to a user. */
     void recordResponse(JobRecord record, double nowSeconds) {
-        Response previous = responses.get(record.id());
+        Entry previous = entries.get(record.id());
         if (previous == null || previous.record.version() < record.version()) {
-            responses.remove(record.id());
-            responses.put(record.id(), new Response(record, nowSeconds));
+            entries.remove(record.id());
+            entries.put(record.id(), new Entry(record, nowSeconds));
         }
         evict(nowSeconds);
     }
 
     private void evict(double nowSeconds) {
-        for (Iterator<Response> iterator = responses.values().iterator(); iterator.hasNext(); ) {
-            Response oldest = iterator.next();
-            if (responses.size() <= MAX_ENTRIES
+        for (Iterator<Entry> iterator = entries.values().iterator(); iterator.hasNext(); ) {
+            Entry oldest = iterator.next();
+            if (entries.size() <= MAX_ENTRIES
                     && oldest.reportedAtSeconds >= nowSeconds - RETENTION_SECONDS) {
                 break;
             }
@@ -56,8 +57,9 @@
 
     /**
      * Returns what may be reported, given the result of a read: the result, the last reported
-     * record if that is newer, or {@link JobReadResult.Unavailable} if the result may be older than
-     * an evicted entry.
+     * record if that is newer or the result has no record, or {@link JobReadResult.Unavailable} if
+     * the result may be older than an evicted entry. A result that is final or unavailable is
+     * returned unchanged.
      *
      * @param requestedAtSeconds a time before the read was sent
      */
@@ -68,7 +70,7 @@
         if (isFinal || result instanceof JobReadResult.Unavailable) {
             return result;
         }
-        Response previous = responses.get(jobId);
+        Entry previous = entries.get(jobId);
         if (previous != null) {
             return record != null && record.version() >= previous.record.version()
                     ? result
--- a/src/main/java/io/kelphoist/admission/QueryHandler.java
+++ b/src/main/java/io/kelphoist/admission/QueryHandler.java
@@ -78,7 +78,7 @@
         }
         DependencyCheck check = new DependencyCheck(record, callback);
         DependencyWalk.start(lookup, record.spec().dependencies(), check::onCompleted);
-        check.completedSynchronously = false;
+        check.isStarting = false;
     }
 
     private boolean waitsForDependencies(JobRecord record) {
@@ -92,8 +92,8 @@
         private final JobRecord record;
         private final Consumer<AdmissionResult> callback;
 
-        /** True until the call that starts the check has returned. */
-        private boolean completedSynchronously = true;
+        /** Whether the call that starts the check has not returned yet. */
+        private boolean isStarting = true;
 
         DependencyCheck(JobRecord record, Consumer<AdmissionResult> callback) {
             this.record = record;
@@ -109,11 +109,11 @@
         }
 
         /**
-         * Responds with the job's state. The record is read again if the check was not completed
-         * synchronously, since it may be outdated by then.
+         * Responds with the job's state. The record is read again if the call that started the
+         * check has returned, since the record may be outdated by then.
          */
         private void respondWithCurrentState() {
-            if (completedSynchronously) {
+            if (isStarting) {
                 responder.respondWithState(record, callback);
                 return;
             }
--- a/src/main/java/io/kelphoist/admission/SubmissionHandler.java
+++ b/src/main/java/io/kelphoist/admission/SubmissionHandler.java
@@ -17,8 +17,8 @@
 
 /**
  * Accepts and rejects submissions. Submissions are idempotent: a job that is stored already keeps
- * its state and is reported as found, even if the repeated submission is invalid. After a rejection
- * the user would assume that the job does not exist.
+ * its state and is reported as found, even if the repeated submission is invalid, because after a
+ * rejection the user would assume that the job does not exist.
  */
 final class SubmissionHandler {
     private static final Logger LOG = LoggerFactory.getLogger(SubmissionHandler.class);
@@ -58,7 +58,9 @@
     }
 
     /**
-     * Accepts a job, or rejects it if it could never run.
+     * Accepts a job, or rejects it if it could never run or is too large to be stored. Defers the
+     * submission if the state of a dependency is unknown, or unless it is certain that the job is
+     * stored.
      *
      * @param machineTypes all machine types that the cloud offers; empty until they are loaded, in
      *     which case the submission is deferred
--- a/src/main/java/io/kelphoist/admission/UnansweredJobs.java
+++ b/src/main/java/io/kelphoist/admission/UnansweredJobs.java
@@ -10,10 +10,14 @@
  * for example because the job's cached record is wrong; the counts of deferred requests, which
  * don't name jobs, don't show it.
  *
- * <p>Modified on the event loop only; also read by the metrics thread, hence synchronized.
+ * <p>Modified on the event loop only; also read by the metrics thread, hence synchronized. Times
+ * are seconds of the event loop's clock.
  */
 public final class UnansweredJobs {
-    /** Maximum number of tracked jobs; further jobs are not tracked. */
+    /**
+     * Maximum number of tracked jobs. Further jobs are not tracked, so their cached records are not
+     * invalidated.
+     */
     private static final int MAX_JOBS = 1000;
 
     /**
@@ -22,7 +26,7 @@
      */
     private static final double INVALIDATION_INTERVAL_SECONDS = 10;
 
-    /** A job without a query for longer than this may be evicted when another job is added. */
+    /** A job without a query for longer than this may be evicted before another one is added. */
     private static final double RETENTION_SECONDS = 120;
 
     private static final class UnansweredJob {
@@ -67,6 +71,10 @@
         return true;
     }
 
+    /**
+     * Evicts jobs in the order of their first deferral, up to the first one that had a query within
+     * the retention time; inactive jobs after that one stay.
+     */
     private void evictInactive(double nowSeconds) {
         for (Iterator<UnansweredJob> iterator = jobs.values().iterator();
                 iterator.hasNext()
--- a/src/main/java/io/kelphoist/admission/package-info.java
+++ b/src/main/java/io/kelphoist/admission/package-info.java
@@ -1,8 +1,8 @@
 /**
- * Submission, query and cancellation of jobs, independent of the front end.
+ * Submission, query and cancellation of jobs, independent of the user API.
  *
- * <p>{@link io.kelphoist.admission.Admission} is the entry point: the HTTP front end ({@code api})
- * and the gRPC front end ({@code grpc}) translate requests into calls of it and its {@link
+ * <p>{@link io.kelphoist.admission.Admission} is the entry point: the HTTP user API ({@code api})
+ * and the gRPC user API ({@code grpc}) translate requests into calls of it and its {@link
  * io.kelphoist.admission.AdmissionResult}s back into responses. Every controller serves users,
  * whether it is the leader or a follower: it reads and writes job records in the state store
  * directly, with compare-and-swap transactions. Two guarantees hold for the job states in responses
@@ -16,7 +16,7 @@
  * </ul>
  *
  * <p>The package owns the caches of job records from which responses are made, and the counts of
- * deferred requests. It must not depend on the front ends, on leadership or on the scheduler's
+ * deferred requests. It must not depend on the user APIs, on leadership or on the scheduler's
  * state; data of the controller that is not in the state store is read through {@link
  * io.kelphoist.admission.Admission.ClusterView}. It uses {@code statestore}, {@code eventloop} and
  * {@code wire}.
--- a/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
@@ -45,14 +45,14 @@
     private static final int CONTROLLERS = 3;
     private static final double CANCELLATION_TIMEOUT_SECONDS = 30;
     private static final Team TEAM =
-            new Team("t", new Resources(1e6, 4, 1e6), new Resources(1e6, 8, 1e6));
+            new Team("t", new Resources(1e6, 4, 1e6), /* limit= */ new Resources(1e6, 8, 1e6));
     private static final MachineType TYPE =
             new MachineType("m", new Resources(8, 2, 64), 50, 1, 8, 3, 25, List.of("a"));
 
     // Counted over all tries, to check that the faults and their effects were frequent enough.
     private static int finalResponses;
     private static int deferredResponses;
-    private static int lateWrites;
+    private static int lateTransactions;
     private static int cancelledDependents;
     private static int lostResponses;
     private static int overtakenResponses;
@@ -100,7 +100,7 @@
 
     /** Creates a new simulation for each try, since jqwik runs all tries on one instance. */
     private void reset(int seed) {
-        store = new StateStoreSimulation(seed, 0);
+        store = new StateStoreSimulation(seed, /* startSeconds= */ 0);
         storedJobs = new StoredJobs(store);
         controllers = new ArrayList<>();
         reportedByAny = new HashMap<>();
@@ -221,7 +221,7 @@
                     !dependencyCancelled
                             || phase == AdmissionResult.Phase.CANCELLED
                             || result instanceof AdmissionResult.Found,
-                    id + ": expected CANCELLED like a dependency, was accepted as " + phase);
+                    id + ": expected CANCELLED, as a dependency is, was accepted as " + phase);
             overtakenResponses +=
                     phaseHere != null && phaseHere.isFinal() && phaseBefore != phaseHere ? 1 : 0;
             controller.reportedPhases.put(id, phase);
@@ -237,7 +237,7 @@
                     id + " was reported as cancelled before the cancellation was recorded");
             assertTrue(
                     !cancellationDue || phase == AdmissionResult.Phase.CANCELLED,
-                    id + ": expected CANCELLED, as a dependency long was, got " + phase);
+                    id + ": expected CANCELLED 30 s after a dependency, was " + phase);
         }
 
         private void recordPhase(AdmissionResult.Phase phase) {
@@ -319,7 +319,7 @@
             @ForAll @IntRange(min = 0, max = 996) int seed) {
         reset(seed);
         steps.forEach(this::runStep);
-        lateWrites += store.lateTransactions();
+        lateTransactions += store.lateTransactions();
         lostResponses += store.lostResponses();
         // After all faults have ended, the second query for each job must not be deferred.
         store.faults().setUnavailable(false);
@@ -342,7 +342,7 @@
                 }
                 assertTrue(
                         last[0] != null && !(last[0] instanceof AdmissionResult.RetryLater),
-                        "job-" + number + ": no response or deferred after all faults: " + last[0]);
+                        "job-" + number + ": no response, or deferred without faults: " + last[0]);
             }
         }
     }
@@ -352,19 +352,21 @@
         assertTrue(
                 finalResponses > 10_000
                         && deferredResponses > 5_000
-                        && lateWrites > 150
+                        && lateTransactions > 150
                         && cancelledDependents > 500,
-                finalResponses
+                "too few: "
+                        + finalResponses
                         + " final responses, "
                         + deferredResponses
                         + " deferred, "
-                        + lateWrites
-                        + " late writes, "
+                        + lateTransactions
+                        + " late transactions, "
                         + cancelledDependents
                         + " dependents cancelled");
         assertTrue(
                 lostResponses > 300 && overtakenResponses > 100,
-                lostResponses
+                "too few: "
+                        + lostResponses
                         + " responses lost, "
                         + overtakenResponses
                         + " requests overtaken by a final response");
--- a/src/test/java/io/kelphoist/admission/FreshReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/FreshReadsTest.java
@@ -39,9 +39,9 @@
 
     /** Creates a new store and lookup for each try, since jqwik runs all tries on one instance. */
     private void reset(int seed) {
-        store = new StateStoreSimulation(seed, 0);
+        store = new StateStoreSimulation(seed, /* startSeconds= */ 0);
         storedJobs = new StoredJobs(store);
-        lookup = new JobLookup(store, store, 1);
+        lookup = new JobLookup(store, store, /* maxRecentAgeSeconds= */ 1);
         resultCount = 0;
     }
 
@@ -95,7 +95,7 @@
                                             id,
                                             StoredJobs.spec(id),
                                             JobStatus.ACTIVE,
-                                            1,
+                                            /* timestampMillis= */ 1,
                                             revision)));
         }
     }
@@ -244,6 +244,11 @@
         store.advance(1);
         assertEquals(103, resultCount);
         assertTrue(
-                store.requests().size() - requestsBefore <= 2, () -> store.requests().toString());
+                store.requests().size() - requestsBefore <= 2,
+                () ->
+                        "expected at most 2 requests after the first "
+                                + requestsBefore
+                                + ", was "
+                                + store.requests());
     }
 }
--- a/src/test/java/io/kelphoist/admission/MonotonicReadsTest.java
+++ b/src/test/java/io/kelphoist/admission/MonotonicReadsTest.java
@@ -10,8 +10,8 @@
 
 /**
  * Guards against job states that are reported after a newer one: a read may end after a later read
- * whose result was reported already. Includes the limits on the number of kept responses and on
- * their age.
+ * whose result was reported already. Includes the eviction of entries by number and by age. Numbers
+ * are job numbers, versions, and times in seconds.
  */
 class MonotonicReadsTest {
     private MonotonicReads reads;
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void entriesAreDroppedAfterTheRetentionTime() {
+    void entriesAreEvictedAfterTheRetentionTime() {
         reads.recordResponse(jobRecord(1, JobStatus.ACTIVE, 5), 1);
         reads.recordResponse(
                 jobRecord(2, JobStatus.ACTIVE, 5), 1 + MonotonicReads.RETENTION_SECONDS);
--- a/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
+++ b/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
@@ -30,12 +30,29 @@
             {"name_id":"job-77","catch":"c","crew":"t","rig":"batch","tide":"normal","fronds":2,"cpus":1.0,"accelerators":1.0,"ram_gb":1.0,
              "spore":"i","image_gb":1.0,"hulls":null,"bed":null,"same_place":false,"scatter":false,"driftwood":false,"haul_s":60.0,
              "mooring_s":0.0,"stow_s":0.0,"landfall_s":null}""";
-    private static final Resources CAPACITY = new Resources(8, 2, 64);
+    private static final Resources CAPACITY =
+            new Resources(/* cpus= */ 8, /* gpus= */ 2, /* memoryGb= */ 64);
     private static final FixedMachineTypes TYPES =
             new FixedMachineTypes(
                     List.of(
-                            new MachineType("m", CAPACITY, 50, 1, 8, 3, 25, List.of("a", "b")),
-                            new MachineType("one-zone", CAPACITY, 50, 1, 8, 3, 25, List.of("a"))));
+                            new MachineType(
+                                    "m",
+                                    CAPACITY,
+                                    /* cacheGb= */ 50,
+                                    /* fetchGbPerSecond= */ 1,
+                                    /* price= */ 8,
+                                    /* spotPrice= */ 3,
+                                    /* bootSeconds= */ 25,
+                                    List.of("a", "b")),
+                            new MachineType(
+                                    "one-zone",
+                                    CAPACITY,
+                                    /* cacheGb= */ 50,
+                                    /* fetchGbPerSecond= */ 1,
+                                    /* price= */ 8,
+                                    /* spotPrice= */ 3,
+                                    /* bootSeconds= */ 25,
+                                    List.of("a"))));
 
     /**
      * Sets a field to a value from fields.txt: JSON, a number that JSON does not have, or missing.
@@ -99,7 +116,7 @@
     private static void check(ObjectNode sent, String field, String expected)
             throws MalformedMessageException {
         // given
-        StateStoreSimulation store = new StateStoreSimulation(1, 0);
+        StateStoreSimulation store = new StateStoreSimulation(/* seed= */ 1, /* startSeconds= */ 0);
         Admission admission = newAdmission(store);
         AdmissionResult[] result = new AdmissionResult[1];
         // The message is encoded and decoded as when it is sent to a controller; the gRPC server
@@ -111,7 +128,12 @@
             id = JobCodec.decodeJobId(message);
             admission.submit(JobCodec.decodeJob(message), received -> result[0] = received);
         } catch (MalformedMessageException e) {
-            assertTrue(e.getMessage().contains(field), e.getMessage());
+            assertTrue(
+                    e.getMessage().contains(field),
+                    "expected the name of "
+                            + field
+                            + " in the error message, was "
+                            + e.getMessage());
             if (id == null) {
                 assertEquals("malformed", expected);
                 return;
@@ -121,18 +143,36 @@
         store.advance(10);
         // then
         assertEquals(expected, outcomeName(result[0]));
-        assertEquals(expected.equals("accepted"), store.get(StateStoreKeys.jobKey(id)) != null);
+        assertEquals(
+                expected.equals("accepted"),
+                store.get(StateStoreKeys.jobKey(id)) != null,
+                "whether " + id + " is stored");
     }
 
     private static Admission newAdmission(StateStoreSimulation store) {
-        Team team = new Team("t", Resources.NONE, new Resources(1e9, 8, 1e9));
+        Team team =
+                new Team(
+                        "t",
+                        Resources.NONE,
+                        new Resources(/* cpus= */ 1e9, /* gpus= */ 8, /* memoryGb= */ 1e9));
         return Admission.create(
-                new Admission.StoreAccess(store, new GroupCommitter(store, store, 1e6, 48)::submit),
+                new Admission.StoreAccess(
+                        store,
+                        new GroupCommitter(
+                                        store,
+                                        store,
+                                        /* mutationsPerSecond= */ 1e6,
+                                        /* maxMutations= */ 48)
+                                ::submit),
                 store,
-                () -> 1,
+                /* wallClockMillis= */ () -> 1,
                 TYPES,
-                new AdmissionSettings(List.of(team), List.of("a", "b"), 4, 30),
-                job -> {});
+                new AdmissionSettings(
+                        List.of(team),
+                        List.of("a", "b"),
+                        /* maxValueKilobytes= */ 4,
+                        /* cancellationTimeoutSeconds= */ 30),
+                /* beforeResponse= */ job -> {});
     }
 
     /** Returns the name of the outcome in fields.txt. */
--- a/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
+++ b/src/test/java/io/kelphoist/admission/UnansweredJobsTest.java
@@ -6,7 +6,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Tests the tracking of jobs whose queries are deferred repeatedly. */
+/**
+ * Guards against a job whose queries are deferred without end because its cached record is wrong:
+ * the record must be invalidated at intervals. Numbers are virtual times in seconds.
+ */
 class UnansweredJobsTest {
     private final UnansweredJobs unansweredJobs = new UnansweredJobs();
 
