--- a/src/main/java/io/kelphoist/wire/CloudCodec.java
+++ b/src/main/java/io/kelphoist/wire/CloudCodec.java
@@ -28,7 +28,12 @@
         return decodeMachineTypes(MessageEncoding.decodeCbor(body));
     }
 
-    /** Decodes the machine types that the cloud offers. */
+    /**
+     * Decodes the machine types that the cloud offers. A type without a spot price gets the hourly
+     * price of an on-demand instance.
+     *
+     * @throws MalformedMessageException if a field is missing or invalid
+     */
     public static List<MachineType> decodeMachineTypes(JsonNode message)
             throws MalformedMessageException {
         List<MachineType> machineTypes = new ArrayList<>();
@@ -124,7 +129,12 @@
         return new InstanceListPage(afterName, isLast, instances);
     }
 
-    /** Decodes the instances on a page of the cloud's instance list. */
+    /**
+     * Decodes the instances on a page of the cloud's instance list. A missing address is decoded as
+     * null, a missing spot flag as false, a missing age as 0, and an unknown state as running.
+     *
+     * @throws MalformedMessageException if another field is missing, or a field is invalid
+     */
     public static List<CloudInstance> decodeInstances(JsonNode message)
             throws MalformedMessageException {
         List<CloudInstance> instances = new ArrayList<>();
@@ -151,7 +161,7 @@
         };
     }
 
-    /** Decodes whether another page of the instance list follows. */
+    /** Decodes whether another page of the instance list follows; false if not stated. */
     public static boolean decodeHasNextPage(JsonNode message) throws MalformedMessageException {
         return MessageFields.boolOr(message, "has_next", false);
     }
--- a/src/main/java/io/kelphoist/wire/HttpCall.java
+++ b/src/main/java/io/kelphoist/wire/HttpCall.java
@@ -28,7 +28,7 @@
         CONNECTING,
         /** The request was passed to the connection and may be executed. */
         SENT,
-        /** The result was passed to the handler. */
+        /** The call has its result, which is passed to the handler. */
         FINISHED
     }
 
@@ -71,13 +71,13 @@
 
     /** Ends the call after a failure; the request may have been executed. */
     void failAfterSend() {
-        finish(HttpHostClient.NO_RESPONSE, false);
+        finish(HttpHostClient.NO_RESPONSE, /* reusable= */ false);
     }
 
     /**
      * Ends the call with its result. Does nothing if the call has ended already.
      *
-     * @param reusable whether another request can be sent over the connection
+     * @param reusable whether another request can be sent over the connection, if the call has one
      */
     void finish(CallResult result, boolean reusable) {
         if (isFinished()) {
@@ -98,7 +98,7 @@
 
     private void onConnected(IoFuture<? extends ClientConnection> future) {
         if (future.getStatus() != IoFuture.Status.DONE) {
-            finish(HttpHostClient.NOT_SENT, false);
+            finish(HttpHostClient.NOT_SENT, /* reusable= */ false);
             return;
         }
         try {
@@ -109,7 +109,7 @@
                 send(newConnection);
             }
         } catch (IOException e) {
-            finish(HttpHostClient.NOT_SENT, false);
+            finish(HttpHostClient.NOT_SENT, /* reusable= */ false);
         }
     }
 
@@ -163,6 +163,8 @@
         if (state == State.CONNECTING && pendingConnection != null) {
             pendingConnection.cancel();
         }
-        finish(state == State.SENT ? HttpHostClient.NO_RESPONSE : HttpHostClient.NOT_SENT, false);
+        finish(
+                state == State.SENT ? HttpHostClient.NO_RESPONSE : HttpHostClient.NOT_SENT,
+                /* reusable= */ false);
     }
 }
--- a/src/main/java/io/kelphoist/wire/HttpExchanges.java
+++ b/src/main/java/io/kelphoist/wire/HttpExchanges.java
@@ -28,7 +28,8 @@
 
     /**
      * Reads a request's body and passes it to the handler. If the body exceeds the limit or can't
-     * be read, responds with status 400 (bad request).
+     * be read, responds with status 400 (bad request) and, unless the whole body was read, closes
+     * the connection.
      */
     public static void receiveBody(HttpServerExchange exchange, int maxBytes, BodyHandler handler) {
         if (exchange.getRequestContentLength() > maxBytes) {
@@ -60,8 +61,8 @@
     }
 
     /**
-     * Runs a task on the current thread after the current call; the exchange stays open until it is
-     * responded to.
+     * Runs a task on the current thread after the current call of the exchange's handler has
+     * returned; the exchange stays open until it is responded to.
      */
     public static void dispatch(HttpServerExchange exchange, Runnable task) {
         exchange.dispatch(SameThreadExecutor.INSTANCE, task);
--- a/src/main/java/io/kelphoist/wire/HttpHostClient.java
+++ b/src/main/java/io/kelphoist/wire/HttpHostClient.java
@@ -107,7 +107,10 @@
         }
     }
 
-    /** Closes the idle connections; calls in flight continue. */
+    /**
+     * Closes the idle connections. Calls in flight and queued calls continue, and their reusable
+     * connections are returned to the pool.
+     */
     public void close() {
         for (ClientConnection connection = idleConnections.poll();
                 connection != null;
--- a/src/main/java/io/kelphoist/wire/HttpResponseReader.java
+++ b/src/main/java/io/kelphoist/wire/HttpResponseReader.java
@@ -10,8 +10,12 @@
 import org.xnio.ChannelListener;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads the body of a response and finishes the call with the response. Runs on the I/O thread. */
+/**
+ * Reads the body of a response and finishes the call with the response, or without one if reading
+ * fails or the body exceeds {@link #MAX_BODY_BYTES}. Runs on the I/O thread.
+ */
 final class HttpResponseReader implements ChannelListener<StreamSourceChannel> {
+    /** Maximum size of the body of a response: 16 MiB. */
     private static final int MAX_BODY_BYTES = 16 << 20;
 
     private final HttpCall call;
--- a/src/main/java/io/kelphoist/wire/JobCodec.java
+++ b/src/main/java/io/kelphoist/wire/JobCodec.java
@@ -51,6 +51,8 @@
     /**
      * Decodes a stored job. If its dependencies can't be decoded, the job gets a dependency on a
      * job that can't exist: its user can still query it, but it never starts.
+     *
+     * @throws MalformedMessageException if another field is missing or invalid
      */
     public static JobSpec decodeStoredJob(JsonNode message) throws MalformedMessageException {
         try {
@@ -60,7 +62,11 @@
         }
     }
 
-    /** Decodes only the id of a submitted job, even if other fields of the message are invalid. */
+    /**
+     * Decodes only the id of a submitted job, even if other fields of the message are invalid.
+     *
+     * @throws MalformedMessageException if the id is missing or invalid
+     */
     public static String decodeJobId(JsonNode message) throws MalformedMessageException {
         String id = MessageFields.text(message, FieldNames.NAME);
         if (!isJobId(id)) {
@@ -211,8 +217,8 @@
     }
 
     /**
-     * Encodes the response to other requests: as {@link #encodeAccepted}, with the counts of the
-     * job's tasks.
+     * Encodes a job's state in the response to any other request: as {@link #encodeAccepted}, with
+     * the numbers of the job's done and running tasks.
      */
     public static ObjectNode encodeJobState(
             String jobId, String phase, int doneTasks, int runningTasks) {
--- a/src/main/java/io/kelphoist/wire/MalformedMessageException.java
+++ b/src/main/java/io/kelphoist/wire/MalformedMessageException.java
@@ -12,10 +12,14 @@
     /**
      * Creates an exception.
      *
-     * @param reason description of the error, which begins with the field's name if a field is
-     *     invalid
+     * @param reason description of the error, which begins with the field's name if a field of a
+     *     submission is missing or invalid
      */
     public MalformedMessageException(String reason) {
-        super(reason, null, false, false);
+        super(
+                reason,
+                /* cause= */ null,
+                /* enableSuppression= */ false,
+                /* writableStackTrace= */ false);
     }
 }
--- a/src/main/java/io/kelphoist/wire/MessageFields.java
+++ b/src/main/java/io/kelphoist/wire/MessageFields.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Typed access to the fields of a received message. A field that is null is treated as missing.
- * Users receive the messages of the exceptions in the responses to their requests.
+ * Typed access to the fields of a received message. A field that is null is treated as missing. The
+ * exceptions' messages are sent to users in the responses to their requests.
  */
 final class MessageFields {
     private MessageFields() {}
--- a/src/main/java/io/kelphoist/wire/WorkerCodec.java
+++ b/src/main/java/io/kelphoist/wire/WorkerCodec.java
@@ -177,12 +177,13 @@
     /**
      * Encodes the response to a heartbeat by a controller that is not the leader.
      *
-     * @param leaderName name of the leading controller; null if it is unknown
+     * @param controllerName name of the controller to which the worker should send its heartbeats;
+     *     null to let the worker try any other one
      */
-    public static ObjectNode encodeRedirect(String leaderName) {
+    public static ObjectNode encodeRedirect(String controllerName) {
         ObjectNode message = MessageEncoding.newObject();
-        if (leaderName != null) {
-            message.put(FieldNames.REDIRECT_TARGET, leaderName);
+        if (controllerName != null) {
+            message.put(FieldNames.REDIRECT_TARGET, controllerName);
         }
         return message;
     }
@@ -190,11 +191,11 @@
     /**
      * Encodes the CBOR body of the response to a heartbeat by a controller that is not the leader.
      *
-     * @param controller the controller to which the worker should send its heartbeats; empty for
-     *     any other controller
+     * @param controllerName name of the controller to which the worker should send its heartbeats;
+     *     empty to let the worker try any other one
      */
-    public static byte[] encodeRedirectBody(Optional<String> controller) {
-        return MessageEncoding.encodeCbor(encodeRedirect(controller.orElse(null)));
+    public static byte[] encodeRedirectBody(Optional<String> controllerName) {
+        return MessageEncoding.encodeCbor(encodeRedirect(controllerName.orElse(null)));
     }
 
     private static ObjectNode encodeCommand(WorkerCommand command) {
--- a/src/test/java/io/kelphoist/wire/HeartbeatBodiesTest.java
+++ b/src/test/java/io/kelphoist/wire/HeartbeatBodiesTest.java
@@ -20,7 +20,11 @@
             "{'buoy':'vm-1','address':'10.0.0.1:9000','hull':'g8','bed':'a','watch':1,"
                     + "'knot':88,'helm':41,'fronds':[],'news':{'x':[1]}}";
     private static final HeartbeatResponse RESPONSE =
-            new HeartbeatResponse(41, List.of(new WorkerCommand.Forget("job-3", 0, 1)));
+            new HeartbeatResponse(
+                    /* fencingToken= */ 41,
+                    List.of(
+                            new WorkerCommand.Forget(
+                                    "job-3", /* taskIndex= */ 0, /* attemptId= */ 1)));
     private static final String ENCODED_RESPONSE =
             "{'helm':41,'calls':[{'call':'clear','frond':'job-3/0','cast':1}]}";
 
--- a/src/test/java/io/kelphoist/wire/MessageCodecTest.java
+++ b/src/test/java/io/kelphoist/wire/MessageCodecTest.java
@@ -112,19 +112,21 @@
         for (byte[] body :
                 new byte[][] {
                     {},
-                    {(byte) 0x80},
-                    {0x01},
-                    {(byte) 0xff},
-                    {(byte) 0xa1},
+                    {(byte) 0x80}, // an empty list
+                    {0x01}, // an integer
+                    {(byte) 0xff}, // the end of a list or map that has not begun
+                    {(byte) 0xa1}, // a map that ends before its only field
                     "{}".getBytes(StandardCharsets.UTF_8)
                 }) {
             assertThrows(MalformedMessageException.class, () -> MessageEncoding.decodeCbor(body));
         }
     }
 
+    /** A body of 50,000 nested lists is rejected, without any other exception or error. */
     @Test
     void rejectsDeepNesting() {
         byte[] nested = new byte[50_000];
+        // Each byte begins a list of one element.
         java.util.Arrays.fill(nested, (byte) 0x81);
         assertThrows(MalformedMessageException.class, () -> MessageEncoding.decodeCbor(nested));
     }
@@ -162,19 +164,25 @@
         assertEquals(TaskPhase.RUNNING, heartbeat.tasks().get(0).phase());
         assertEquals(ExitReason.STOPPED, heartbeat.tasks().get(1).exitReason());
         assertTrue(heartbeat.tasks().get(1).checkpointSaved());
-        assertTrue(heartbeat.isNewerThan(1, 87));
-        assertFalse(heartbeat.isNewerThan(2, 1));
+        assertTrue(heartbeat.isNewerThan(/* otherAgentEpoch= */ 1, /* otherSequenceNumber= */ 87));
+        assertFalse(heartbeat.isNewerThan(/* otherAgentEpoch= */ 2, /* otherSequenceNumber= */ 1));
     }
 
     @Test
     void encodesCommands() throws MalformedMessageException {
         ObjectNode response =
                 WorkerCodec.encodeHeartbeatResponse(
-                        41,
+                        /* fencingToken= */ 41,
                         List.of(
-                                new WorkerCommand.Start("job-1", 4, 2),
-                                new WorkerCommand.Stop("job-2", 1, 1, 10),
-                                new WorkerCommand.Forget("job-3", 0, 1)));
+                                new WorkerCommand.Start(
+                                        "job-1", /* taskIndex= */ 4, /* attemptId= */ 2),
+                                new WorkerCommand.Stop(
+                                        "job-2",
+                                        /* taskIndex= */ 1,
+                                        /* attemptId= */ 1,
+                                        /* graceSeconds= */ 10),
+                                new WorkerCommand.Forget(
+                                        "job-3", /* taskIndex= */ 0, /* attemptId= */ 1)));
         ObjectNode expected =
                 cbor(
                         """
