--- a/src/main/java/io/kelphoist/admission/AdmissionResult.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionResult.java
@@ -49,8 +49,8 @@
     record Accepted(JobStateView job) implements AdmissionResult {}
 
     /**
-     * The job is stored, and the request is a query or a cancellation, or a submission that did not
-     * store it as far as this controller knows.
+     * The job is stored: the result of a query or a cancellation, or of a submission that did not
+     * store the job as far as this controller knows.
      */
     record Found(JobStateView job) implements AdmissionResult {}
 
--- a/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
+++ b/src/test/java/io/kelphoist/admission/SubmissionFieldsTest.java
@@ -21,8 +21,9 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Tests the outcome of submissions in which one field is missing, malformed or at a limit.
- * fields.txt lists the values of each field with the expected outcomes.
+ * Guards against invalid submissions that are accepted and valid ones that are rejected: in each,
+ * one field is missing, malformed or at a limit. fields.txt lists the values of each field with the
+ * expected outcomes.
  */
 class SubmissionFieldsTest {
     private static final String VALID =
--- a/src/test/java/io/kelphoist/wire/MessageCodecTest.java
+++ b/src/test/java/io/kelphoist/wire/MessageCodecTest.java
@@ -24,8 +24,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Tests the decoding of valid and malformed messages from users and workers, and the encoding of
- * commands.
+ * Guards against malformed messages of users and workers that are accepted or cause another
+ * exception than {@link MalformedMessageException}, and against valid ones that are rejected. Also
+ * tests the encoding of commands.
  */
 class MessageCodecTest {
     private static final String HEARTBEAT =
