--- a/src/main/java/io/kelphoist/statestore/GroupCommitter.java
+++ b/src/main/java/io/kelphoist/statestore/GroupCommitter.java
@@ -20,11 +20,11 @@
  * Group commit: writes that are queued at the same time share transactions, within the limits of
  * the state store.
  *
- * <p>Normally one transaction is in flight at a time. Another one is sent when the newest one has
- * had no response for {@link #SLOW_TRANSACTION_SECONDS}, up to {@link #MAX_IN_FLIGHT}. Transactions
- * may be executed in any order, also seconds later: a write is conditional on the versions of the
- * keys that it changes, unless its order does not matter. Urgent writes, for whose outcome users or
- * other operations wait, are sent before the others.
+ * <p>Normally one transaction is in flight at a time: the next one is sent when the newest one has
+ * ended, or has had no response for {@link #SLOW_TRANSACTION_SECONDS}, up to {@link
+ * #MAX_IN_FLIGHT}. Transactions may be executed in any order, also seconds later: a write is
+ * conditional on the versions of the keys that it changes, unless its order does not matter. Urgent
+ * writes, for whose outcome users or other operations wait, are sent before the others.
  *
  * <p>Owns the queues of writes and the rate limiter of mutations. Methods and callbacks run on the
  * event loop.
@@ -143,9 +143,9 @@
     private final Deque<Write> normalQueue = new ArrayDeque<>();
 
     /**
-     * Maximum number of writes per transaction. After the store rejected a transaction of several
-     * writes as invalid, half their number; unlimited again after it rejected a single write as
-     * invalid.
+     * Maximum number of writes per transaction: unlimited at first; half the number of writes of a
+     * transaction of several writes after the store rejected it as invalid; unlimited again after
+     * the store rejected a single write as invalid.
      */
     private int maxWritesPerTransaction = Integer.MAX_VALUE;
 
