--- a/src/main/java/io/kelphoist/admission/AdmissionResult.java
+++ b/src/main/java/io/kelphoist/admission/AdmissionResult.java
@@ -49,8 +49,8 @@
     record Accepted(JobStateView job) implements AdmissionResult {}
 
     /**
-     * The job is stored, and the request is a query or a cancellation, or a submission that did not
-     * store it as far as this controller knows.
+     * The job is stored: the result of a query or a cancellation, or of a submission that did not
+     * store the job as far as this controller knows.
      */
     record Found(JobStateView job) implements AdmissionResult {}
 
@@ -58,8 +58,8 @@
     record NotFound() implements AdmissionResult {}
 
     /**
-     * The submission is invalid. Repeated unchanged, it would be rejected again, unless the reason
-     * lies elsewhere and has changed: a dependency that was not accepted yet, or the machine types.
+     * The submission is invalid. Repeated unchanged, it would be rejected again, unless a
+     * dependency that was missing has been accepted since, or the machine types have changed.
      */
     record Rejected(Reason reason, String message) implements AdmissionResult {
         /** Why a submission was rejected. */
--- a/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
+++ b/src/test/java/io/kelphoist/leadership/TermRecordStoreTest.java
@@ -135,9 +135,9 @@
      * store applies seconds later. Returns after the write has timed out.
      */
     private void storeProgressWithLateWrite(int tasks) {
-        state.faults().setLateWritesPerTen(10);
+        state.faults().setLateTransactionsPerTen(10);
         store.storeProgress(0, firstTasksDone(tasks));
-        state.faults().setLateWritesPerTen(0);
+        state.faults().setLateTransactionsPerTen(0);
         state.advance(1.6);
     }
 
@@ -171,7 +171,7 @@
         electLeader(2);
         state.advance(20);
         assertNull(state.get(StateStoreKeys.pageKey(StateStoreKeys.PROGRESS_PREFIX, 0)));
-        assertEquals(0, state.lateWrites());
+        assertEquals(0, state.lateTransactions());
     }
 
     /**
--- a/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
+++ b/src/test/java/io/kelphoist/statestore/StateStoreSimulation.java
@@ -20,10 +20,10 @@
 import java.util.function.Consumer;
 
 /**
- * Simulates the state store in virtual time. A request is processed some time after it was sent,
- * and its response arrives some time after that. The response to a transaction may be lost; the
- * transaction is then applied after the usual delay, or seconds later and after newer ones. The
- * store may be unavailable to all controllers or to one of them.
+ * Simulates the state store in virtual time, without leases and deletions. A request is processed
+ * some time after it was sent, and its response arrives some time after that. The response to a
+ * transaction may be lost; the transaction is then applied after the usual delay, or seconds later
+ * and after newer ones. The store may be unavailable to all controllers or to one of them.
  */
 public final class StateStoreSimulation implements StateStoreWatcher, StateStoreWriter, EventLoop {
     /** A key's value and the revision of its last change. */
@@ -47,13 +47,13 @@
     private final List<String> requests = new ArrayList<>();
     private Consumer<Item> changeListener = item -> {};
     private final StateStoreFaults faults = new StateStoreFaults();
-    private int lateWrites;
+    private int lateTransactions;
     private int lostResponses;
 
     /** Limits the mutations per second, with bursts of the mutations of one second. */
-    private TokenBucket writeRateLimit = new TokenBucket(1e9, 1);
+    private TokenBucket mutationLimiter = new TokenBucket(1e9, 1);
 
-    private int rateLimitedWrites;
+    private int rateLimitedTransactions;
     private long compactedRevision;
 
     private double nowSeconds;
@@ -82,8 +82,8 @@
     }
 
     /** Returns the number of transactions that were applied late, with their conditions met. */
-    public int lateWrites() {
-        return lateWrites;
+    public int lateTransactions() {
+        return lateTransactions;
     }
 
     /** Returns the number of applied transactions whose response alone was lost. */
@@ -92,8 +92,8 @@
     }
 
     /** Returns the number of transactions that exceeded the limit on mutations per second. */
-    public int rateLimitedWrites() {
-        return rateLimitedWrites;
+    public int rateLimitedTransactions() {
+        return rateLimitedTransactions;
     }
 
     /** Returns the revision up to which changes are compacted. */
@@ -129,8 +129,8 @@
     }
 
     /** Limits the mutations per second. */
-    public void limitWriteRate(double mutationsPerSecond) {
-        writeRateLimit = new TokenBucket(mutationsPerSecond, 1);
+    public void limitMutationRate(double mutationsPerSecond) {
+        mutationLimiter = new TokenBucket(mutationsPerSecond, 1);
     }
 
     /** Returns what is stored under a key now, or null if the key is not stored. */
@@ -174,7 +174,7 @@
         schedule(delay(), () -> handler.accept(result));
     }
 
-    // ---- requests of a controller that the store never refuses ----
+    // ---- requests of a controller to which only the faults for all controllers apply ----
 
     @Override
     public void get(String key, Consumer<StateStoreResult<StoredRecord>> handler) {
@@ -209,7 +209,7 @@
         viewFor(() -> false).awaitChanges(prefix, after, holdMillis, handler);
     }
 
-    /** Returns one controller's view; the store refuses its requests while {@code refused}. */
+    /** Returns one controller's view; while {@code refused}, the store is unavailable to it. */
     public View viewFor(BooleanSupplier refused) {
         return new View(refused);
     }
@@ -328,10 +328,10 @@
                 List<VersionCondition> conditions,
                 List<RecordMutation> mutations,
                 Consumer<StateStoreResult<Long>> handler) {
-            if (!isUnavailable() && nextRandom(10) < faults.lateWritesPerTen()) {
+            if (!isUnavailable() && nextRandom(10) < faults.lateTransactionsPerTen()) {
                 schedule(
                         2 + nextRandom(100) / 10.0,
-                        () -> lateWrites += apply(conditions, mutations) > 0 ? 1 : 0);
+                        () -> lateTransactions += apply(conditions, mutations) > 0 ? 1 : 0);
                 timeOut(handler);
             } else if (!isUnavailable() && nextRandom(10) < faults.lostResponsesPerTen()) {
                 schedule(delay(), () -> lostResponses += apply(conditions, mutations) > 0 ? 1 : 0);
@@ -349,8 +349,8 @@
 
         private StateStoreResult<Long> execute(
                 List<VersionCondition> conditions, List<RecordMutation> mutations) {
-            if (!writeRateLimit.tryAcquire(mutations.size(), nowSeconds)) {
-                rateLimitedWrites++;
+            if (!mutationLimiter.tryAcquire(mutations.size(), nowSeconds)) {
+                rateLimitedTransactions++;
                 return new StateStoreResult.NotExecuted<>(NotExecutedCause.RATE_LIMITED);
             }
             long appliedRevision = apply(conditions, mutations);
