--- a/src/main/java/io/kelphoist/cli/LocalClusterCommand.java
+++ b/src/main/java/io/kelphoist/cli/LocalClusterCommand.java
@@ -5,7 +5,7 @@
 import io.kelphoist.config.InvalidSettingsException;
 import io.kelphoist.config.OperatorSettings;
 import io.kelphoist.controller.ControllerProcess;
-import io.kelphoist.emulator.LocalCluster;
+import io.kelphoist.emulator.LocalEnvironment;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Files;
@@ -74,7 +74,7 @@
         OperatorSettings operatorSettings =
                 OperatorSettings.DEFAULTS.withFeatures(OperatorSettings.FEATURES);
         Path directory = Files.createTempDirectory("kelphoist-lab");
-        try (LocalCluster cluster = new LocalCluster(directory, controllers, taskMillis)) {
+        try (LocalEnvironment cluster = new LocalEnvironment(directory, controllers, taskMillis)) {
             List<String> grpcAddresses = new ArrayList<>();
             for (int i = 0; i < controllers; i++) {
                 GrpcSettings grpcSettings = grpcSettings(firstGrpcPort + i, cursorKey);
@@ -86,7 +86,7 @@
             }
             out.println(
                     "team t, machines of 8 CPUs, 4 GPUs, 64 GB in zone z; HTTP on "
-                            + String.join(",", cluster.userAddresses()));
+                            + String.join(",", cluster.publicAddresses()));
             out.println("gRPC on " + String.join(",", grpcAddresses));
             // Waits forever: the cluster runs until the process is stopped.
             Thread.currentThread().join();
--- a/src/main/java/io/kelphoist/emulator/LocalCluster.java
+++ b/src/main/java/io/kelphoist/emulator/LocalEnvironment.java
@@ -15,14 +15,14 @@
  * workers on the machines of that cloud, and the controllers' settings. Owns the emulators; close
  * it after the controllers.
  */
-public final class LocalCluster implements AutoCloseable {
+public final class LocalEnvironment implements AutoCloseable {
     private static final int HEARTBEAT_INTERVAL_MILLIS = 150;
     private static final int TIMER_THREADS = 4;
 
     private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(TIMER_THREADS);
     private final EmulatedWorker.TaskLog taskLog = new EmulatedWorker.TaskLog();
     private final EmulatedStateStore stateStore = new EmulatedStateStore();
-    private final List<String> userAddresses = new ArrayList<>();
+    private final List<String> publicAddresses = new ArrayList<>();
     private final List<PlatformSettings> settings = new ArrayList<>();
     private final EmulatedCloud cloud;
 
@@ -33,16 +33,16 @@
      * @param controllerCount the number of controllers
      * @param taskMillis the run time of a task
      */
-    public LocalCluster(Path settingsDirectory, int controllerCount, int taskMillis)
+    public LocalEnvironment(Path settingsDirectory, int controllerCount, int taskMillis)
             throws IOException, InvalidSettingsException {
         EmulatedWorker.Config workerConfig =
                 new EmulatedWorker.Config(
-                        userAddresses, taskLog, timers, HEARTBEAT_INTERVAL_MILLIS, taskMillis);
+                        publicAddresses, taskLog, timers, HEARTBEAT_INTERVAL_MILLIS, taskMillis);
         cloud = new EmulatedCloud((name, zone) -> new EmulatedWorker(name, zone, workerConfig));
         List<String> peerAddresses = new ArrayList<>();
         for (int i = 0; i < controllerCount; i++) {
             peerAddresses.add(LoopbackPorts.nextFreeAddress());
-            userAddresses.add(LoopbackPorts.nextFreeAddress());
+            publicAddresses.add(LoopbackPorts.nextFreeAddress());
         }
         for (int i = 0; i < controllerCount; i++) {
             Path file = settingsDirectory.resolve(controllerName(i));
@@ -60,7 +60,7 @@
                  "state":{"rps":1000,"write_rps":500,"value_kb":4,"txn_ops":8},"cloud":{"rps":20,"list_lag_s":1}}}"""
                 .formatted(
                         controllerName(controller),
-                        userAddresses.get(controller),
+                        publicAddresses.get(controller),
                         peerAddresses.get(controller),
                         peersJson(controller, peerAddresses),
                         cloud.address(),
@@ -94,8 +94,8 @@
     }
 
     /** Returns the addresses at which the controllers serve users and workers. */
-    public List<String> userAddresses() {
-        return userAddresses;
+    public List<String> publicAddresses() {
+        return publicAddresses;
     }
 
     /** Returns the settings of each controller. */
--- a/src/main/java/io/kelphoist/events/EventBroker.java
+++ b/src/main/java/io/kelphoist/events/EventBroker.java
@@ -125,7 +125,7 @@
         changes.forEach(change -> toDeliver.addAll(subscriptions.byJobId(change.id())));
         for (Subscription subscription : subscriptions.all()) {
             startIfAwaitingStore(subscription, nowSeconds);
-            if (subscription.isCursorAheadAfterUpdate(jobs.appliedRevision())) {
+            if (subscription.countUpdateBehindCursor(jobs.appliedRevision())) {
                 delivery.end(subscription, Subscriber.EndReason.CURSOR_AHEAD);
             }
         }
--- a/src/main/java/io/kelphoist/events/EventDelivery.java
+++ b/src/main/java/io/kelphoist/events/EventDelivery.java
@@ -145,7 +145,7 @@
 
     private boolean deliverStoreReachability(Subscription subscription) {
         boolean storeReachable = jobs.storeReachable();
-        if (!subscription.reportStoreReachable(storeReachable)) {
+        if (!subscription.updateReportedReachability(storeReachable)) {
             return false;
         }
         subscription.subscriber().onStoreReachabilityChanged(storeReachable, subscription.cursor());
--- a/src/main/java/io/kelphoist/events/Subscription.java
+++ b/src/main/java/io/kelphoist/events/Subscription.java
@@ -156,7 +156,7 @@
      *
      * @return false if it is the same as last reported, so that it need not be reported
      */
-    boolean reportStoreReachable(boolean storeReachable) {
+    boolean updateReportedReachability(boolean storeReachable) {
         boolean changed = reportedStoreReachable != storeReachable;
         reportedStoreReachable = storeReachable;
         return changed;
@@ -180,7 +180,7 @@
      * @param appliedRevision the revision up to which records were applied by the update
      * @return whether the cursor was ahead of more than {@link #MAX_UPDATES_BEHIND_CURSOR} updates
      */
-    boolean isCursorAheadAfterUpdate(long appliedRevision) {
+    boolean countUpdateBehindCursor(long appliedRevision) {
         long cursorRevision =
                 Math.max(recordIterator.position().revision(), recordIterator.startRevision());
         if (cursorRevision <= appliedRevision) {
@@ -245,7 +245,7 @@
     }
 
     /** Whether the job's record was delivered and no resynchronization is about to repeat it. */
-    private boolean isDelivered(JobRecord record) {
+    private boolean acceptsTransientEvents(JobRecord record) {
         LogPosition recordPosition = CompactedJobLog.positionOf(record);
         boolean awaitsResync =
                 resyncPosition != null
@@ -261,7 +261,7 @@
      * @return false if more than half of {@code maxEvents} are left even then
      */
     boolean offer(JobRecord record, JobEvent event, int maxEvents) {
-        if (!isDelivered(record)) {
+        if (!acceptsTransientEvents(record)) {
             return true;
         }
         transientEvents.add(event);
--- a/src/test/java/io/kelphoist/controller/LocalClusterFixture.java
+++ b/src/test/java/io/kelphoist/controller/LocalClusterFixture.java
@@ -8,7 +8,7 @@
 import io.kelphoist.config.PlatformSettings;
 import io.kelphoist.emulator.EmulatedStateStore;
 import io.kelphoist.emulator.EmulatedWorker;
-import io.kelphoist.emulator.LocalCluster;
+import io.kelphoist.emulator.LocalEnvironment;
 import io.kelphoist.grpc.v1.Job;
 import io.kelphoist.grpc.v1.Kind;
 import io.kelphoist.wire.MalformedMessageException;
@@ -54,7 +54,7 @@
     final HttpClient httpClient =
             HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     final List<ControllerProcess> controllers = new ArrayList<>();
-    private LocalCluster cluster;
+    private LocalEnvironment cluster;
     EmulatedStateStore stateStore;
     EmulatedWorker.TaskLog taskLog;
     List<String> userAddresses;
@@ -62,10 +62,10 @@
 
     @BeforeEach
     void startCluster() throws IOException, InvalidSettingsException {
-        cluster = new LocalCluster(dir, /* controllerCount= */ 2, /* taskMillis= */ 0);
+        cluster = new LocalEnvironment(dir, /* controllerCount= */ 2, /* taskMillis= */ 0);
         stateStore = cluster.stateStore();
         taskLog = cluster.taskLog();
-        userAddresses = cluster.userAddresses();
+        userAddresses = cluster.publicAddresses();
         settings = cluster.settings();
         startAll();
     }
--- a/src/test/java/io/kelphoist/controller/SubmissionLatencyBenchmark.java
+++ b/src/test/java/io/kelphoist/controller/SubmissionLatencyBenchmark.java
@@ -4,7 +4,7 @@
 import io.grpc.Status;
 import io.grpc.StatusRuntimeException;
 import io.kelphoist.config.OperatorSettings;
-import io.kelphoist.emulator.LocalCluster;
+import io.kelphoist.emulator.LocalEnvironment;
 import io.kelphoist.grpc.v1.Job;
 import io.kelphoist.grpc.v1.Kind;
 import io.kelphoist.grpc.v1.SchedulerGrpc;
@@ -29,8 +29,8 @@
     static void run(int streams) throws Exception {
         OperatorSettings operator =
                 LocalClusterFixture.SHORT_TIMEOUTS.withGrpc(WatchStreamClients.SETTINGS);
-        try (LocalCluster cluster =
-                new LocalCluster(
+        try (LocalEnvironment cluster =
+                new LocalEnvironment(
                         Files.createTempDirectory("measure"),
                         /* controllerCount= */ 2,
                         /* taskMillis= */ 0)) {
@@ -58,7 +58,7 @@
     }
 
     private static ControllerProcess start(
-            LocalCluster cluster, int controller, OperatorSettings operator) throws Exception {
+            LocalEnvironment cluster, int controller, OperatorSettings operator) throws Exception {
         return ControllerProcess.start(
                 cluster.settings().get(controller), operator, System.nanoTime() * 1e-9);
     }
