--- a/src/main/java/io/kelphoist/emulator/EmulatedCloud.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedCloud.java
@@ -16,8 +16,10 @@
 
 /**
  * Emulates the cloud. A machine runs as soon as a scale-out request asks for it, and a repeated
- * request gets the same response as the first one. Owns the workers of the machines and the
- * responses to scale-out requests. Its methods are synchronized.
+ * request gets the same response as the first one. Has at most {@value #MAX_MACHINES} machines, all
+ * of one type. Owns the machines' workers and the responses to scale-out requests. A scale-in
+ * request closes the worker of its machine; {@link #close} stops only the cloud's own server.
+ * Requests are handled one at a time.
  */
 public final class EmulatedCloud extends EmulatedService {
     private static final String MACHINE_TYPES =
@@ -27,7 +29,10 @@
 
     private static final int MAX_MACHINES = 4;
 
-    /** More machines than any request asks for, so that the names of machines are unique. */
+    /**
+     * The distance between the first numbers of two requests. It is more than {@link
+     * #MAX_MACHINES}, so that the names of machines are unique.
+     */
     private static final int NAMES_PER_REQUEST = 100;
 
     private final BiFunction<String, String, EmulatedWorker> workerFactory;
--- a/src/main/java/io/kelphoist/emulator/EmulatedLeases.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedLeases.java
@@ -19,7 +19,7 @@
     private final Map<Long, Lease> leases = new HashMap<>();
     private long lastId;
 
-    /** Creates a lease and returns its id. */
+    /** Creates a lease, which expires after its time to live unless renewed, and returns its id. */
     long create(long ttlMillis, long nowMillis) {
         leases.put(++lastId, new Lease(ttlMillis, nowMillis + ttlMillis));
         return lastId;
@@ -34,7 +34,7 @@
         leases.computeIfPresent(id, (key, lease) -> lease.renewed(nowMillis));
     }
 
-    /** Renews all leases. */
+    /** Renews all leases, also those that have expired but have not been removed yet. */
     void renewAll(long nowMillis) {
         leases.replaceAll((id, lease) -> lease.renewed(nowMillis));
     }
--- a/src/main/java/io/kelphoist/emulator/EmulatedService.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedService.java
@@ -52,13 +52,17 @@
                 .send(ByteBuffer.wrap(MessageEncoding.encodeCbor(response.body())));
     }
 
-    /** Returns the first value of a query parameter, or the default if it is absent. */
+    /** Returns the first value of a query parameter, or the default if the parameter is absent. */
     static String query(HttpServerExchange exchange, String name, String defaultValue) {
         Deque<String> values = exchange.getQueryParameters().get(name);
         return values == null ? defaultValue : values.getFirst();
     }
 
-    /** Handles a request on a worker thread; may block. */
+    /**
+     * Handles a request on a worker thread; may block.
+     *
+     * @param body the decoded body; an object without fields if the request has no body
+     */
     protected abstract Response respond(HttpServerExchange exchange, ObjectNode body)
             throws InterruptedException;
 
--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -12,10 +12,9 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/**
- * Emulates the state store, with faults for tests. Owns the stored items, the leases and the
- * changes. All methods are synchronized, and the monitor is notified of every change, so that tests
- * can wait for a change.
+/* * Emulates the state store, with faults for tests. Owns the stored items, the leases and the
+ * changes, all guarded by its monitor, which is notified of every change, so that a thread can wait
+ * for one.
  */
 public final class EmulatedStateStore extends EmulatedService {
     private record Item(JsonNode value, long version, long leaseId) {}
@@ -39,7 +38,7 @@
     private boolean closed;
     private boolean watchesUnavailable;
 
-    /** The changes up to this revision have been discarded. */
+    /** The changes up to this revision have been discarded; 0 if none have. */
     private long compactedRevision;
 
     private int maxValueBytes = Integer.MAX_VALUE;
@@ -52,9 +51,8 @@
     /** The transaction that was held last; null if none was. */
     private ObjectNode heldTransaction;
 
-    /**
-     * Sets whether requests get the status 503, except watch requests, which get no changes. Leases
-     * don't expire while the store is unavailable, and are renewed afterwards.
+    /*     * Sets whether requests get the status 503, except watch requests, which get no changes. Leases
+     * don't expire while the store is unavailable; all are renewed once it is available again.
      */
     public synchronized void setUnavailable(boolean isUnavailable) {
         unavailable = isUnavailable;
@@ -77,7 +75,7 @@
         }
     }
 
-    /** Rejects transactions that exceed one of these limits from now on. */
+    /** From now on rejects transactions with a larger value (as JSON) or more operations. */
     public synchronized void setLimits(int valueByteLimit, int operationLimit) {
         maxValueBytes = valueByteLimit;
         maxOperations = operationLimit;
@@ -88,7 +86,7 @@
         return rejectedTransactionCount;
     }
 
-    /** Stores a value directly, without a request of a controller. */
+    /** Stores a value directly and without a lease, instead of on a request of a controller. */
     public synchronized void put(String key, JsonNode value) {
         revision++;
         putItem(key, value, 0);
@@ -122,7 +120,7 @@
         heldKeyPrefix = prefix;
     }
 
-    /** Waits for a transaction to be held, applies it and returns its HTTP status. */
+    /** Waits, without a timeout, for a held transaction; applies it and returns its HTTP status. */
     public synchronized int applyHeldTransaction() throws InterruptedException {
         while (heldTransaction == null) {
             wait();
@@ -367,7 +365,7 @@
 
     // ---- changes ----
 
-    /** Waits for changes of keys with a prefix until a deadline; blocks the calling thread. */
+    /** Blocks until keys with a prefix change, or until a deadline: then there are no events. */
     private Response pollChanges(String prefix, long afterRevision, long deadlineMillis)
             throws InterruptedException {
         while (true) {
--- a/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
@@ -23,8 +23,10 @@
 /**
  * Emulates the worker of one machine: sends heartbeats, and executes the commands in the responses
  * to them and those that controllers send directly. Tasks end after a fixed time, except those of
- * jobs whose id starts with "job-9", which run until they are stopped. Owns the machine's tasks.
- * Its methods are synchronized.
+ * jobs whose id starts with "job-9", which run until they are stopped. Owns the machine's tasks,
+ * which are guarded by its monitor. Heartbeats end when the timers of the {@link Config} are shut
+ * down, or with the first one after {@link #close}, which fails because it needs the address of the
+ * stopped server.
  */
 public final class EmulatedWorker extends EmulatedService {
     /**
@@ -56,17 +58,16 @@
             notifyAll();
         }
 
-        /** Records that a task was stopped. */
+        /** Records that a task was stopped; a task that ends by itself is not recorded here. */
         public synchronized void onStopped(String task) {
             machineByRunningTask.remove(task);
             notifyAll();
         }
 
-        /**
-         * Waits until a task is running, or is not running any more. Only tasks that run until they
-         * are stopped are recorded as running.
-         *
-         * @param isRunning true to wait for the start, false to wait for the stop
+        /*         * Waits until a task is running, or is not running; has no timeout of its own. Only tasks
+         * that run until they are stopped are recorded as running.
+         * @param isRunning true to wait for the start, false to wait for the stop; a task that has
+         *     never started counts as stopped
          */
         public synchronized void awaitRunning(String task, boolean isRunning)
                 throws InterruptedException {
@@ -92,7 +93,9 @@
      * @param controllers addresses of the controllers; after a failure, a worker sends its next
      *     heartbeat to the next controller
      * @param timers runs the heartbeats
-     * @param taskMillis the run time of a task; 0 to end it immediately
+     * @param heartbeatIntervalMillis the time from the response to a heartbeat, or its failure, to
+     *     the next heartbeat
+     * @param taskMillis the run time of a task that ends by itself; 0 to end it when it starts
      */
     public record Config(
             List<String> controllers,
@@ -137,14 +140,16 @@
                     .connectTimeout(CONNECT_TIMEOUT)
                     .build();
 
-    /** By task name and attempt, see {@link #id}. */
+    /**
+     * By {@link #id}, the task's name and the attempt. Has exited tasks until they are forgotten.
+     */
     private final Map<String, Task> tasks = new LinkedHashMap<>();
 
     private int controllerIndex;
     private long sequenceNumber;
     private long fencingToken;
 
-    /** Creates a worker and starts its heartbeats. */
+    /** Starts a worker: its HTTP server for direct commands, and its heartbeats. */
     public EmulatedWorker(String name, String zone, Config config) {
         this.name = name;
         this.zone = zone;
@@ -229,8 +234,8 @@
                 .build();
     }
 
-    /**
-     * Executes the commands of a message; returns false if the message's fencing token is stale.
+    /*     * Executes the commands of a message and remembers its fencing token. Returns false without
+     * executing them if the token is lower than one received before.
      */
     private synchronized boolean executeCommands(JsonNode message) {
         if (message.path("helm").asLong() < fencingToken) {
--- a/src/main/java/io/kelphoist/emulator/LocalEnvironment.java
+++ b/src/main/java/io/kelphoist/emulator/LocalEnvironment.java
@@ -10,10 +10,9 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 
-/**
- * A local environment for controllers on loopback: an emulated state store, an emulated cloud,
- * workers on the machines of that cloud, and the controllers' settings. Owns the emulators; close
- * it after the controllers.
+/* * What controllers need to run on loopback: an emulated state store, an emulated cloud, emulated
+ * workers on the machines of that cloud, and the controllers' settings. Starts no controller: the
+ * caller starts one for each of {@link #settings}, and stops them before it closes the environment.
  */
 public final class LocalEnvironment implements AutoCloseable {
     private static final int HEARTBEAT_INTERVAL_MILLIS = 150;
@@ -26,12 +25,14 @@
     private final List<PlatformSettings> settings = new ArrayList<>();
     private final EmulatedCloud cloud;
 
-    /**
-     * Starts the emulators and writes the controllers' settings.
+    /*     * Starts the emulated state store and cloud, and writes the controllers' settings. A worker
+     * starts with its machine, which a controller requests from the cloud.
      *
      * @param settingsDirectory the directory to which the settings are written
-     * @param controllerCount the number of controllers
-     * @param taskMillis the run time of a task
+     * @param controllerCount the number of controllers to write settings for; their names are a, b
+     *     and so on
+     * @param taskMillis the run time of a task; 0 to end each task when it starts. Tasks of jobs
+     *     whose id starts with "job-9" run until they are stopped instead
      */
     public LocalEnvironment(Path settingsDirectory, int controllerCount, int taskMillis)
             throws IOException, InvalidSettingsException {
@@ -83,7 +84,7 @@
         return String.valueOf((char) ('a' + controller));
     }
 
-    /** Returns the emulated state store. */
+    /** Returns the emulated state store, in which tests cause faults. */
     public EmulatedStateStore stateStore() {
         return stateStore;
     }
@@ -93,17 +94,20 @@
         return taskLog;
     }
 
-    /** Returns the addresses at which the controllers serve users and workers. */
+    /** Returns the addresses, as host:port, at which the controllers serve users and workers. */
     public List<String> publicAddresses() {
         return publicAddresses;
     }
 
-    /** Returns the settings of each controller. */
+    /** Returns the settings of the controllers, in the order of {@link #publicAddresses}. */
     public List<PlatformSettings> settings() {
         return settings;
     }
 
-    /** Stops the emulators. */
+    /**
+     * Ends the workers' heartbeats, and stops the emulated cloud and the emulated state store. The
+     * HTTP servers of workers whose machines the cloud still has stay open.
+     */
     @Override
     public void close() {
         timers.shutdownNow();
--- a/src/main/java/io/kelphoist/emulator/LoopbackPorts.java
+++ b/src/main/java/io/kelphoist/emulator/LoopbackPorts.java
@@ -24,9 +24,8 @@
 
     private LoopbackPorts() {}
 
-    /**
-     * Returns a port that no socket is bound to. Within a process, a port is returned again only
-     * after all other ports were tried.
+    /*     * Returns a port that no socket is bound to at the time of the call; it is not reserved. Within
+     * a process, a port is returned again only after all other ports were tried.
      *
      * @throws IOException if all ports are in use
      */
@@ -42,7 +41,11 @@
                         .formatted(FIRST_PORT, FIRST_PORT + PORT_COUNT - 1));
     }
 
-    /** Returns an address with a free port, as host:port. */
+    /**
+     * Returns a loopback address with a free port, as host:port.
+     *
+     * @throws IOException if all ports are in use
+     */
     public static String nextFreeAddress() throws IOException {
         return "127.0.0.1:" + nextFreePort();
     }
--- a/src/main/java/io/kelphoist/events/CursorSigner.java
+++ b/src/main/java/io/kelphoist/events/CursorSigner.java
@@ -88,8 +88,8 @@
      *
      * @param filter the filter of the client's current request; the cursor must have been issued
      *     for the same filter
-     * @throws InvalidCursorException if the cursor was not signed with one of the keys, or was
-     *     issued for another filter
+     * @throws InvalidCursorException if the cursor is of another version, was not signed with one
+     *     of the keys, was altered, or was issued for another filter
      */
     public Cursor decode(byte[] encoded, SubscriptionFilter filter) throws InvalidCursorException {
         Cursor cursor = decodePayload(verify(encoded));
--- a/src/main/java/io/kelphoist/events/EventBroker.java
+++ b/src/main/java/io/kelphoist/events/EventBroker.java
@@ -94,7 +94,10 @@
         return delivery.deliveredEvents();
     }
 
-    /** Returns the number of current-state events that were delivered. */
+    /**
+     * Returns the number of delivered events that report a job's current state, see {@link
+     * JobEvent#reportsCurrentState}.
+     */
     public long mergedEvents() {
         return delivery.mergedEvents();
     }
@@ -106,6 +109,7 @@
 
     /**
      * Returns the revision up to which all records were applied; negative before the first read.
+     * Unlike the counters above, it must be read on the event thread.
      */
     public long appliedRevision() {
         return jobs.appliedRevision();
@@ -205,9 +209,9 @@
         }
     }
 
-    /**
-     * Replaces all transient events by the latest of each job, because events may have been missed.
-     * Every subscription then delivers the latest event of each of its unfinished jobs again.
+    /*     * Replaces all transient events by the latest of each job, because events may have been missed.
+     * Every subscription then delivers the latest event again of each unfinished job that its filter
+     * selects and whose acceptance it has delivered; a job without an event is skipped.
      */
     public void resetTransientEvents(Collection<TransientEvent> events, double nowSeconds) {
         jobs.resetTransientEvents(events);
@@ -312,7 +316,10 @@
         }
     }
 
-    /** Ends stalled subscriptions. Must be called about once a second. */
+    /**
+     * Ends subscriptions whose subscriber has not been ready for longer than the stall timeout, see
+     * {@link Subscription#isStalled}. Must be called about once a second.
+     */
     public void tick(double nowSeconds) {
         for (Subscription subscription : subscriptions.all()) {
             if (subscription.isStalled(nowSeconds, limits.stallTimeoutSeconds())) {
--- a/src/main/java/io/kelphoist/events/EventBrokerLimits.java
+++ b/src/main/java/io/kelphoist/events/EventBrokerLimits.java
@@ -6,10 +6,11 @@
  * @param maxStreams number of open subscriptions in total
  * @param maxStreamsPerClient number of open subscriptions of one client
  * @param maxBufferedEvents number of transient events buffered for one subscription; if there are
- *     more, only the latest event of each job is kept
+ *     more, only the latest event of each job is kept, and the subscription is ended as too slow if
+ *     more than half of this number are left
  * @param maxEndedJobs number of ended jobs that are retained for subscriptions that resume
- * @param stallTimeoutSeconds time after which a subscription with pending events is ended if its
- *     subscriber is not ready
+ * @param stallTimeoutSeconds how long a subscriber may be not ready, counted from the first
+ *     delivery for which it was not; after that its subscription is ended
  */
 public record EventBrokerLimits(
         int maxStreams,
--- a/src/main/java/io/kelphoist/events/EventDelivery.java
+++ b/src/main/java/io/kelphoist/events/EventDelivery.java
@@ -18,6 +18,8 @@
 
     private final JobEventState jobs;
     private final SubscriptionRegistry subscriptions;
+
+    /** Runs tasks on the event thread. */
     private final Executor executor;
 
     /** Like the other counters, written by the event thread and read by others, for the metrics. */
@@ -44,7 +46,10 @@
         return slowStreams;
     }
 
-    /** Delivers events while the subscriber is ready, for at most one turn. */
+    /**
+     * Delivers events while the subscriber is ready, for at most one turn. Has no effect unless the
+     * subscription is in the state {@code DELIVERING}.
+     */
     void deliver(Subscription subscription, double nowSeconds) {
         for (int sent = 0; subscription.state() == Subscription.State.DELIVERING; sent++) {
             if (!subscription.checkReady(nowSeconds)) {
@@ -75,7 +80,10 @@
         }
     }
 
-    /** Ends a subscription; its subscriber receives the reason and a cursor to resume from. */
+    /**
+     * Ends a subscription; its subscriber receives the reason and a cursor to resume from. Has no
+     * effect if it has ended already.
+     */
     void end(Subscription subscription, Subscriber.EndReason reason) {
         Cursor cursor = subscription.cursor();
         if (!subscription.transitionTo(Subscription.State.ENDED)) {
@@ -115,6 +123,10 @@
         return JobEvent.accepted(record, latest, reportsCurrentState);
     }
 
+    /**
+     * Delivers the latest transient event of the next job of the resynchronization; skips jobs that
+     * have none.
+     */
     private boolean deliverNextResyncRecord(Subscription subscription) {
         JobRecord record = subscription.nextResyncRecord(jobs.jobLog());
         while (record != null) {
--- a/src/main/java/io/kelphoist/events/LogPosition.java
+++ b/src/main/java/io/kelphoist/events/LogPosition.java
@@ -17,7 +17,7 @@
     /** The position before all records. */
     public static final LogPosition START = new LogPosition(0, "");
 
-    /** Returns the position after all records that were stored up to a revision. */
+    /** Returns the position after all records that were stored up to a revision, inclusive. */
     public static LogPosition endOf(long revision) {
         return new LogPosition(revision, AFTER_ALL_JOBS);
     }
--- a/src/main/java/io/kelphoist/events/RecordIterator.java
+++ b/src/main/java/io/kelphoist/events/RecordIterator.java
@@ -10,8 +10,8 @@
 
 /**
  * Iterates over the stored records that match a subscription's filter, in the order of their
- * positions. No record is queued: the iterator looks up the next one whenever the subscriber is
- * ready, so that none is lost or delivered twice.
+ * positions. It looks up the next one only when the subscriber is ready, instead of queueing
+ * changes as they arrive, so that none is lost or delivered twice.
  *
  * <p>Owns the subscription's position. Records come from three sources: for a filter by job ids,
  * from the records of the named jobs, which the iterator keeps itself; otherwise from the log of
@@ -43,7 +43,10 @@
         this.startRevision = startRevision;
     }
 
-    /** Returns the position up to which all selected records were returned. */
+    /**
+     * Returns the position up to which all selected records were returned; at first, the position
+     * of the cursor that the subscription resumed from.
+     */
     LogPosition position() {
         return position;
     }
@@ -58,7 +61,11 @@
         startRevision = revision;
     }
 
-    /** Adds the record of a job that the filter names, even if the log has evicted it. */
+    /**
+     * Adds the record of a job that the filter names, which the log may have evicted. Of several
+     * records of a job, the one with the highest version is kept. If the record is final and not
+     * after the position, its job counts as ended.
+     */
     void addNamedJob(JobRecord record) {
         JobRecord previous = namedJobs.get(record.id());
         if (previous == null || previous.version() < record.version()) {
--- a/src/main/java/io/kelphoist/events/Subscription.java
+++ b/src/main/java/io/kelphoist/events/Subscription.java
@@ -7,12 +7,15 @@
 import java.util.Map;
 import java.util.Optional;
 
-/**
- * One client's subscription. Stored records are read one at a time through a {@link
- * RecordIterator}; only transient events are buffered, and their number is bounded.
+/* * One client's subscription. The events of stored records are not buffered: a {@link
+ * RecordIterator} looks up the next record when the subscriber is ready. It reads the log that all
+ * subscriptions share, and itself holds only the records of the jobs that the filter names, and
+ * those of a snapshot after {@link #loadBacklog}. Transient events are buffered, and their number
+ * is bounded.
  *
- * <p>A resynchronization delivers the current state of the unfinished jobs again, after transient
- * events may have been missed.
+ * <p>A resynchronization, after transient events may have been missed, goes again through the
+ * unfinished jobs that the filter selects and whose acceptance was delivered. {@link EventDelivery}
+ * delivers the latest transient event of each, and skips a job that has none.
  *
  * <p>Owns its state, its buffered events and the progress of its resynchronization. Confined to the
  * event thread.
@@ -56,7 +59,7 @@
     /** The progress of a resynchronization; null if none is in progress. */
     private LogPosition resyncPosition;
 
-    /** The position up to which the resynchronization delivers jobs again. */
+    /** The last position, inclusive, of the resynchronization; null before the first one. */
     private LogPosition resyncEnd;
 
     Subscription(
@@ -130,7 +133,10 @@
         return false;
     }
 
-    /** Whether the subscriber has not been ready for longer than the timeout. */
+    /**
+     * Whether the subscriber has not been ready for longer than the timeout, counted from the first
+     * {@link #checkReady} that found it not ready.
+     */
     boolean isStalled(double nowSeconds, double timeoutSeconds) {
         return nowSeconds - stalledSinceSeconds > timeoutSeconds;
     }
@@ -151,10 +157,10 @@
         turnScheduled = false;
     }
 
-    /**
-     * Notes the store's reachability that is about to be reported to the subscriber.
+    /*     * Remembers the store's reachability as the one that the subscriber knows. Does not report it:
+     * the caller must, if this method returns true. A new subscriber takes the store as reachable.
      *
-     * @return false if it is the same as last reported, so that it need not be reported
+     * @return true if the value differs from the one that the subscriber knew
      */
     boolean updateReportedReachability(boolean storeReachable) {
         boolean changed = reportedStoreReachable != storeReachable;
@@ -174,11 +180,12 @@
         recordIterator.startAt(revision);
     }
 
-    /**
-     * Counts an update of the stored records if the cursor is ahead of it.
+    /*     * Counts an update of the stored records if its revision is lower than the cursor's.
      *
-     * @param appliedRevision the revision up to which records were applied by the update
-     * @return whether the cursor was ahead of more than {@link #MAX_UPDATES_BEHIND_CURSOR} updates
+     * @param appliedRevision the revision up to which the log is complete after the update
+     * @return whether to end the subscription: the revision of this update is lower than the
+     *     cursor's, and so was that of {@value #MAX_UPDATES_BEHIND_CURSOR} earlier updates or more.
+     *     False for the first {@value #MAX_UPDATES_BEHIND_CURSOR}
      */
     boolean countUpdateBehindCursor(long appliedRevision) {
         long cursorRevision =
@@ -200,7 +207,10 @@
         return recordIterator.mayHaveMissedFinalEvents(evictedUpTo);
     }
 
-    /** Sets the records of a snapshot, which are delivered before those of the log. */
+    /**
+     * Sets the records of a snapshot, which are delivered before those of the log, see {@link
+     * RecordIterator#loadBacklog}.
+     */
     void loadBacklog(long revision, Collection<JobRecord> records) {
         recordIterator.loadBacklog(revision, records);
     }
@@ -210,17 +220,19 @@
         return recordIterator.next(log, appliedRevision);
     }
 
-    /** Whether the filter names jobs, and the final events of all of them were delivered. */
+    /**
+     * Whether the filter names jobs, and the final records of all of them are at or before the
+     * position. A resumed subscription may be complete without delivering an event.
+     */
     boolean isComplete() {
         return recordIterator.isComplete();
     }
 
     // ---- transient events ----
 
-    /**
-     * Starts a resynchronization: discards the buffered events and delivers the current state of
-     * all unfinished jobs again whose acceptance was delivered, because transient events may have
-     * been missed.
+    /*     * Starts a resynchronization, because transient events may have been missed: discards the
+     * buffered events, and lets {@link #nextResyncRecord} return the unfinished jobs that the filter
+     * selects and whose acceptance was delivered. Restarts one that is in progress.
      */
     void startResync() {
         transientEvents.clear();
@@ -228,7 +240,10 @@
         resyncEnd = recordIterator.position();
     }
 
-    /** Returns the next unfinished job of the resynchronization, or null if it is complete. */
+    /**
+     * Returns the next unfinished job of the resynchronization and advances past it, or null if it
+     * is complete or none is in progress.
+     */
     JobRecord nextResyncRecord(CompactedJobLog log) {
         while (resyncPosition != null) {
             JobRecord record = recordIterator.firstUnfinishedAfter(resyncPosition, log);
@@ -244,7 +259,10 @@
         return null;
     }
 
-    /** Whether the job's record was delivered and no resynchronization is about to repeat it. */
+    /**
+     * Whether transient events of a job may be delivered now: its record was delivered, and no
+     * resynchronization is about to deliver the job's latest transient event again.
+     */
     private boolean acceptsTransientEvents(JobRecord record) {
         LogPosition recordPosition = CompactedJobLog.positionOf(record);
         boolean awaitsResync =
@@ -254,11 +272,13 @@
         return !recordPosition.isAfter(recordIterator.position()) && !awaitsResync;
     }
 
-    /**
-     * Buffers a transient event of a job whose record was delivered; ignores the event if it was
-     * not. If there are more than {@code maxEvents}, only the latest event of each job is kept.
+    /*     * Buffers a transient event of a job. Ignores the event if the job's record was not delivered
+     * yet, because that event will have the latest numbers of tasks, or if a resynchronization has
+     * yet to reach the job, because it will deliver the job's latest event. If there are more than
+     * {@code maxEvents} buffered events, only the latest one of each job is kept.
      *
-     * @return false if more than half of {@code maxEvents} are left even then
+     * @return false if more than half of {@code maxEvents} are left even then, so that the
+     *     subscription must be ended as too slow
      */
     boolean offer(JobRecord record, JobEvent event, int maxEvents) {
         if (!acceptsTransientEvents(record)) {
--- a/src/main/java/io/kelphoist/events/SubscriptionRegistry.java
+++ b/src/main/java/io/kelphoist/events/SubscriptionRegistry.java
@@ -36,7 +36,10 @@
         closed = true;
     }
 
-    /** Throws if the registry is closed, or a new subscription of the client exceeds a limit. */
+    /**
+     * Throws if a new subscription of the client would exceed a limit; if the registry is closed,
+     * as if the limit on the total number were reached.
+     */
     void checkLimits(String clientName) throws EventBroker.TooManyStreamsException {
         if (closed || subscriptions.size() >= limits.maxStreams()) {
             throw new EventBroker.TooManyStreamsException(EventBroker.StreamLimit.TOTAL);
--- a/src/main/java/io/kelphoist/events/TaskEventLog.java
+++ b/src/main/java/io/kelphoist/events/TaskEventLog.java
@@ -11,8 +11,8 @@
 
 /**
  * The leader's log of transient events for one term. Converts the scheduler's task events into
- * transient events, assigns them sequence numbers and retains the latest ones for the other
- * controllers, which poll for new events.
+ * transient events, assigns them sequence numbers from 0 on and retains the latest ones for the
+ * other controllers, which poll for new events.
  *
  * <p>Owns the history of unfinished jobs from which the transient events are derived. Confined to
  * the event loop.
@@ -123,9 +123,9 @@
         }
     }
 
-    /**
-     * Returns the events from a sequence number on. Returns a snapshot instead if some of them are
-     * no longer retained, or if the number has not been assigned yet.
+    /*     * Returns the events from a sequence number on; none if it is the next one to be assigned.
+     * Returns a snapshot instead if some of them are no longer retained, or if the number is
+     * greater than the next one.
      *
      * @param sequence {@link Update#nextSequence} of the last update; negative to get a snapshot
      */
@@ -145,7 +145,7 @@
         return new Update(nextSequence, false, newEvents);
     }
 
-    /** Returns the latest event of each unfinished job that has one. */
+    /** Returns the latest event of each unfinished job that has one, in no particular order. */
     public List<TransientEvent> snapshot() {
         return historyByJob.values().stream()
                 .map(history -> history.lastEvent)
