--- a/src/main/java/io/kelphoist/config/OperatorSettingsReader.java
+++ b/src/main/java/io/kelphoist/config/OperatorSettingsReader.java
@@ -60,11 +60,11 @@
                         ? Optional.of(new GrpcSettingsReader(file, operator.getGrpc()).read())
                         : Optional.empty(),
                 operator.hasTrace()
-                        ? Optional.of(collectorAddress(operator.getTrace().getOtlp()))
+                        ? Optional.of(collectorUrl(operator.getTrace().getOtlp()))
                         : Optional.empty());
     }
 
-    private String collectorAddress(String otlp) throws InvalidSettingsException {
+    private String collectorUrl(String otlp) throws InvalidSettingsException {
         if (!otlp.isEmpty() && !otlp.matches("https?://[^/\\s]+(/\\S*)?")) {
             throw invalid(
                     "trace.otlp",
--- a/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
+++ b/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
@@ -49,8 +49,7 @@
         eventLog = Optional.empty();
     }
 
-    /**
-     * Publishes an event of a job's tasks.
+    /*     * Publishes an event of a job's tasks; ignores it if no term is led here.
      *
      * @param isFailoverComplete false while this leader is still discovering the tasks that earlier
      *     leaders started: a task that is found running is then published as the job's progress,
@@ -99,7 +98,10 @@
         }
     }
 
-    /** Returns the update for another controller; empty if no term is led here. */
+    /**
+     * Returns the update for another controller: a snapshot if it asks for another term or for
+     * events that are no longer retained. Empty if no term is led here.
+     */
     Optional<TermUpdate> updateFor(EventsRequest request) {
         long sequence = request.term() == term ? request.fromSequence() : SNAPSHOT_SEQUENCE;
         return eventLog.map(log -> new TermUpdate(term, log.updateSince(sequence)));
--- a/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
@@ -76,7 +76,10 @@
             }
         }
 
-        /** Describes a task that was running on two machines at once; null if there was none. */
+        /**
+         * Describes the last task that was running on two machines at once; null if there was none.
+         * Only tasks that run until they are stopped are checked.
+         */
         public synchronized String duplicateExecution() {
             return duplicateExecution;
         }
--- a/src/test/java/io/kelphoist/controller/EndToEndDependenciesTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndDependenciesTest.java
@@ -46,9 +46,12 @@
         assertEquals("queued", jobStatus(userAddresses.get(0), "job-54"));
     }
 
-    /** A job starts after the jobs that it depends on, also if they are done already. */
+    /**
+     * A job with dependencies is done after them, also if they were done before its submission. The
+     * order of the starts is not checked.
+     */
     @Test
-    void runsDependentJobsInOrder() throws Exception {
+    void runsJobsWithDependencies() throws Exception {
         assertSubmissionStatus(201, userAddresses.get(0), job("job-62", "batch", 3));
         assertSubmissionStatus(201, userAddresses.get(1), job("job-61", "batch", 2, "job-62"));
         assertSubmissionStatus(
--- a/src/test/java/io/kelphoist/controller/GrpcRequestValidationTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcRequestValidationTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Invalid cursors and unknown jobs in requests over gRPC, and the gRPC health check. */
+/**
+ * Invalid cursors and unknown jobs in requests over gRPC, and the gRPC health check. Guards against
+ * a stream that resumes at a wrong position or waits for a job that does not exist.
+ */
 @Timeout(40)
 class GrpcRequestValidationTest extends GrpcFixture {
     /** A cursor is rejected if it was changed, or if it was issued for another subscription. */
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -27,6 +27,7 @@
 final class EventBrokerSimulation {
     private static final int CONTROLLERS = 3;
     private static final int JOBS = 12;
+    /** Small limits, so that with 4 buffered events and 3 retained ended jobs many are dropped. */
     private static final EventBrokerLimits LIMITS = new EventBrokerLimits(50, 50, 4, 3, 1000);
 
     private record Change(long revision, List<JobRecord> jobs) {}
@@ -393,7 +394,6 @@
         return stored.containsKey(jobId) && stored.get(jobId).status().isFinal();
     }
 
-    /** Returns the number of events that the clients have received. */
     int receivedEventCount() {
         return clients.stream().mapToInt(client -> client.received.size()).sum();
     }
