--- a/src/main/java/io/kelphoist/archive/ClassArchiveTraining.java
+++ b/src/main/java/io/kelphoist/archive/ClassArchiveTraining.java
@@ -73,7 +73,7 @@
                 trainingServer.endLease();
             }
         } catch (InvalidSettingsException | InterruptedException e) {
-            throw new IOException(e);
+            throw new IOException("training run of the class archive failed: " + e, e);
         } finally {
             trainingServer.stop();
         }
@@ -247,7 +247,9 @@
                     ? MessageEncoding.decodeJson(response)
                     : MessageEncoding.decodeCbor(response);
         } catch (MalformedMessageException e) {
-            throw new IOException(e);
+            throw new IOException(
+                    "expected a response in " + (isJson ? "JSON" : "CBOR") + ": " + e.getMessage(),
+                    e);
         }
     }
 }
--- a/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
+++ b/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
@@ -135,7 +135,7 @@
         try {
             return MessageEncoding.decodeJson(text.getBytes(StandardCharsets.UTF_8));
         } catch (MalformedMessageException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("expected valid JSON, found: " + text, e);
         }
     }
 
--- a/src/main/java/io/kelphoist/client/KelphoistClient.java
+++ b/src/main/java/io/kelphoist/client/KelphoistClient.java
@@ -156,8 +156,9 @@
         sleeper.sleep(backoff.nextDelaySeconds(requestedDelaySeconds(e)));
     }
 
-    /*     * Submits a job. Submitting a stored job again changes nothing, and the response has its current
-     * state.
+    /**
+     * Submits a job. Submitting a stored job again changes nothing, and the response has its
+     * current state.
      *
      * @throws StatusRuntimeException if the job was rejected or all attempts failed
      */
--- a/src/main/java/io/kelphoist/client/RetryBackoff.java
+++ b/src/main/java/io/kelphoist/client/RetryBackoff.java
@@ -41,7 +41,8 @@
         return failureCount;
     }
 
-    /*     * Counts a failure and returns the delay before the next attempt, in seconds: the requested one
+    /**
+     * Counts a failure and returns the delay before the next attempt, in seconds: the requested one
      * plus a random one, whose upper bound doubles with each failure from {@value
      * #INITIAL_DELAY_SECONDS} s to {@value #MAX_DELAY_SECONDS} s and whose lower bound is half of
      * that.
--- a/src/main/java/io/kelphoist/controller/Controller.java
+++ b/src/main/java/io/kelphoist/controller/Controller.java
@@ -160,9 +160,11 @@
 
     // ---- shutdown ----
 
-    /*     * Prepares this controller for the end of its process: stops making scheduling decisions and, if
-     * it leads, waits at most {@value #DRAIN_TIMEOUT_SECONDS} s until no command is in flight and no
-     * write is queued, and hands the leadership over. Writes that were sent are not waited for.
+    /**
+     * Prepares this controller for the end of its process: stops making scheduling decisions and,
+     * if it leads, waits at most {@value #DRAIN_TIMEOUT_SECONDS} s until no command is in flight
+     * and no write is queued, and hands the leadership over. Writes that were sent are not waited
+     * for.
      *
      * @param onComplete runs on the event loop once the process may stop
      */
--- a/src/main/java/io/kelphoist/controller/ControllerProcess.java
+++ b/src/main/java/io/kelphoist/controller/ControllerProcess.java
@@ -59,7 +59,8 @@
         this.traceRecorder = traceRecorder;
     }
 
-    /*     * Starts a controller and opens its HTTP ports and, if gRPC is enabled, its gRPC port.
+    /**
+     * Starts a controller and opens its HTTP ports and, if gRPC is enabled, its gRPC port.
      *
      * @param startedAtSeconds when this process started, on the monotonic clock
      * @throws IOException if a socket or thread can't be set up
--- a/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
+++ b/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
@@ -26,7 +26,8 @@
     private volatile boolean stopped;
     private boolean isPaused;
 
-    /*     * The leader that was polled last; empty before the first poll, and from this controller's
+    /**
+     * The leader that was polled last; empty before the first poll, and from this controller's
      * election until the first poll after its term.
      */
     private Optional<String> polledLeader = Optional.empty();
--- a/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
+++ b/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
@@ -49,7 +49,8 @@
         eventLog = Optional.empty();
     }
 
-    /*     * Publishes an event of a job's tasks; ignores it if no term is led here.
+    /**
+     * Publishes an event of a job's tasks; ignores it if no term is led here.
      *
      * @param isFailoverComplete false while this leader is still discovering the tasks that earlier
      *     leaders started: a task that is found running is then published as the job's progress,
--- a/src/main/java/io/kelphoist/controller/XnioEventLoop.java
+++ b/src/main/java/io/kelphoist/controller/XnioEventLoop.java
@@ -8,7 +8,8 @@
 import org.slf4j.LoggerFactory;
 import org.xnio.XnioIoThread;
 
-/* * The event loop on an XNIO I/O thread. A {@code RuntimeException} of a task is logged and counted,
+/**
+ * The event loop on an XNIO I/O thread. A {@code RuntimeException} of a task is logged and counted,
  * and does not end the loop.
  */
 final class XnioEventLoop implements EventLoop {
--- a/src/main/java/io/kelphoist/emulator/EmulatedCloud.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedCloud.java
@@ -66,7 +66,7 @@
         try {
             return MessageEncoding.decodeJson(MACHINE_TYPES.getBytes(StandardCharsets.UTF_8));
         } catch (MalformedMessageException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("MACHINE_TYPES is not valid JSON", e);
         }
     }
 
--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -12,7 +12,8 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/* * Emulates the state store, with faults for tests. Owns the stored items, the leases and the
+/**
+ * Emulates the state store, with faults for tests. Owns the stored items, the leases and the
  * changes, all guarded by its monitor, which is notified of every change, so that a thread can wait
  * for one.
  */
@@ -51,7 +52,8 @@
     /** The transaction that was held last; null if none was. */
     private ObjectNode heldTransaction;
 
-    /*     * Sets whether requests get the status 503, except watch requests, which get no changes. Leases
+    /**
+     * Sets whether requests get the status 503, except watch requests, which get no changes. Leases
      * don't expire while the store is unavailable; all are renewed once it is available again.
      */
     public synchronized void setUnavailable(boolean isUnavailable) {
--- a/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
@@ -64,8 +64,10 @@
             notifyAll();
         }
 
-        /*         * Waits until a task is running, or is not running; has no timeout of its own. Only tasks
+        /**
+         * Waits until a task is running, or is not running; has no timeout of its own. Only tasks
          * that run until they are stopped are recorded as running.
+         *
          * @param isRunning true to wait for the start, false to wait for the stop; a task that has
          *     never started counts as stopped
          */
@@ -237,7 +239,8 @@
                 .build();
     }
 
-    /*     * Executes the commands of a message and remembers its fencing token. Returns false without
+    /**
+     * Executes the commands of a message and remembers its fencing token. Returns false without
      * executing them if the token is lower than one received before.
      */
     private synchronized boolean executeCommands(JsonNode message) {
--- a/src/main/java/io/kelphoist/emulator/LocalEnvironment.java
+++ b/src/main/java/io/kelphoist/emulator/LocalEnvironment.java
@@ -10,9 +10,11 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 
-/* * What controllers need to run on loopback: an emulated state store, an emulated cloud, emulated
+/**
+ * What controllers need to run on loopback: an emulated state store, an emulated cloud, emulated
  * workers on the machines of that cloud, and the controllers' settings. Starts no controller: the
  * caller starts one for each of {@link #settings}, and stops them before it closes the environment.
+ * Owns the state store, the cloud and the timers of the workers' heartbeats.
  */
 public final class LocalEnvironment implements AutoCloseable {
     private static final int HEARTBEAT_INTERVAL_MILLIS = 150;
@@ -25,7 +27,8 @@
     private final List<PlatformSettings> settings = new ArrayList<>();
     private final EmulatedCloud cloud;
 
-    /*     * Starts the emulated state store and cloud, and writes the controllers' settings. A worker
+    /**
+     * Starts the emulated state store and cloud, and writes the controllers' settings. A worker
      * starts with its machine, which a controller requests from the cloud.
      *
      * @param settingsDirectory the directory to which the settings are written
--- a/src/main/java/io/kelphoist/emulator/LoopbackPorts.java
+++ b/src/main/java/io/kelphoist/emulator/LoopbackPorts.java
@@ -24,7 +24,8 @@
 
     private LoopbackPorts() {}
 
-    /*     * Returns a port that no socket is bound to at the time of the call; it is not reserved. Within
+    /**
+     * Returns a port that no socket is bound to at the time of the call; it is not reserved. Within
      * a process, a port is returned again only after all other ports were tried.
      *
      * @throws IOException if all ports are in use
--- a/src/main/java/io/kelphoist/events/CursorSigner.java
+++ b/src/main/java/io/kelphoist/events/CursorSigner.java
@@ -78,7 +78,7 @@
             out.writeUTF(cursor.position().jobId());
             out.write(computeMac(key, bytes.toByteArray()));
         } catch (IOException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("can't encode the cursor: " + cursor, e);
         }
         return bytes.toByteArray();
     }
@@ -142,7 +142,8 @@
             mac.init(new SecretKeySpec(key.secret(), ALGORITHM));
             return Arrays.copyOf(mac.doFinal(payload), MAC_BYTES);
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException(
+                    "can't compute " + ALGORITHM + " with the cursor key " + key.id(), e);
         }
     }
 }
--- a/src/main/java/io/kelphoist/events/EventBroker.java
+++ b/src/main/java/io/kelphoist/events/EventBroker.java
@@ -209,9 +209,10 @@
         }
     }
 
-    /*     * Replaces all transient events by the latest of each job, because events may have been missed.
-     * Every subscription then delivers the latest event again of each unfinished job that its filter
-     * selects and whose acceptance it has delivered; a job without an event is skipped.
+    /**
+     * Replaces all transient events by the latest of each job, because events may have been missed.
+     * Every subscription then delivers the latest event again of each unfinished job that its
+     * filter selects and whose acceptance it has delivered; a job without an event is skipped.
      */
     public void resetTransientEvents(Collection<TransientEvent> events, double nowSeconds) {
         jobs.resetTransientEvents(events);
--- a/src/main/java/io/kelphoist/events/Subscription.java
+++ b/src/main/java/io/kelphoist/events/Subscription.java
@@ -7,7 +7,8 @@
 import java.util.Map;
 import java.util.Optional;
 
-/* * One client's subscription. The events of stored records are not buffered: a {@link
+/**
+ * One client's subscription. The events of stored records are not buffered: a {@link
  * RecordIterator} looks up the next record when the subscriber is ready. It reads the log that all
  * subscriptions share, and itself holds only the records of the jobs that the filter names, and
  * those of a snapshot after {@link #loadBacklog}. Transient events are buffered, and their number
@@ -157,7 +158,8 @@
         turnScheduled = false;
     }
 
-    /*     * Remembers the store's reachability as the one that the subscriber knows. Does not report it:
+    /**
+     * Remembers the store's reachability as the one that the subscriber knows. Does not report it:
      * the caller must, if this method returns true. A new subscriber takes the store as reachable.
      *
      * @return true if the value differs from the one that the subscriber knew
@@ -180,7 +182,8 @@
         recordIterator.startAt(revision);
     }
 
-    /*     * Counts an update of the stored records if its revision is lower than the cursor's.
+    /**
+     * Counts an update of the stored records if its revision is lower than the cursor's.
      *
      * @param appliedRevision the revision up to which the log is complete after the update
      * @return whether to end the subscription: the revision of this update is lower than the
@@ -230,9 +233,10 @@
 
     // ---- transient events ----
 
-    /*     * Starts a resynchronization, because transient events may have been missed: discards the
-     * buffered events, and lets {@link #nextResyncRecord} return the unfinished jobs that the filter
-     * selects and whose acceptance was delivered. Restarts one that is in progress.
+    /**
+     * Starts a resynchronization, because transient events may have been missed: discards the
+     * buffered events, and lets {@link #nextResyncRecord} return the unfinished jobs that the
+     * filter selects and whose acceptance was delivered. Restarts one that is in progress.
      */
     void startResync() {
         transientEvents.clear();
@@ -272,7 +276,8 @@
         return !recordPosition.isAfter(recordIterator.position()) && !awaitsResync;
     }
 
-    /*     * Buffers a transient event of a job. Ignores the event if the job's record was not delivered
+    /**
+     * Buffers a transient event of a job. Ignores the event if the job's record was not delivered
      * yet, because that event will have the latest numbers of tasks, or if a resynchronization has
      * yet to reach the job, because it will deliver the job's latest event. If there are more than
      * {@code maxEvents} buffered events, only the latest one of each job is kept.
--- a/src/main/java/io/kelphoist/events/TaskEventLog.java
+++ b/src/main/java/io/kelphoist/events/TaskEventLog.java
@@ -123,7 +123,8 @@
         }
     }
 
-    /*     * Returns the events from a sequence number on; none if it is the next one to be assigned.
+    /**
+     * Returns the events from a sequence number on; none if it is the next one to be assigned.
      * Returns a snapshot instead if some of them are no longer retained, or if the number is
      * greater than the next one.
      *
--- a/src/main/java/io/kelphoist/grpc/package-info.java
+++ b/src/main/java/io/kelphoist/grpc/package-info.java
@@ -1,4 +1,5 @@
-/* * The user API over gRPC: submission, query and cancellation of jobs, and streams of job events.
+/**
+ * The user API over gRPC: submission, query and cancellation of jobs, and streams of job events.
  *
  * <p>{@link io.kelphoist.grpc.GrpcServer} owns the transport, the event broker and the health
  * status. gRPC requires HTTP/2, which the controller's XNIO transport does not support; therefore
--- a/src/main/java/io/kelphoist/trace/JobTracer.java
+++ b/src/main/java/io/kelphoist/trace/JobTracer.java
@@ -133,7 +133,8 @@
         spansByJob.clear();
     }
 
-    /*     * Records an event of a job while this controller is the leader; the job's end is recorded by
+    /**
+     * Records an event of a job while this controller is the leader; the job's end is recorded by
      * {@link #onJobEnded}. While the span of a wait is open, no further event starts another one.
      */
     public void onTaskEvent(String jobId, TaskEvent event, long atMillis) {
--- a/src/test/java/io/kelphoist/contract/RunningControllerFixture.java
+++ b/src/test/java/io/kelphoist/contract/RunningControllerFixture.java
@@ -150,7 +150,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } catch (InterruptedException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("interrupted during " + method + " " + path, e);
         }
     }
 
@@ -256,7 +256,7 @@
         try {
             return MessageEncoding.decodeCbor(response.body());
         } catch (MalformedMessageException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("expected CBOR from " + response.uri(), e);
         }
     }
 
--- a/src/test/java/io/kelphoist/controller/EndToEndDependenciesTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndDependenciesTest.java
@@ -9,10 +9,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/* * Jobs that depend on other jobs, with two controllers. Guards against a job that never starts or is
- * never cancelled after its dependencies have ended, and against a status that was reported without
- * reading them. The tests wait for events of the emulated state store and workers; the timeout only
- * ends a test whose event never occurs.
+/**
+ * Jobs that depend on other jobs, with two controllers. Guards against a job that never starts or
+ * is never cancelled after its dependencies have ended, and against a status that was reported
+ * without reading them. The tests wait for events of the emulated state store and workers; the
+ * timeout only ends a test whose event never occurs.
  */
 @Timeout(90)
 class EndToEndDependenciesTest extends LocalClusterFixture {
--- a/src/test/java/io/kelphoist/controller/EndToEndFailoverTest.java
+++ b/src/test/java/io/kelphoist/controller/EndToEndFailoverTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/* * Failover, restart and messages between two controllers. Guards against tasks that are started
+/**
+ * Failover, restart and messages between two controllers. Guards against tasks that are started
  * again or lost when the leader changes, and against messages that one of two versions does not
  * understand. The tests wait for events of the emulated state store and workers; the timeout only
  * ends a test whose event never occurs.
--- a/src/test/java/io/kelphoist/controller/GrpcTlsTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcTlsTest.java
@@ -123,7 +123,7 @@
             }
             return OperatorSettings.read(file);
         } catch (Exception e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("can't write and read the settings in " + dir, e);
         }
     }
 
@@ -192,7 +192,8 @@
         }
     }
 
-    /*     * Checks that a client that does not retry gets an error above the rate limit of submissions.
+    /**
+     * Checks that a client that does not retry gets an error above the rate limit of submissions.
      * The caller checks that a client with retries succeeds afterwards.
      */
     private void assertSubmissionsAreRateLimited() throws IOException, InterruptedException {
--- a/src/test/java/io/kelphoist/controller/PlannedHandoverTest.java
+++ b/src/test/java/io/kelphoist/controller/PlannedHandoverTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/* * The handover of a leader on loopback that shuts down, and messages from unknown controllers and
+/**
+ * The handover of a leader on loopback that shuts down, and messages from unknown controllers and
  * from controllers of the previous version. Guards against a second election or restarted tasks
  * after a handover, and against a message that ends a term although its sender may not do so.
  */
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -27,6 +27,7 @@
 final class EventBrokerSimulation {
     private static final int CONTROLLERS = 3;
     private static final int JOBS = 12;
+
     /** Small limits, so that with 4 buffered events and 3 retained ended jobs many are dropped. */
     private static final EventBrokerLimits LIMITS = new EventBrokerLimits(50, 50, 4, 3, 1000);
 
@@ -137,8 +138,7 @@
         @Override
         public void onEnded(EndReason reason, Cursor nextCursor) {
             assertTrue(
-                    reason != EndReason.CURSOR_AHEAD,
-                    () -> "expected no rejection of a valid cursor as ahead of the store");
+                    reason != EndReason.CURSOR_AHEAD, "expected an accepted cursor: " + received);
             subscription = null;
             cursor = signer.encode(nextCursor);
             startRevision = Math.max(startRevision, nextCursor.startRevision());
@@ -164,7 +164,7 @@
                                 0);
                 onConnected(opened);
             } catch (EventBroker.TooManyStreamsException | CursorSigner.InvalidCursorException e) {
-                throw new AssertionError(e);
+                throw new AssertionError("expected a subscription for " + filter, e);
             }
         }
 
--- a/src/test/java/io/kelphoist/logs/JsonFieldsAppenderTest.java
+++ b/src/test/java/io/kelphoist/logs/JsonFieldsAppenderTest.java
@@ -9,7 +9,8 @@
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
 
-/* * Log lines as JSON. Guards against log lines without the fields by which operators search (job,
+/**
+ * Log lines as JSON. Guards against log lines without the fields by which operators search (job,
  * task, attempt, machine and term), because the appender does not find them in the message, or the
  * encoder does not write them.
  */
