--- a/src/main/java/io/kelphoist/config/GrpcSettingsReader.java
+++ b/src/main/java/io/kelphoist/config/GrpcSettingsReader.java
@@ -43,38 +43,19 @@
         return GrpcSettings.builder(listenAddress, cursorKeys)
                 .tls(tls)
                 .accessByClient(accessByClient)
-                .maxStreams(
-                        integer(
-                                "grpc.streams",
-                                grpc.getStreams(),
-                                /* min= */ 1,
-                                /* max= */ 100_000))
+                .maxStreams(integer("grpc.streams", grpc.getStreams(), 1, 100_000))
                 .maxStreamsPerClient(
-                        integer(
-                                "grpc.streams_per_client",
-                                grpc.getStreamsPerClient(),
-                                /* min= */ 1,
-                                /* max= */ 100_000))
-                .maxBufferedEvents(
-                        integer(
-                                "grpc.buffered",
-                                grpc.getBuffered(),
-                                /* min= */ 8,
-                                /* max= */ 100_000))
+                        integer("grpc.streams_per_client", grpc.getStreamsPerClient(), 1, 100_000))
+                .maxBufferedEvents(integer("grpc.buffered", grpc.getBuffered(), 8, 100_000))
                 .maxRetainedEndedJobs(
-                        integer(
-                                "grpc.kept_ended",
-                                grpc.getKeptEnded(),
-                                /* min= */ 100,
-                                /* max= */ 1_000_000))
-                .stallTimeoutSeconds(
-                        number("grpc.stall_s", grpc.getStallS(), /* min= */ 1, /* max= */ 3600))
+                        integer("grpc.kept_ended", grpc.getKeptEnded(), 100, 1_000_000))
+                .stallTimeoutSeconds(number("grpc.stall_s", grpc.getStallS(), 1, 3600))
                 .submissionsPerSecondPerTeam(
                         number(
                                 "grpc.submissions_per_team",
                                 grpc.getSubmissionsPerTeam(),
-                                /* min= */ 0.1,
-                                /* max= */ 100_000))
+                                0.1,
+                                100_000))
                 .build();
     }
 
@@ -158,10 +139,12 @@
         return path;
     }
 
+    /** Returns a value that is within bounds, both inclusive. */
     private int integer(String field, int value, int min, int max) throws InvalidSettingsException {
         return (int) number(field, value, min, max);
     }
 
+    /** Returns a value that is within bounds, both inclusive. */
     private double number(String field, double value, double min, double max)
             throws InvalidSettingsException {
         return OperatorSettingsReader.requireInRange(file, field, value, min, max);
--- a/src/test/java/io/kelphoist/contract/SettingsContractTest.java
+++ b/src/test/java/io/kelphoist/contract/SettingsContractTest.java
@@ -65,8 +65,8 @@
                     List.of(
                             new Team(
                                     "vision",
-                                    new Resources(/* cpus= */ 100, /* gpus= */ 4, UNLIMITED),
-                                    new Resources(/* cpus= */ 200, /* gpus= */ 8, UNLIMITED)),
+                                    new Resources(100, 4, UNLIMITED),
+                                    new Resources(200, 8, UNLIMITED)),
                             new Team(
                                     "guests",
                                     Resources.NONE,
@@ -92,8 +92,7 @@
                             /* writesPerSecond= */ 80,
                             /* maxValueKilobytes= */ 4,
                             /* maxTransactionChanges= */ 24),
-                    new PlatformSettings.CloudLimits(
-                            /* requestsPerSecond= */ 5, /* listLagSeconds= */ 4.5),
+                    new PlatformSettings.CloudLimits(5, 4.5),
                     Map.of("serve", 20.0, "train", 60.0),
                     /* socketLimit= */ 700,
                     /* clockErrorMillis= */ 250);
@@ -134,11 +133,9 @@
                                     /* writesPerSecond= */ 90,
                                     /* maxValueKilobytes= */ 8,
                                     /* maxTransactionChanges= */ 48),
-                            new PlatformSettings.CloudLimits(
-                                    /* requestsPerSecond= */ 5, /* listLagSeconds= */ 4),
+                            new PlatformSettings.CloudLimits(5, 4),
                             Map.of(),
-                            // The default socket limit is not compared.
-                            settings.socketLimit(),
+                            /* socketLimit= */ settings.socketLimit(),
                             1000),
                     settings);
         }
--- a/src/test/java/io/kelphoist/contract/StoredRecordsContractTest.java
+++ b/src/test/java/io/kelphoist/contract/StoredRecordsContractTest.java
@@ -242,23 +242,11 @@
             assertEquals(
                     List.of(
                             new RecordedStart(
-                                    "vm-000231",
-                                    "g8",
-                                    "a",
-                                    /* spot= */ true,
-                                    new TaskRef("job-000412", 3)),
+                                    "vm-000231", "g8", "a", true, new TaskRef("job-000412", 3)),
                             new RecordedStart(
-                                    "vm-000231",
-                                    "g8",
-                                    "a",
-                                    /* spot= */ true,
-                                    new TaskRef("job-7", 99_999)),
+                                    "vm-000231", "g8", "a", true, new TaskRef("job-7", 99_999)),
                             new RecordedStart(
-                                    "vm-000232",
-                                    "g8",
-                                    "b",
-                                    /* spot= */ false,
-                                    new TaskRef("job-7", 0))),
+                                    "vm-000232", "g8", "b", false, new TaskRef("job-7", 0))),
                     RecordCodec.decodeStarts(
                             new StoredRecord(
                                     /* key= */ "",
--- a/src/test/java/io/kelphoist/events/EventBrokerTest.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerTest.java
@@ -25,6 +25,14 @@
     private static final SubscriptionFilter ALL_JOBS =
             new SubscriptionFilter.ByOwner(/* teams= */ null, /* jobClass= */ null);
 
+    private static final EventBrokerLimits SMALL_LIMITS =
+            new EventBrokerLimits(
+                    /* maxStreams= */ 10,
+                    /* maxStreamsPerClient= */ 10,
+                    /* maxBufferedEvents= */ 8,
+                    /* maxEndedJobs= */ 10,
+                    /* stallTimeoutSeconds= */ 60);
+
     private static JobRecord record(int job, JobStatus status, long version) {
         return new JobRecord(
                 "job-" + job,
@@ -70,21 +78,18 @@
         return new EventBroker(limits, callback -> {}, Runnable::run);
     }
 
+    /** Applies a change of job-1 at a revision of the store. */
+    private static void storeJob(
+            EventBroker broker, long revision, JobStatus status, double nowSeconds) {
+        broker.onRecordsChanged(
+                revision, List.of(record(/* job= */ 1, status, revision)), nowSeconds);
+    }
+
     @Test
     void slowSubscriberReceivesTheLatestEventsAndDoesNotDelayOthers()
             throws EventBroker.TooManyStreamsException {
-        EventBroker broker =
-                newBroker(
-                        new EventBrokerLimits(
-                                /* maxStreams= */ 10,
-                                /* maxStreamsPerClient= */ 10,
-                                /* maxBufferedEvents= */ 8,
-                                /* maxEndedJobs= */ 10,
-                                /* stallTimeoutSeconds= */ 60));
-        broker.onRecordsChanged(
-                /* revision= */ 1,
-                List.of(record(/* job= */ 1, JobStatus.ACTIVE, /* version= */ 1)),
-                /* nowSeconds= */ 0);
+        EventBroker broker = newBroker(SMALL_LIMITS);
+        storeJob(broker, /* revision= */ 1, JobStatus.ACTIVE, /* nowSeconds= */ 0);
         RecordingSubscriber slow = new RecordingSubscriber();
         RecordingSubscriber fast = new RecordingSubscriber();
         slow.demand = 1;
@@ -125,24 +130,11 @@
     @Test
     void stalledSubscriptionIsEndedAndResumesAtItsCursor()
             throws EventBroker.TooManyStreamsException {
-        EventBroker broker =
-                newBroker(
-                        new EventBrokerLimits(
-                                /* maxStreams= */ 10,
-                                /* maxStreamsPerClient= */ 10,
-                                /* maxBufferedEvents= */ 8,
-                                /* maxEndedJobs= */ 10,
-                                /* stallTimeoutSeconds= */ 60));
-        broker.onRecordsChanged(
-                /* revision= */ 1,
-                List.of(record(/* job= */ 1, JobStatus.ACTIVE, /* version= */ 1)),
-                /* nowSeconds= */ 0);
+        EventBroker broker = newBroker(SMALL_LIMITS);
+        storeJob(broker, /* revision= */ 1, JobStatus.ACTIVE, /* nowSeconds= */ 0);
         RecordingSubscriber stalled = new RecordingSubscriber();
         broker.subscribe(ONE_JOB, Optional.empty(), List.of(), "a", stalled, /* nowSeconds= */ 0);
-        broker.onRecordsChanged(
-                /* revision= */ 2,
-                List.of(record(/* job= */ 1, JobStatus.DONE, /* version= */ 2)),
-                /* nowSeconds= */ 5);
+        storeJob(broker, /* revision= */ 2, JobStatus.DONE, /* nowSeconds= */ 5);
         // The subscriber is not ready from 0 s on, for exactly the timeout at 60 s.
         broker.tick(/* nowSeconds= */ 60);
         assertEquals(null, stalled.endReason);
@@ -186,38 +178,15 @@
                                 /* maxBufferedEvents= */ 8,
                                 /* maxEndedJobs= */ 10,
                                 /* stallTimeoutSeconds= */ 60));
-        broker.subscribe(
-                ONE_JOB,
-                Optional.empty(),
-                List.of(),
-                "a",
-                new RecordingSubscriber(),
-                /* nowSeconds= */ 0);
+        broker.subscribe(ONE_JOB, Optional.empty(), List.of(), "a", new RecordingSubscriber(), 0);
         Subscription subscription =
                 broker.subscribe(
-                        ONE_JOB,
-                        Optional.empty(),
-                        List.of(),
-                        "a",
-                        new RecordingSubscriber(),
-                        /* nowSeconds= */ 0);
+                        ONE_JOB, Optional.empty(), List.of(), "a", new RecordingSubscriber(), 0);
         assertEquals(EventBroker.StreamLimit.PER_CLIENT, exceededLimit(broker, "a"));
-        broker.subscribe(
-                ONE_JOB,
-                Optional.empty(),
-                List.of(),
-                "b",
-                new RecordingSubscriber(),
-                /* nowSeconds= */ 0);
+        broker.subscribe(ONE_JOB, Optional.empty(), List.of(), "b", new RecordingSubscriber(), 0);
         assertEquals(EventBroker.StreamLimit.TOTAL, exceededLimit(broker, "c"));
         broker.onClosed(subscription);
-        broker.subscribe(
-                ONE_JOB,
-                Optional.empty(),
-                List.of(),
-                "a",
-                new RecordingSubscriber(),
-                /* nowSeconds= */ 0);
+        broker.subscribe(ONE_JOB, Optional.empty(), List.of(), "a", new RecordingSubscriber(), 0);
     }
 
     /** Checks that one more stream of a client is rejected, and returns the exceeded limit. */
