--- a/src/test/java/io/kelphoist/contract/SettingsContractTest.java
+++ b/src/test/java/io/kelphoist/contract/SettingsContractTest.java
@@ -87,11 +87,7 @@
                             /* gangWaitSeconds= */ 61,
                             /* gangPeerSeconds= */ 7,
                             /* cancelSeconds= */ 33),
-                    new PlatformSettings.StateLimits(
-                            /* requestsPerSecond= */ 250,
-                            /* writesPerSecond= */ 80,
-                            /* maxValueKilobytes= */ 4,
-                            /* maxTransactionChanges= */ 24),
+                    new PlatformSettings.StateLimits(250, 80, 4, 24),
                     new PlatformSettings.CloudLimits(5, 4.5),
                     Map.of("serve", 20.0, "train", 60.0),
                     /* socketLimit= */ 700,
