--- a/src/test/java/io/kelphoist/controller/GrpcTlsTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcTlsTest.java
@@ -247,10 +247,10 @@
     }
 
     /** Sets a file's modification time to the given number of minutes from now. */
-    private void touch(String file, int minutes) throws IOException {
+    private void touch(String file, int minutesFromNow) throws IOException {
         Files.setLastModifiedTime(
                 dir.resolve(file),
-                FileTime.fromMillis(System.currentTimeMillis() + minutes * 60_000L));
+                FileTime.fromMillis(System.currentTimeMillis() + minutesFromNow * 60_000L));
     }
 
     /** Runs a user's command, checks its exit status and returns what it printed. */
