--- a/src/main/java/io/kelphoist/controller/ControllerMetrics.java
+++ b/src/main/java/io/kelphoist/controller/ControllerMetrics.java
@@ -131,7 +131,7 @@
         registerFunctionCounter(
                 "kelphoist.events.present",
                 "Job events sent that reported a job's current state in place of several events",
-                c -> brokerValue(c, EventBroker::mergedEvents));
+                c -> brokerValue(c, EventBroker::currentStateEvents));
         registerFunctionCounter(
                 "kelphoist.streams.slow",
                 "Streams that were ended because their clients read too slowly",
--- a/src/main/java/io/kelphoist/events/EventBroker.java
+++ b/src/main/java/io/kelphoist/events/EventBroker.java
@@ -98,8 +98,8 @@
      * Returns the number of delivered events that report a job's current state, see {@link
      * JobEvent#reportsCurrentState}.
      */
-    public long mergedEvents() {
-        return delivery.mergedEvents();
+    public long currentStateEvents() {
+        return delivery.currentStateEvents();
     }
 
     /** Returns the number of subscriptions that were ended because the client read too slowly. */
--- a/src/main/java/io/kelphoist/events/EventDelivery.java
+++ b/src/main/java/io/kelphoist/events/EventDelivery.java
@@ -25,7 +25,7 @@
     /** Like the other counters, written by the event thread and read by others, for the metrics. */
     private volatile long deliveredEvents;
 
-    private volatile long mergedEvents;
+    private volatile long currentStateEvents;
     private volatile long slowStreams;
 
     EventDelivery(JobEventState jobs, SubscriptionRegistry subscriptions, Executor executor) {
@@ -38,8 +38,8 @@
         return deliveredEvents;
     }
 
-    long mergedEvents() {
-        return mergedEvents;
+    long currentStateEvents() {
+        return currentStateEvents;
     }
 
     long slowStreams() {
@@ -167,7 +167,7 @@
     private void send(Subscription subscription, JobEvent event) {
         deliveredEvents++;
         if (event.reportsCurrentState()) {
-            mergedEvents++;
+            currentStateEvents++;
         }
         subscription.subscriber().onEvent(event, subscription.cursor());
     }
