--- a/src/main/java/io/kelphoist/client/KelphoistClient.java
+++ b/src/main/java/io/kelphoist/client/KelphoistClient.java
@@ -40,7 +40,7 @@
  * <p>Owns its channels; close it after use. Calls block. Not thread-safe.
  */
 public final class KelphoistClient implements AutoCloseable {
-    /** Waits between attempts; tests replace it. */
+    /** Waits between attempts; can be replaced in tests. */
     interface Sleeper {
         void sleep(double seconds) throws InterruptedException;
     }
--- a/src/main/java/io/kelphoist/config/JsonSettings.java
+++ b/src/main/java/io/kelphoist/config/JsonSettings.java
@@ -53,7 +53,10 @@
         return node.path(objectName).hasNonNull(name);
     }
 
-    /** Returns a text, or an empty one if the field is missing. */
+    /**
+     * Returns a text, or an empty one if the field is missing. Values of other types are not
+     * rejected: a number or boolean is returned as text, an object or list as an empty text.
+     */
     String textOrEmpty(String name) {
         return node.path(name).asText("");
     }
--- a/src/main/java/io/kelphoist/controller/ControllerMetrics.java
+++ b/src/main/java/io/kelphoist/controller/ControllerMetrics.java
@@ -290,6 +290,7 @@
         return components.eventLoop().nowSeconds();
     }
 
+    /** Returns a value of the scheduler of the term led here; 0 if none is led. */
     private static double schedulerValue(
             ControllerComponents components, ToDoubleFunction<SchedulerState> valueOf) {
         Optional<LeaderTerm> term = components.terms().current();
@@ -302,12 +303,14 @@
                 components, scheduler -> scheduler.machines().stream().filter(isCounted).count());
     }
 
+    /** Returns a value of the event broker; 0 if gRPC is not served or not started yet. */
     private static double brokerValue(
             ControllerComponents components, ToDoubleFunction<EventBroker> valueOf) {
         Optional<JobEventFeed> feed = components.observers().eventFeed();
         return feed.isPresent() ? valueOf.applyAsDouble(feed.get().eventBroker()) : 0;
     }
 
+    /** Registers a counter that is one of the {@link ControllerCounters}. */
     private void registerCounter(
             String name, String description, ToDoubleFunction<ControllerCounters> valueOf) {
         FunctionCounter.builder(name, components.counters(), valueOf)
@@ -315,6 +318,7 @@
                 .register(registry);
     }
 
+    /** Registers a counter that another component has. */
     private void registerFunctionCounter(
             String name, String description, ToDoubleFunction<ControllerComponents> valueOf) {
         FunctionCounter.builder(name, components, valueOf)
--- a/src/main/java/io/kelphoist/controller/JobEventFeed.java
+++ b/src/main/java/io/kelphoist/controller/JobEventFeed.java
@@ -116,7 +116,10 @@
         return grpcServer.port();
     }
 
-    /** Ends all streams and stops the gRPC server. May be called on any thread. */
+    /**
+     * Ends all streams and stops the gRPC server; blocks until then, see {@link GrpcServer#close}.
+     * A second call has no effect. May be called on any thread except the event thread.
+     */
     void stop() {
         if (stopped) {
             return;
--- a/src/main/java/io/kelphoist/controller/TickScheduler.java
+++ b/src/main/java/io/kelphoist/controller/TickScheduler.java
@@ -26,7 +26,10 @@
     private final EventLoop eventLoop;
     private Runnable onTick = () -> {};
     private boolean tickRequested;
-    private double nextDecisionAtSeconds;
+
+    /** Earliest time of a requested tick, on the event loop's clock; periodic ticks ignore it. */
+    private double nextRequestedTickAtSeconds;
+
     private double dueAtSeconds = Double.POSITIVE_INFINITY;
     private double delaySeconds;
 
@@ -55,7 +58,7 @@
         }
         tickRequested = true;
         eventLoop.schedule(
-                Math.max(INPUT_BATCH_SECONDS, nextDecisionAtSeconds - eventLoop.nowSeconds()),
+                Math.max(INPUT_BATCH_SECONDS, nextRequestedTickAtSeconds - eventLoop.nowSeconds()),
                 () -> {
                     tickRequested = false;
                     onTick.run();
@@ -68,7 +71,7 @@
      * several decisions in a row.
      */
     void onDecided(double durationSeconds, double nowSeconds) {
-        nextDecisionAtSeconds = nowSeconds + DECISION_PAUSE_FACTOR * durationSeconds;
+        nextRequestedTickAtSeconds = nowSeconds + DECISION_PAUSE_FACTOR * durationSeconds;
     }
 
     /** Delay of the last periodic tick after its due time, in seconds. */
--- a/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
@@ -290,6 +290,10 @@
         }
     }
 
+    /**
+     * Responds with the worker's next heartbeat. The status is 409 if the commands in the request
+     * were not executed: for another agent epoch, or with a stale fencing token.
+     */
     @Override
     protected synchronized Response respond(HttpServerExchange exchange, ObjectNode body) {
         boolean isAccepted =
--- a/src/test/java/io/kelphoist/contract/RunningControllerFixture.java
+++ b/src/test/java/io/kelphoist/contract/RunningControllerFixture.java
@@ -70,6 +70,7 @@
                     Optional.of(GRPC_SETTINGS),
                     /* traceCollector= */ Optional.empty());
 
+    /** How long {@link #awaitShape} waits: 20 s to compare, 5 s to write golden files. */
     private static final long SHAPE_TIMEOUT_NANOS =
             Boolean.getBoolean("contract.write") ? 5_000_000_000L : 20_000_000_000L;
 
