--- a/src/main/java/io/kelphoist/client/KelphoistClient.java
+++ b/src/main/java/io/kelphoist/client/KelphoistClient.java
@@ -40,7 +40,7 @@
  * <p>Owns its channels; close it after use. Calls block. Not thread-safe.
  */
 public final class KelphoistClient implements AutoCloseable {
-    /** Waits between attempts; tests replace it. */
+    /** Waits between attempts; can be replaced in tests. */
     interface Sleeper {
         void sleep(double seconds) throws InterruptedException;
     }
@@ -157,7 +157,8 @@
     }
 
     /**
-     * Submits a job. Submitting it again has no effect.
+     * Submits a job. Submitting a stored job again changes nothing, and the response has its
+     * current state.
      *
      * @throws StatusRuntimeException if the job was rejected or all attempts failed
      */
--- a/src/main/java/io/kelphoist/config/GrpcSettingsReader.java
+++ b/src/main/java/io/kelphoist/config/GrpcSettingsReader.java
@@ -139,10 +139,12 @@
         return path;
     }
 
+    /** Returns a value that is within bounds, both inclusive. */
     private int integer(String field, int value, int min, int max) throws InvalidSettingsException {
         return (int) number(field, value, min, max);
     }
 
+    /** Returns a value that is within bounds, both inclusive. */
     private double number(String field, double value, double min, double max)
             throws InvalidSettingsException {
         return OperatorSettingsReader.requireInRange(file, field, value, min, max);
--- a/src/main/java/io/kelphoist/emulator/LocalCluster.java
+++ b/src/main/java/io/kelphoist/emulator/LocalEnvironment.java
@@ -11,38 +11,42 @@
 import java.util.concurrent.ScheduledExecutorService;
 
 /**
- * A local environment for controllers on loopback: an emulated state store, an emulated cloud,
- * workers on the machines of that cloud, and the controllers' settings. Owns the emulators; close
- * it after the controllers.
+ * What controllers need to run on loopback: an emulated state store, an emulated cloud, emulated
+ * workers on the machines of that cloud, and the controllers' settings. Starts no controller: the
+ * caller starts one for each of {@link #settings}, and stops them before it closes the environment.
+ * Owns the state store, the cloud and the timers of the workers' heartbeats.
  */
-public final class LocalCluster implements AutoCloseable {
+public final class LocalEnvironment implements AutoCloseable {
     private static final int HEARTBEAT_INTERVAL_MILLIS = 150;
     private static final int TIMER_THREADS = 4;
 
     private final ScheduledExecutorService timers = Executors.newScheduledThreadPool(TIMER_THREADS);
     private final EmulatedWorker.TaskLog taskLog = new EmulatedWorker.TaskLog();
     private final EmulatedStateStore stateStore = new EmulatedStateStore();
-    private final List<String> userAddresses = new ArrayList<>();
+    private final List<String> publicAddresses = new ArrayList<>();
     private final List<PlatformSettings> settings = new ArrayList<>();
     private final EmulatedCloud cloud;
 
     /**
-     * Starts the emulators and writes the controllers' settings.
+     * Starts the emulated state store and cloud, and writes the controllers' settings. A worker
+     * starts with its machine, which a controller requests from the cloud.
      *
      * @param settingsDirectory the directory to which the settings are written
-     * @param controllerCount the number of controllers
-     * @param taskMillis the run time of a task
+     * @param controllerCount the number of controllers to write settings for; their names are a, b
+     *     and so on
+     * @param taskMillis the run time of a task; 0 to end each task when it starts. Tasks of jobs
+     *     whose id starts with "job-9" run until they are stopped instead
      */
-    public LocalCluster(Path settingsDirectory, int controllerCount, int taskMillis)
+    public LocalEnvironment(Path settingsDirectory, int controllerCount, int taskMillis)
             throws IOException, InvalidSettingsException {
         EmulatedWorker.Config workerConfig =
                 new EmulatedWorker.Config(
-                        userAddresses, taskLog, timers, HEARTBEAT_INTERVAL_MILLIS, taskMillis);
+                        publicAddresses, taskLog, timers, HEARTBEAT_INTERVAL_MILLIS, taskMillis);
         cloud = new EmulatedCloud((name, zone) -> new EmulatedWorker(name, zone, workerConfig));
         List<String> peerAddresses = new ArrayList<>();
         for (int i = 0; i < controllerCount; i++) {
             peerAddresses.add(LoopbackPorts.nextFreeAddress());
-            userAddresses.add(LoopbackPorts.nextFreeAddress());
+            publicAddresses.add(LoopbackPorts.nextFreeAddress());
         }
         for (int i = 0; i < controllerCount; i++) {
             Path file = settingsDirectory.resolve(controllerName(i));
@@ -60,7 +64,7 @@
                  "state":{"rps":1000,"write_rps":500,"value_kb":4,"txn_ops":8},"cloud":{"rps":20,"list_lag_s":1}}}"""
                 .formatted(
                         controllerName(controller),
-                        userAddresses.get(controller),
+                        publicAddresses.get(controller),
                         peerAddresses.get(controller),
                         peersJson(controller, peerAddresses),
                         cloud.address(),
@@ -83,7 +87,7 @@
         return String.valueOf((char) ('a' + controller));
     }
 
-    /** Returns the emulated state store. */
+    /** Returns the emulated state store, in which tests cause faults. */
     public EmulatedStateStore stateStore() {
         return stateStore;
     }
@@ -93,17 +97,20 @@
         return taskLog;
     }
 
-    /** Returns the addresses at which the controllers serve users and workers. */
-    public List<String> userAddresses() {
-        return userAddresses;
+    /** Returns the addresses, as host:port, at which the controllers serve users and workers. */
+    public List<String> publicAddresses() {
+        return publicAddresses;
     }
 
-    /** Returns the settings of each controller. */
+    /** Returns the settings of the controllers, in the order of {@link #publicAddresses}. */
     public List<PlatformSettings> settings() {
         return settings;
     }
 
-    /** Stops the emulators. */
+    /**
+     * Ends the workers' heartbeats, and stops the emulated cloud and the emulated state store. The
+     * HTTP servers of workers whose machines the cloud still has stay open.
+     */
     @Override
     public void close() {
         timers.shutdownNow();
--- a/src/main/java/io/kelphoist/events/CursorSigner.java
+++ b/src/main/java/io/kelphoist/events/CursorSigner.java
@@ -78,7 +78,7 @@
             out.writeUTF(cursor.position().jobId());
             out.write(computeMac(key, bytes.toByteArray()));
         } catch (IOException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("can't encode the cursor: " + cursor, e);
         }
         return bytes.toByteArray();
     }
@@ -88,8 +88,8 @@
      *
      * @param filter the filter of the client's current request; the cursor must have been issued
      *     for the same filter
-     * @throws InvalidCursorException if the cursor was not signed with one of the keys, or was
-     *     issued for another filter
+     * @throws InvalidCursorException if the cursor is of another version, was not signed with one
+     *     of the keys, was altered, or was issued for another filter
      */
     public Cursor decode(byte[] encoded, SubscriptionFilter filter) throws InvalidCursorException {
         Cursor cursor = decodePayload(verify(encoded));
@@ -142,7 +142,8 @@
             mac.init(new SecretKeySpec(key.secret(), ALGORITHM));
             return Arrays.copyOf(mac.doFinal(payload), MAC_BYTES);
         } catch (GeneralSecurityException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException(
+                    "can't compute " + ALGORITHM + " with the cursor key " + key.id(), e);
         }
     }
 }
--- a/src/main/java/io/kelphoist/events/EventBroker.java
+++ b/src/main/java/io/kelphoist/events/EventBroker.java
@@ -94,9 +94,12 @@
         return delivery.deliveredEvents();
     }
 
-    /** Returns the number of current-state events that were delivered. */
-    public long mergedEvents() {
-        return delivery.mergedEvents();
+    /**
+     * Returns the number of delivered events that report a job's current state, see {@link
+     * JobEvent#reportsCurrentState}.
+     */
+    public long currentStateEvents() {
+        return delivery.currentStateEvents();
     }
 
     /** Returns the number of subscriptions that were ended because the client read too slowly. */
@@ -106,6 +109,7 @@
 
     /**
      * Returns the revision up to which all records were applied; negative before the first read.
+     * Unlike the counters above, it must be read on the event thread.
      */
     public long appliedRevision() {
         return jobs.appliedRevision();
@@ -125,7 +129,7 @@
         changes.forEach(change -> toDeliver.addAll(subscriptions.byJobId(change.id())));
         for (Subscription subscription : subscriptions.all()) {
             startIfAwaitingStore(subscription, nowSeconds);
-            if (subscription.isCursorAheadAfterUpdate(jobs.appliedRevision())) {
+            if (subscription.countUpdateBehindCursor(jobs.appliedRevision())) {
                 delivery.end(subscription, Subscriber.EndReason.CURSOR_AHEAD);
             }
         }
@@ -207,7 +211,8 @@
 
     /**
      * Replaces all transient events by the latest of each job, because events may have been missed.
-     * Every subscription then delivers the latest event of each of its unfinished jobs again.
+     * Every subscription then delivers the latest event again of each unfinished job that its
+     * filter selects and whose acceptance it has delivered; a job without an event is skipped.
      */
     public void resetTransientEvents(Collection<TransientEvent> events, double nowSeconds) {
         jobs.resetTransientEvents(events);
@@ -312,7 +317,10 @@
         }
     }
 
-    /** Ends stalled subscriptions. Must be called about once a second. */
+    /**
+     * Ends subscriptions whose subscriber has not been ready for longer than the stall timeout, see
+     * {@link Subscription#isStalled}. Must be called about once a second.
+     */
     public void tick(double nowSeconds) {
         for (Subscription subscription : subscriptions.all()) {
             if (subscription.isStalled(nowSeconds, limits.stallTimeoutSeconds())) {
--- a/src/test/java/io/kelphoist/contract/RunningControllerFixture.java
+++ b/src/test/java/io/kelphoist/contract/RunningControllerFixture.java
@@ -70,6 +70,7 @@
                     Optional.of(GRPC_SETTINGS),
                     /* traceCollector= */ Optional.empty());
 
+    /** How long {@link #awaitShape} waits: 20 s to compare, 5 s to write golden files. */
     private static final long SHAPE_TIMEOUT_NANOS =
             Boolean.getBoolean("contract.write") ? 5_000_000_000L : 20_000_000_000L;
 
@@ -91,8 +92,8 @@
                 List.of(
                         new Team(
                                 "vision",
-                                new Resources(100, 16, UNLIMITED),
-                                new Resources(400, 32, UNLIMITED)));
+                                new Resources(/* cpus= */ 100, /* gpus= */ 16, UNLIMITED),
+                                new Resources(/* cpus= */ 400, /* gpus= */ 32, UNLIMITED)));
         PlatformSettings settings =
                 new PlatformSettings(
                         "hoist-1",
@@ -104,12 +105,22 @@
                         services.stateStoreAddress,
                         List.of("a", "b"),
                         teams,
-                        new PlatformSettings.Workers(1, 6, 60, 7, 40),
-                        new PlatformSettings.StateLimits(1000, 500, 4, 24),
-                        new PlatformSettings.CloudLimits(20, 1),
+                        new PlatformSettings.Workers(
+                                /* heartbeatIntervalSeconds= */ 1,
+                                /* leaseSeconds= */ 6,
+                                /* gangWaitSeconds= */ 60,
+                                /* gangPeerSeconds= */ 7,
+                                /* cancelSeconds= */ 40),
+                        new PlatformSettings.StateLimits(
+                                /* requestsPerSecond= */ 1000,
+                                /* writesPerSecond= */ 500,
+                                /* maxValueKilobytes= */ 4,
+                                /* maxTransactionChanges= */ 24),
+                        new PlatformSettings.CloudLimits(
+                                /* requestsPerSecond= */ 20, /* listLagSeconds= */ 1),
                         Map.of(),
-                        1000,
-                        250);
+                        /* socketLimit= */ 1000,
+                        /* clockErrorMillis= */ 250);
         controller = ControllerProcess.start(settings, OPERATOR_SETTINGS, System.nanoTime() * 1e-9);
     }
 
@@ -140,7 +151,7 @@
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         } catch (InterruptedException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("interrupted during " + method + " " + path, e);
         }
     }
 
@@ -222,7 +233,7 @@
     }
 
     /** Returns an encoded submission of a gang. */
-    static byte[] job(String id, String team, int tasks) {
+    static byte[] encodedGang(String id, String team, int tasks) {
         ObjectNode job = JobCodec.encodeJob(SampleJobs.arrayWithoutOptionalFields());
         return MessageEncoding.encodeCbor(
                 job.put("name_id", id)
@@ -246,7 +257,7 @@
         try {
             return MessageEncoding.decodeCbor(response.body());
         } catch (MalformedMessageException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("expected CBOR from " + response.uri(), e);
         }
     }
 
--- a/src/test/java/io/kelphoist/contract/SettingsContractTest.java
+++ b/src/test/java/io/kelphoist/contract/SettingsContractTest.java
@@ -81,12 +81,17 @@
                     "127.0.0.1:9002",
                     List.of("a", "b", "c"),
                     teams,
-                    new PlatformSettings.Workers(2, 10.5, 61, 7, 33),
+                    new PlatformSettings.Workers(
+                            /* heartbeatIntervalSeconds= */ 2,
+                            /* leaseSeconds= */ 10.5,
+                            /* gangWaitSeconds= */ 61,
+                            /* gangPeerSeconds= */ 7,
+                            /* cancelSeconds= */ 33),
                     new PlatformSettings.StateLimits(250, 80, 4, 24),
                     new PlatformSettings.CloudLimits(5, 4.5),
                     Map.of("serve", 20.0, "train", 60.0),
-                    700,
-                    250);
+                    /* socketLimit= */ 700,
+                    /* clockErrorMillis= */ 250);
         }
 
         @Test
@@ -113,11 +118,20 @@
                             "127.0.0.1:9002",
                             List.of("a"),
                             teams,
-                            new PlatformSettings.Workers(2, 10, 60, 7, 30),
-                            new PlatformSettings.StateLimits(300, 90, 8, 48),
+                            new PlatformSettings.Workers(
+                                    /* heartbeatIntervalSeconds= */ 2,
+                                    /* leaseSeconds= */ 10,
+                                    /* gangWaitSeconds= */ 60,
+                                    /* gangPeerSeconds= */ 7,
+                                    /* cancelSeconds= */ 30),
+                            new PlatformSettings.StateLimits(
+                                    /* requestsPerSecond= */ 300,
+                                    /* writesPerSecond= */ 90,
+                                    /* maxValueKilobytes= */ 8,
+                                    /* maxTransactionChanges= */ 48),
                             new PlatformSettings.CloudLimits(5, 4),
                             Map.of(),
-                            settings.socketLimit(),
+                            /* socketLimit= */ settings.socketLimit(),
                             1000),
                     settings);
         }
--- a/src/test/java/io/kelphoist/controller/GrpcRequestValidationTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcRequestValidationTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Invalid cursors and unknown jobs in requests over gRPC, and the gRPC health check. */
+/**
+ * Invalid cursors and unknown jobs in requests over gRPC, and the gRPC health check. Guards against
+ * a stream that resumes at a wrong position or waits for a job that does not exist.
+ */
 @Timeout(40)
 class GrpcRequestValidationTest extends GrpcFixture {
     /** A cursor is rejected if it was changed, or if it was issued for another subscription. */
@@ -24,6 +27,7 @@
         RecordedEvents received = new RecordedEvents();
         client(0).watch(watchJobs("job-91"), message -> !received.add(message));
         byte[] changedCursor = received.cursor.toByteArray();
+        // One of the bytes 10 to 17, which encode the start revision.
         changedCursor[12] ^= 1;
         assertEquals(
                 Status.Code.INVALID_ARGUMENT,
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulation.java
@@ -27,6 +27,8 @@
 final class EventBrokerSimulation {
     private static final int CONTROLLERS = 3;
     private static final int JOBS = 12;
+
+    /** Small limits, so that with 4 buffered events and 3 retained ended jobs many are dropped. */
     private static final EventBrokerLimits LIMITS = new EventBrokerLimits(50, 50, 4, 3, 1000);
 
     private record Change(long revision, List<JobRecord> jobs) {}
@@ -136,8 +138,7 @@
         @Override
         public void onEnded(EndReason reason, Cursor nextCursor) {
             assertTrue(
-                    reason != EndReason.CURSOR_AHEAD,
-                    () -> "expected no rejection of a valid cursor as ahead of the store");
+                    reason != EndReason.CURSOR_AHEAD, "expected an accepted cursor: " + received);
             subscription = null;
             cursor = signer.encode(nextCursor);
             startRevision = Math.max(startRevision, nextCursor.startRevision());
@@ -163,7 +164,7 @@
                                 0);
                 onConnected(opened);
             } catch (EventBroker.TooManyStreamsException | CursorSigner.InvalidCursorException e) {
-                throw new AssertionError(e);
+                throw new AssertionError("expected a subscription for " + filter, e);
             }
         }
 
@@ -393,7 +394,6 @@
         return stored.containsKey(jobId) && stored.get(jobId).status().isFinal();
     }
 
-    /** Returns the number of events that the clients have received. */
     int receivedEventCount() {
         return clients.stream().mapToInt(client -> client.received.size()).sum();
     }
