--- a/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
+++ b/src/main/java/io/kelphoist/archive/ClassArchiveTrainingServer.java
@@ -291,7 +291,7 @@
                                 .put("cast", command.path("cast").asLong())
                                 .put("sway", "pulling");
                 case "halt" -> stopTask(tasks, taskName);
-                default -> forgetTask(tasks, taskName);
+                default -> removeTask(tasks, taskName);
             }
         }
     }
@@ -304,7 +304,7 @@
         }
     }
 
-    private static void forgetTask(ArrayNode tasks, String taskName) {
+    private static void removeTask(ArrayNode tasks, String taskName) {
         for (Iterator<JsonNode> iterator = tasks.iterator(); iterator.hasNext(); ) {
             if (iterator.next().path("frond").asText().equals(taskName)) {
                 iterator.remove();
--- a/src/main/java/io/kelphoist/controller/AdmissionKnowledge.java
+++ b/src/main/java/io/kelphoist/controller/AdmissionClusterView.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 
 /** What admission needs to know besides what the state store holds. */
-record AdmissionKnowledge(
+record AdmissionClusterView(
         CloudGateway cloudGateway, TaskCountReplication taskCounts, TickScheduler tickScheduler)
         implements Admission.ClusterView {
     @Override
--- a/src/main/java/io/kelphoist/controller/Controller.java
+++ b/src/main/java/io/kelphoist/controller/Controller.java
@@ -74,7 +74,7 @@
         if (terms.loaded().isPresent()
                 && !shuttingDown
                 && elector.election().isLeader(nowSeconds)
-                && !lead(terms.loaded().get(), nowSeconds)) {
+                && !runLeaderTick(terms.loaded().get(), nowSeconds)) {
             return;
         }
         components.systems().workerClient().closeIdle(nowSeconds);
@@ -82,8 +82,8 @@
     }
 
     /** Does what a leader does at every tick; false if the term ended before all was done. */
-    private boolean lead(LeaderTerm term, double nowSeconds) {
-        decide(term, nowSeconds);
+    private boolean runLeaderTick(LeaderTerm term, double nowSeconds) {
+        runSchedulingDecision(term, nowSeconds);
         if (terms.current().orElse(null) != term) {
             // The decision has ended the term, for example since a write found a newer term.
             return false;
@@ -102,20 +102,20 @@
         replication
                 .leaseDelegation()
                 .storeRecords(term.store(), (double) System.currentTimeMillis(), nowSeconds);
-        logLoad(nowSeconds);
+        logLeaderLoad(nowSeconds);
         // The last step, since it may end the term.
         term.resignIfIsolated(nowSeconds);
         return true;
     }
 
-    private void decide(LeaderTerm term, double nowSeconds) {
+    private void runSchedulingDecision(LeaderTerm term, double nowSeconds) {
         term.decide(nowSeconds);
         components.counters().onDecision(eventLoop.nowSeconds() - nowSeconds);
         components.tickScheduler().onDecided(eventLoop.nowSeconds() - nowSeconds, nowSeconds);
     }
 
     /** Logs what the event loop of a leader spends its time on. */
-    private void logLoad(double nowSeconds) {
+    private void logLeaderLoad(double nowSeconds) {
         if (nowSeconds < nextLoadLogAtSeconds) {
             return;
         }
--- a/src/main/java/io/kelphoist/controller/ControllerFactory.java
+++ b/src/main/java/io/kelphoist/controller/ControllerFactory.java
@@ -293,7 +293,7 @@
                 new Admission.StoreAccess(userReads, systems.committer()::submit),
                 eventLoop,
                 System::currentTimeMillis,
-                new AdmissionKnowledge(
+                new AdmissionClusterView(
                         systems.cloudGateway(), replication.taskCounts(), tickScheduler),
                 admissionSettings,
                 replication.cancellations()::beforeStatusReported);
--- a/src/main/java/io/kelphoist/controller/JobTraceRecorder.java
+++ b/src/main/java/io/kelphoist/controller/JobTraceRecorder.java
@@ -30,13 +30,13 @@
                     result instanceof AdmissionResult.Accepted
                             || result instanceof AdmissionResult.Found;
             tracer.endSubmission(
-                    span, answerAttribute(result), !isAccepted, wallClockMillis.getAsLong());
+                    span, resultAttribute(result), !isAccepted, wallClockMillis.getAsLong());
             callback.accept(result);
         };
     }
 
     /** The value of a span's attribute, which operators search by: independent of type names. */
-    static String answerAttribute(AdmissionResult result) {
+    static String resultAttribute(AdmissionResult result) {
         if (result instanceof AdmissionResult.Accepted) {
             return "accepted";
         }
