--- a/src/main/java/io/kelphoist/controller/AdmissionBackend.java
+++ b/src/main/java/io/kelphoist/controller/AdmissionBackend.java
@@ -12,8 +12,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves the gRPC service by the controller's admission: requests may come from any thread, run on
- * the event loop, and their callbacks run on the event thread.
+ * Serves the requests of the gRPC service with the controller's admission. Methods may be called on
+ * any thread: requests run on the event loop, and their callbacks run on the event thread.
  */
 final class AdmissionBackend implements SchedulerBackend {
     private static final Logger LOG = LoggerFactory.getLogger(AdmissionBackend.class);
@@ -63,12 +63,12 @@
         return result -> eventThread.run(() -> callback.accept(result));
     }
 
-    /** Runs a task on the event loop; ignored while the controller is stopping. */
+    /** Runs a task on the event loop; the task is dropped if the event loop is stopping. */
     void runOnLoop(Runnable task) {
         try {
             loopExecutor.execute(task);
         } catch (RejectedExecutionException e) {
-            LOG.debug("request dropped, the event loop is stopping");
+            LOG.debug("request dropped because the event loop is stopping");
         }
     }
 }
--- a/src/main/java/io/kelphoist/controller/AdmissionClusterView.java
+++ b/src/main/java/io/kelphoist/controller/AdmissionClusterView.java
@@ -8,7 +8,7 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** What admission needs to know besides what the state store holds. */
+/** The controller's machine types, task counts and load, which admission uses besides records. */
 record AdmissionClusterView(
         CloudGateway cloudGateway, TaskCountReplication taskCounts, TickScheduler tickScheduler)
         implements Admission.ClusterView {
--- a/src/main/java/io/kelphoist/controller/BrokerUpdates.java
+++ b/src/main/java/io/kelphoist/controller/BrokerUpdates.java
@@ -8,12 +8,12 @@
 import java.util.function.Consumer;
 
 /**
- * Passes updates from the event loop on to the event broker, which runs on the event thread.
- * Neither thread waits for the other. Owns the number of pending batches of transient events, which
- * is bounded; updates of stored records are not, as none of them may be lost.
+ * Passes updates from the event loop to the event broker, which runs on the event thread. Neither
+ * thread waits for the other. Owns the number of pending batches of transient events, which is
+ * bounded; the number of pending updates of stored records is not, as none of them may be lost.
  */
 final class BrokerUpdates {
-    /** Batches of transient events that may wait for the event thread. */
+    /** Number of batches of transient events waiting for the event thread at which it is full. */
     static final int MAX_PENDING_BATCHES = 32;
 
     private final EventThread eventThread;
@@ -32,7 +32,7 @@
         eventThread.run(() -> update.accept(broker));
     }
 
-    /** Whether the event thread can't keep up, so that no transient events may be submitted. */
+    /** Whether the event thread is so far behind that no transient events may be submitted. */
     boolean isFull() {
         return pendingBatches.get() >= MAX_PENDING_BATCHES;
     }
@@ -42,7 +42,7 @@
         submitBatch(target -> target.onTransientEvents(events, loop.nowSeconds()));
     }
 
-    /** Submits the latest transient event of each job, in place of those submitted before. */
+    /** Submits the latest transient event of each job, which replace those submitted before. */
     void submitSnapshot(List<TransientEvent> events) {
         submitBatch(target -> target.resetTransientEvents(events, loop.nowSeconds()));
     }
--- a/src/main/java/io/kelphoist/controller/Controller.java
+++ b/src/main/java/io/kelphoist/controller/Controller.java
@@ -13,22 +13,23 @@
 import org.slf4j.MDC;
 
 /**
- * Drives one controller: starts its parts, ticks them, and hands over when it stops. Whatever the
- * parts keep is their own. All of it runs on the event loop, that is on one I/O thread.
+ * Drives one controller: starts its components, runs their ticks, and hands the leadership over
+ * when the process shuts down. Owns none of the components' state. Runs on the event loop, which is
+ * a single I/O thread.
  */
 final class Controller implements LeaderElector.TermListener {
     private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
     private static final double LOAD_LOG_INTERVAL_SECONDS = 5;
 
-    /** How long commands and writes in flight may take to complete when this controller stops. */
+    /** How long a shutdown waits for commands and writes in flight. */
     private static final double DRAIN_TIMEOUT_SECONDS = 1.0;
 
     private static final double DRAIN_POLL_SECONDS = 0.05;
 
-    /** Time for the messages that hand the leadership over. */
+    /** How long a shutdown waits for the handover messages to be sent. */
     private static final double HANDOVER_GRACE_SECONDS = 0.3;
 
-    /** Name of the current term among the fields of each log line. */
+    /** MDC key that adds the term led here to each log line. */
     private static final String TERM_LOG_FIELD = "term";
 
     private final ControllerComponents components;
@@ -49,7 +50,7 @@
         this.cloudGateway = components.systems().cloudGateway();
     }
 
-    /** Begins to replicate, to take part in elections and to tick. Called once. */
+    /** Starts replication, elections, ticks and the read of the machine types. Called once. */
     void start() {
         replication.records().start();
         elector.start(this, components.grantExchange());
@@ -61,7 +62,10 @@
         return components;
     }
 
-    /** Whether users and workers should use this controller. */
+    /**
+     * Whether users and workers should use this controller: it has the machine types, and it is not
+     * the only controller that can't reach the state store.
+     */
     boolean isHealthy() {
         return !cloudGateway.machineTypes().isEmpty() && !elector.isIsolatedFromState();
     }
@@ -81,15 +85,15 @@
         components.workerConnections().closeIdle(nowSeconds);
     }
 
-    /** Does what a leader does at every tick; false if the term ended before all was done. */
+    /** Runs the leader's part of a tick; returns false if the term ended before the last step. */
     private boolean runLeaderTick(LeaderTerm term, double nowSeconds) {
         runSchedulingDecision(term, nowSeconds);
         if (terms.current().orElse(null) != term) {
-            // The decision has ended the term, for example since a write found a newer term.
+            // The decision ended the term, for example because a write found a newer term stored.
             return false;
         }
         if (term.schedulerState().isDeposed()) {
-            elector.election().resign("a worker has seen a higher term", nowSeconds);
+            elector.election().resign("a worker reported a newer term", nowSeconds);
             return false;
         }
         cloudGateway.poll(nowSeconds);
@@ -114,7 +118,7 @@
         components.tickScheduler().onDecided(eventLoop.nowSeconds() - nowSeconds, nowSeconds);
     }
 
-    /** Logs what the event loop of a leader spends its time on. */
+    /** Logs the work of a leader's event loop, if the last log line is old enough. */
     private void logLeaderLoad(double nowSeconds) {
         if (nowSeconds < nextLoadLogAtSeconds) {
             return;
@@ -122,7 +126,7 @@
         nextLoadLogAtSeconds = nowSeconds + LOAD_LOG_INTERVAL_SECONDS;
         ControllerCounters counters = components.counters();
         LOG.debug(
-                "leader load since start: heartbeats={} heartbeatSeconds={} decisions={}"
+                "leader load since process start: heartbeats={} heartbeatSeconds={} decisions={}"
                         + " decisionSeconds={} workerConnections={} commandConnections={}"
                         + " queuedWrites={}",
                 counters.heartbeats(),
@@ -155,10 +159,11 @@
     // ---- shutdown ----
 
     /**
-     * Prepares this controller to stop: decides nothing more, waits a moment until commands and
-     * writes in flight are complete, and hands the leadership over.
+     * Prepares this controller for the end of its process: stops making scheduling decisions, waits
+     * at most {@value #DRAIN_TIMEOUT_SECONDS} s until commands and writes in flight have completed,
+     * and hands the leadership over.
      *
-     * @param onComplete runs on the event loop when the process may stop
+     * @param onComplete runs on the event loop once the process may stop
      */
     void shutDown(Runnable onComplete) {
         shuttingDown = true;
@@ -171,7 +176,7 @@
             return;
         }
         boolean wasLeader = terms.current().isPresent();
-        elector.election().resign("it stops", eventLoop.nowSeconds());
+        elector.election().resign("controller shutdown", eventLoop.nowSeconds());
         eventLoop.schedule(wasLeader ? HANDOVER_GRACE_SECONDS : 0, onComplete);
     }
 
--- a/src/main/java/io/kelphoist/controller/ControllerComponents.java
+++ b/src/main/java/io/kelphoist/controller/ControllerComponents.java
@@ -13,7 +13,7 @@
 import io.kelphoist.metrics.ControllerCounters;
 import io.kelphoist.peer.PeerClient;
 
-/** The parts of one controller, as {@link ControllerFactory} wired them. */
+/** The components of one controller, as {@link ControllerFactory} connected them. */
 record ControllerComponents(
         PlatformSettings settings,
         ControllerCounters counters,
--- a/src/main/java/io/kelphoist/controller/ControllerFactory.java
+++ b/src/main/java/io/kelphoist/controller/ControllerFactory.java
@@ -42,17 +42,17 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The composition root of a controller: makes its parts and connects them. Nothing it makes does
- * anything before {@link Controller#start}. Used once, on the event loop.
+ * The composition root of a controller: creates its components and connects them. The components do
+ * nothing before {@link Controller#start}. Used once, on the event loop.
  */
 final class ControllerFactory {
     private static final Logger LOG = LoggerFactory.getLogger(ControllerFactory.class);
     private static final int MAX_STATE_CONNECTIONS = 5;
 
-    /** For leases and the leadership keys, besides transactions. */
+    /** Two for leases and the leadership keys, and one for each transaction in flight. */
     private static final int MAX_URGENT_CONNECTIONS = 2 + GroupCommitter.MAX_IN_FLIGHT;
 
-    /** For the leadership keys, four kinds of records, and the jobs for gRPC. */
+    /** One for the leadership keys, one for each of four kinds of records, one for gRPC's jobs. */
     private static final int MAX_WATCH_CONNECTIONS = 6;
 
     private static final int MAX_CLOUD_CONNECTIONS = 2;
@@ -60,12 +60,12 @@
     private static final int MAX_CONNECTIONS_PER_WORKER = 1;
 
     /**
-     * Share of the state store's request limit for each controller: two of three may be busy at a
-     * time, during a failover.
+     * Share of the state store's request limit for each controller. During a failover, two of three
+     * controllers may use their full share at the same time.
      */
     private static final double STATE_REQUEST_SHARE = 0.45;
 
-    /** Share of a controller's requests to the state store that users' reads may take. */
+    /** Share of a controller's requests to the state store that users' reads may use. */
     private static final double USER_READ_SHARE = 0.6;
 
     /** Share of the state store's write limit for each controller. */
@@ -101,6 +101,7 @@
         this.socketBudget = new SocketBudget(settings.socketLimit());
     }
 
+    /** Creates the components of the controller and connects them. */
     ControllerComponents create() {
         PeerClient peerClient = newPeerClient();
         ExternalSystems systems = newExternalSystems();
--- a/src/main/java/io/kelphoist/controller/ControllerMetrics.java
+++ b/src/main/java/io/kelphoist/controller/ControllerMetrics.java
@@ -19,9 +19,9 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * The metrics of a controller in Prometheus' text format. Names, tags and tag values are part of
- * the interface to the operators' dashboards. Values are read at each scrape, on the event loop;
- * those of the scheduler are 0 on a controller that does not lead.
+ * The metrics of a controller in the Prometheus text format. Names, tags and tag values are an
+ * interface that the operators' dashboards rely on. Values are read at each scrape, on the event
+ * loop; those of the scheduler are 0 on a controller that does not lead.
  */
 final class ControllerMetrics {
     private final PrometheusMeterRegistry registry =
@@ -43,7 +43,7 @@
         registerResourceMetrics();
     }
 
-    /** Returns the current values. */
+    /** Returns all metrics with their current values. */
     String scrape() {
         return registry.scrape();
     }
@@ -51,7 +51,7 @@
     private void registerHeartbeatMetrics() {
         registerCounter(
                 "kelphoist.reports",
-                "Heartbeats received from workers",
+                "Heartbeats received directly from workers",
                 ControllerCounters::heartbeats);
         registerCounter(
                 "kelphoist.reports.relayed",
@@ -59,7 +59,7 @@
                 ControllerCounters::relayedHeartbeats);
         registerCounter(
                 "kelphoist.reports.cared",
-                "Heartbeats answered under a lease delegation, without a leader",
+                "Worker leases renewed under a lease delegation, without a leader",
                 ControllerCounters::delegatedRenewals);
         registerCounter(
                 "kelphoist.reports.seconds",
@@ -67,8 +67,8 @@
                 ControllerCounters::heartbeatSeconds);
         registerCounter(
                 "kelphoist.withheld",
-                "Lease renewals and starts that the leader withheld, as cancellations may be"
-                        + " unknown",
+                "Lease renewals and starts that the leader withheld because its cancellation"
+                        + " watermark was too old",
                 ControllerCounters::withheldResponses);
     }
 
@@ -79,15 +79,15 @@
                 ControllerCounters::decisions);
         registerCounter(
                 "kelphoist.decisions.seconds",
-                "Time that decisions took",
+                "Time that the leader spent on scheduling decisions",
                 ControllerCounters::decisionSeconds);
         registerCounter(
                 "kelphoist.orders",
-                "Commands sent to workers outside of heartbeat responses",
+                "Deliveries of commands to workers outside of heartbeat responses",
                 ControllerCounters::commandsSent);
         registerCounter(
                 "kelphoist.orders.unanswered",
-                "Commands sent to workers that nobody answered",
+                "Deliveries of commands to workers without a response, whose outcome is unknown",
                 ControllerCounters::commandsWithUnknownOutcome);
         registerCounter(
                 "kelphoist.messages.bad",
@@ -95,7 +95,7 @@
                 ControllerCounters::malformedMessages);
         registerCounter(
                 "kelphoist.errors.unexpected",
-                "Errors that should not happen",
+                "Tasks of the event loop that failed with an unhandled exception",
                 ControllerCounters::unexpectedErrors);
     }
 
@@ -105,24 +105,24 @@
                             "kelphoist.requests.put.off",
                             components.admission(),
                             admission -> admission.deferralCount(cause))
-                    .description("Users' requests that got 503, by cause")
+                    .description("Users' requests that were deferred (HTTP status 503), by cause")
                     .tag("cause", cause.name().toLowerCase(Locale.ROOT))
                     .register(registry);
         }
         registerGauge(
                 "kelphoist.jobs.unanswered",
-                "Jobs that users asked about without an answer since",
+                "Jobs whose queries are being deferred",
                 c -> c.admission().unansweredJobs().size());
         registerGauge(
                 "kelphoist.jobs.unanswered.seconds",
-                "How long the first of them waits",
+                "Longest time for which the queries for a job have been deferred",
                 c -> c.admission().unansweredJobs().longestWaitSeconds(nowSeconds()));
     }
 
     private void registerEventMetrics() {
         registerGauge(
                 "kelphoist.streams",
-                "Streams of job events",
+                "Open streams of job events",
                 c -> brokerValue(c, EventBroker::streamCount));
         registerFunctionCounter(
                 "kelphoist.events",
@@ -130,11 +130,11 @@
                 c -> brokerValue(c, EventBroker::deliveredEvents));
         registerFunctionCounter(
                 "kelphoist.events.present",
-                "Job events that stood for the present state, in place of several",
+                "Job events sent that reported a job's current state in place of several events",
                 c -> brokerValue(c, EventBroker::mergedEvents));
         registerFunctionCounter(
                 "kelphoist.streams.slow",
-                "Streams that were ended as they read too slowly",
+                "Streams that were ended because their clients read too slowly",
                 c -> brokerValue(c, EventBroker::slowStreams));
     }
 
@@ -156,11 +156,11 @@
                 c -> schedulerValue(c, scheduler -> scheduler.jobs().size()));
         registerGauge(
                 "kelphoist.jobs.longest.wait.seconds",
-                "Longest wait of a job of which nothing has started, on the leader",
+                "Longest wait of a job without any started task, on the leader",
                 c -> schedulerValue(c, SchedulerState::longestWaitSeconds));
         registerGauge(
                 "kelphoist.swept",
-                "Jobs and tasks that reconciliation found missing in this term, on the leader",
+                "Lost jobs and tasks that reconciliation recovered in this term, on the leader",
                 c -> schedulerValue(c, SchedulerState::reconciledCount));
     }
 
@@ -175,44 +175,47 @@
                 c -> machineCount(c, machine -> machine.state() == Machine.State.UP));
         registerGauge(
                 "kelphoist.machines.doubted",
-                "Machines that send heartbeats but may not receive commands, on the leader",
+                "Machines that send heartbeats but are suspected not to receive commands, on the"
+                        + " leader",
                 c -> machineCount(c, Machine::isSuspected));
         registerCounter(
                 "kelphoist.checks",
-                "Probes of whether a machine receives commands",
+                "Reachability probes of whether a machine receives commands",
                 ControllerCounters::reachabilityProbes);
     }
 
     private void registerReplicationMetrics() {
         registerGauge(
                 "kelphoist.standby.state",
-                "Replica of the leader's machines: 0 empty, 1 syncing, 2 in sync, 3 lagging",
+                "State of the replica of the leader's machines: 0 empty, 1 syncing, 2 in sync,"
+                        + " 3 lagging",
                 c ->
                         replicaStateCode(
                                 c.replication().machineStates().replica().state(nowSeconds())));
         registerGauge(
                 "kelphoist.standby.machines",
-                "Machines in the replica",
+                "Machines in the replica of the leader's machines",
                 c -> c.replication().machineStates().replica().size());
         registerGauge(
                 "kelphoist.standby.behind.seconds",
-                "Since the leader last sent an update of its machines",
+                "Time since the leader last sent an update of its machines",
                 c -> c.replication().machineStates().replica().lagSeconds(nowSeconds()));
         registerGauge(
                 "kelphoist.standby.followers.behind",
-                "Changes that the follower farthest behind lacks, on the leader",
+                "Machine changes that the follower with the largest lag has not acknowledged, on"
+                        + " the leader",
                 c -> c.replication().machineStates().maxFollowerLag());
         registerFunctionCounter(
                 "kelphoist.standby.mended",
-                "Shards of the replica that diverged and were repaired",
+                "Shards of the machine replica that diverged and were repaired",
                 c -> c.replication().machineStates().replica().repairedShardCount());
         registerGauge(
                 "kelphoist.standby.records.behind.seconds",
-                "Since the state store last sent anything about the records",
+                "Time since the state store last sent the records or their changes",
                 c -> c.replication().records().lagSeconds());
         registerGauge(
                 "kelphoist.standby.revision",
-                "Revision as of which all records are known",
+                "Revision of the state store up to which all records are replicated",
                 c -> c.replication().records().replica().oldestRevision());
         registerGauge(
                 "kelphoist.standby.jobs",
@@ -232,7 +235,7 @@
     private void registerFailoverMetrics() {
         registerCounter(
                 "kelphoist.questions",
-                "Heartbeats that a new leader requested from machines",
+                "Status requests that a new leader sent to machines",
                 ControllerCounters::statusRequests);
         for (PromotionCheck check : PromotionCheck.values()) {
             Gauge.builder(
@@ -240,8 +243,8 @@
                             components,
                             c -> c.replication().machineStates().secondsUntilPassed(check))
                     .description(
-                            "From the start of the term until this check passed; NaN: it has not,"
-                                    + " or another controller leads")
+                            "Time from the start of the term until this promotion check passed;"
+                                    + " NaN if it has not passed or another controller leads")
                     .tag("check", check.name().toLowerCase(Locale.ROOT))
                     .register(registry);
         }
@@ -250,12 +253,13 @@
     private void registerDelegationMetrics() {
         registerGauge(
                 "kelphoist.mandate",
-                "1 while this controller may renew leases if the leader is silent",
+                "1 while this controller holds a lease delegation, so that it may renew worker"
+                        + " leases if it receives nothing from the leader",
                 c -> c.replication().leaseDelegation().holdsDelegation(nowSeconds()) ? 1 : 0);
         registerGauge(
                 "kelphoist.cancellations.known.age.seconds",
-                "Since the moment up to which all cancellations are known, on the leader; NaN"
-                        + " elsewhere",
+                "Age of the cancellation watermark, up to which the leader has received all"
+                        + " confirmed cancellations; NaN on followers",
                 c -> c.replication().cancellations().knownAgeSeconds());
         registerGauge(
                 "kelphoist.cancellations.unacknowledged",
@@ -266,19 +270,19 @@
     private void registerResourceMetrics() {
         registerGauge(
                 "kelphoist.connections.workers",
-                "Connections that workers keep to this controller",
+                "Connections from workers that stay open between heartbeats",
                 c -> c.workerConnections().size());
         registerGauge(
                 "kelphoist.connections.orders",
-                "Connections to workers, for commands",
+                "Open connections to workers, for commands",
                 c -> c.systems().workerClient().openConnectionCount());
         registerGauge(
                 "kelphoist.loop.late.seconds",
-                "By how much the last periodic tick of the event loop was late",
+                "Delay of the last periodic tick of the event loop",
                 c -> c.tickScheduler().delaySeconds());
         registerGauge(
                 "kelphoist.writes.waiting",
-                "Writes that wait for the state store",
+                "Writes queued for the state store",
                 c -> c.systems().committer().queuedWrites());
     }
 
--- a/src/main/java/io/kelphoist/controller/ControllerProcess.java
+++ b/src/main/java/io/kelphoist/controller/ControllerProcess.java
@@ -33,7 +33,8 @@
     private static final int MAX_HEADER_BYTES = 16 * 1024;
 
     /**
-     * At the limit no connection is accepted until one in so many of those at the limit is closed.
+     * Once the limit of incoming connections is reached, no further ones are accepted until one in
+     * {@value} of them is closed.
      */
     private static final int CONNECTION_HYSTERESIS_DIVISOR = 16;
 
@@ -59,10 +60,10 @@
     }
 
     /**
-     * Starts a controller and serves its HTTP ports.
+     * Starts a controller and opens its HTTP ports.
      *
      * @param startedAtSeconds when this process started, on the monotonic clock
-     * @throws IOException if a socket or thread could not be set up
+     * @throws IOException if a socket or thread can't be set up
      */
     public static ControllerProcess start(
             PlatformSettings settings, OperatorSettings operatorSettings, double startedAtSeconds)
@@ -108,7 +109,7 @@
         return Xnio.getInstance().createWorker(options);
     }
 
-    /** Makes and starts a controller, on the event loop. */
+    /** Creates and starts a controller; runs on the event loop. */
     private static void startController(
             ControllerFactory factory, CompletableFuture<Controller> started) {
         try {
@@ -121,8 +122,9 @@
     }
 
     /**
-     * Adds the recorder of traces if the operators switched it on. This takes a while, during which
-     * the event loop runs; the recorder observes jobs once the loop has added it.
+     * Adds the recorder of traces if the operators enabled traces. Creating it is slow and happens
+     * outside the event loop, which goes on meanwhile; the recorder observes jobs once the event
+     * loop has added it.
      */
     private static Optional<JobTraceRecorder> addTraceRecorder(
             ControllerComponents components, OperatorSettings operatorSettings, XnioWorker worker) {
@@ -144,8 +146,9 @@
     }
 
     /**
-     * Adds the event feed with its gRPC server if the operators switched it on. This takes a while,
-     * during which the event loop runs; the feed observes jobs once the loop has added it.
+     * Adds the event feed with its gRPC server if the operators enabled gRPC. Creating it is slow
+     * and happens outside the event loop, which goes on meanwhile; the feed observes jobs once the
+     * event loop has added it.
      */
     private static Optional<JobEventFeed> addEventFeed(
             ControllerComponents components, OperatorSettings operatorSettings, XnioWorker worker)
@@ -169,7 +172,7 @@
         HostAndPort peerAddress = HostAndPort.fromString(settings.peerListenAddress());
         SocketBudget socketBudget = new SocketBudget(settings.socketLimit());
         int maxIncoming = socketBudget.maxIncomingConnections();
-        int acceptAgainBelow =
+        int resumeAcceptingBelow =
                 Math.max(1, maxIncoming - maxIncoming / CONNECTION_HYSTERESIS_DIVISOR);
         return Undertow.builder()
                 .setWorker(worker)
@@ -181,7 +184,7 @@
                 .setSocketOption(Options.BACKLOG, socketBudget.backlog())
                 .setSocketOption(Options.REUSE_ADDRESSES, true)
                 .setSocketOption(Options.CONNECTION_HIGH_WATER, maxIncoming)
-                .setSocketOption(Options.CONNECTION_LOW_WATER, acceptAgainBelow)
+                .setSocketOption(Options.CONNECTION_LOW_WATER, resumeAcceptingBelow)
                 .setSocketOption(Options.TCP_NODELAY, true)
                 .addHttpListener(
                         publicAddress.getPort(),
@@ -194,21 +197,21 @@
                 .build();
     }
 
-    /** The port that gRPC is served on; 0 if it is not. */
+    /** The port of the gRPC server; 0 if gRPC is not served. */
     int grpcPort() {
         return eventFeed.map(JobEventFeed::port).orElse(0);
     }
 
-    /** Hands the leadership over, if this controller has it, and stops. */
+    /** Hands the leadership over if this controller leads, and stops. */
     public void shutDown() {
         handOver();
         stop();
     }
 
     /**
-     * Hands over if this controller leads, and waits for it for {@value #SHUTDOWN_TIMEOUT_SECONDS}
-     * s at most. The sockets stay open, so that messages under way still arrive. Called from
-     * outside of the event loop.
+     * Hands the leadership over if this controller leads, and waits at most {@value
+     * #SHUTDOWN_TIMEOUT_SECONDS} s for that. The sockets stay open, so that messages in flight
+     * still arrive. Must not be called on the event loop.
      */
     public void handOver() {
         CompletableFuture<Void> handedOver = new CompletableFuture<>();
@@ -216,7 +219,7 @@
         handedOver.completeOnTimeout(null, SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS).join();
     }
 
-    /** Stops at once, without handing over. */
+    /** Stops at once, without handing the leadership over. */
     public void stop() {
         eventFeed.ifPresent(JobEventFeed::stop);
         server.stop();
--- a/src/main/java/io/kelphoist/controller/EventThread.java
+++ b/src/main/java/io/kelphoist/controller/EventThread.java
@@ -7,8 +7,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The thread that owns the event broker and delivers to streams. Tasks may be submitted by any
- * thread; they must carry immutable data.
+ * The thread that owns the event broker and delivers events to streams. Any thread may submit
+ * tasks; the data that a task carries must be immutable.
  */
 final class EventThread {
     private static final Logger LOG = LoggerFactory.getLogger(EventThread.class);
@@ -21,17 +21,17 @@
                         return thread;
                     });
 
-    /** The thread as an executor, which does not guard its tasks. */
+    /** The thread as an executor, which does not log the exceptions of its tasks. */
     ScheduledExecutorService executor() {
         return executor;
     }
 
-    /** Runs a task on the thread; an exception is logged. Ignored after {@link #close}. */
+    /** Runs a task on the thread and logs its exception, if any. Ignored after {@link #close}. */
     void run(Runnable task) {
         try {
             executor.execute(() -> runGuarded(task));
         } catch (RejectedExecutionException e) {
-            LOG.debug("task dropped, the event thread is stopping");
+            LOG.debug("task dropped because the event thread is stopping");
         }
     }
 
--- a/src/main/java/io/kelphoist/controller/JobEventFeed.java
+++ b/src/main/java/io/kelphoist/controller/JobEventFeed.java
@@ -17,12 +17,13 @@
 import java.util.stream.Collectors;
 
 /**
- * The gRPC server of a controller and what feeds its event broker, whether this controller leads or
- * not: stored records come from a watch of the state store ({@link RecordEventPublisher}), task
- * events from the term led here ({@link TaskEventPublisher}) or from the leader ({@link
- * LeaderEventPoller}).
+ * The gRPC server of a controller and the sources of its event broker, which work on the leader and
+ * on followers. Stored records come from a watch of the state store ({@link RecordEventPublisher}).
+ * Task events come from the term led here ({@link TaskEventPublisher}) or, on a follower, from the
+ * leader ({@link LeaderEventPoller}).
  *
- * <p>Owns these parts and the event thread. Methods run on the event loop unless stated otherwise.
+ * <p>Owns these components and the event thread. Methods run on the event loop unless stated
+ * otherwise.
  */
 final class JobEventFeed {
     private static final int WATCH_HOLD_MILLIS = 1000;
@@ -66,7 +67,8 @@
     }
 
     /**
-     * Creates the feed and starts its gRPC server, which may take a second. Runs on any thread.
+     * Creates the feed and starts its gRPC server, which may take a second. May be called on any
+     * thread.
      *
      * @param loopExecutor runs tasks on the event loop
      * @throws IOException if the server can't be started
@@ -95,23 +97,25 @@
         return new JobEventFeed(eventThread, backend, grpcServer, recordReader, components);
     }
 
-    /** Starts to follow the state store and the leader. */
+    /** Starts to watch the state store and to poll the leader. */
     void start() {
         recordWatcher.follow(0);
         leaderEvents.poll();
     }
 
-    /** The broker, for the metrics; everything else of it belongs to the event thread. */
+    /**
+     * The event broker. Outside the event thread only its counters may be read, for the metrics.
+     */
     EventBroker eventBroker() {
         return grpcServer.eventBroker();
     }
 
-    /** The port of the gRPC server; on any thread. */
+    /** The port of the gRPC server. May be called on any thread. */
     int port() {
         return grpcServer.port();
     }
 
-    /** Ends all streams and stops; on any thread. */
+    /** Ends all streams and stops the gRPC server. May be called on any thread. */
     void stop() {
         if (stopped) {
             return;
@@ -124,28 +128,29 @@
         eventThread.close();
     }
 
-    /** A term is led here. */
+    /** Takes task events from the term that this controller leads from now on. */
     void onElected(long term) {
         leaderEvents.onElected();
         taskEvents.onElected(term);
     }
 
-    /** The term led here ended. */
+    /** Takes task events from the leader again, as the term led here ended. */
     void onTermEnded() {
         taskEvents.onTermEnded();
         leaderEvents.onTermEnded();
     }
 
     /**
-     * Something happened to a job's tasks in the term led here.
+     * Publishes an event of a job's tasks in the term led here.
      *
-     * @param isFailoverComplete false while tasks that an earlier leader started are being found
+     * @param isFailoverComplete false while this leader is still discovering the tasks that earlier
+     *     leaders started
      */
     void onTaskEvent(Job job, TaskEvent event, boolean isFailoverComplete, long atMillis) {
         taskEvents.onTaskEvent(job, event, isFailoverComplete, atMillis);
     }
 
-    /** Another controller requests task events; empty if no term is led here. */
+    /** Returns the response to another controller's request; empty if no term is led here. */
     Optional<TermUpdate> onEventsRequest(EventsRequest request) {
         return taskEvents.updateFor(request);
     }
--- a/src/main/java/io/kelphoist/controller/JobObservers.java
+++ b/src/main/java/io/kelphoist/controller/JobObservers.java
@@ -6,50 +6,54 @@
 import java.util.Optional;
 
 /**
- * The optional parts of a controller that observe jobs: the event feed for gRPC and the recorder of
- * traces. Each is added once, after the controller was started, as making it takes a while. All
- * methods run on the event loop, except {@link #eventFeed}.
+ * The optional components of a controller that observe jobs: the event feed for gRPC and the
+ * recorder of traces. Each is added once, after the start of the controller, because creating it is
+ * slow. All methods run on the event loop, except {@link #eventFeed}, which may be called on any
+ * thread.
  */
 final class JobObservers {
     private volatile Optional<JobEventFeed> eventFeed = Optional.empty();
     private Optional<JobTraceRecorder> traceRecorder = Optional.empty();
     private LeaderTermLifecycle terms;
 
-    /** Names where the current term is found; called once, before the first event. */
+    /** Sets the source of the current term. Called once, before the first event. */
     void attach(LeaderTermLifecycle terms) {
         this.terms = terms;
     }
 
-    /** The feed, unless gRPC is not served. */
+    /** The event feed; empty if gRPC is not served or not started yet. */
     Optional<JobEventFeed> eventFeed() {
         return eventFeed;
     }
 
-    /** Records traces from now on. */
+    /** Adds a recorder, which records traces from now on. */
     void addTraceRecorder(JobTraceRecorder recorder) {
         traceRecorder = Optional.of(recorder);
     }
 
-    /** Starts a feed, which observes jobs from now on. */
+    /** Adds and starts a feed, which observes jobs from now on. */
     void addEventFeed(JobEventFeed feed) {
         eventFeed = Optional.of(feed);
         feed.start();
         terms.current().ifPresent(term -> feed.onElected(term.schedulerState().term()));
     }
 
-    /** This controller was elected. */
+    /** Passes on the start of a term that this controller leads. */
     void onTermStarted(long term) {
         eventFeed.ifPresent(feed -> feed.onElected(term));
         traceRecorder.ifPresent(recorder -> recorder.onElected(term));
     }
 
-    /** The term that was led here is over. */
+    /** Passes on the end of the term that this controller led. */
     void onTermEnded() {
         eventFeed.ifPresent(JobEventFeed::onTermEnded);
         traceRecorder.ifPresent(JobTraceRecorder::onTermEnded);
     }
 
-    /** Something happened to a job's tasks. Users' feeds get only what a current term decided. */
+    /**
+     * Passes on an event of a job's tasks. The event feed, whose events users receive, gets only
+     * events of the current term.
+     */
     void onTaskEvent(Job job, TaskEvent event) {
         if (traceRecorder.isPresent()) {
             traceRecorder.get().onTaskEvent(job, event);
--- a/src/main/java/io/kelphoist/controller/JobRecordReader.java
+++ b/src/main/java/io/kelphoist/controller/JobRecordReader.java
@@ -19,9 +19,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Reads and decodes the stored records of jobs for event streams. Admission is informed of each
- * record before it can reach a user, so that no later response contradicts it. Confined to the
- * event loop, except {@link #stop}.
+ * Reads and decodes the stored records of jobs for event streams. Each record is passed to
+ * admission before it is sent to a user, so that no later response contradicts it. Confined to the
+ * event loop, except {@link #stop}, which may be called on any thread.
  */
 final class JobRecordReader {
     private static final Logger LOG = LoggerFactory.getLogger(JobRecordReader.class);
@@ -38,12 +38,12 @@
         this.loop = loop;
     }
 
-    /** Stops retries; callbacks of pending reads may never run. */
+    /** Stops new reads and retries; callbacks of pending reads may never run. */
     void stop() {
         stopped = true;
     }
 
-    /** Reads all jobs, with retries until the state store responds. */
+    /** Reads all jobs, and retries until the read succeeds. */
     void readAll(Consumer<EventBroker.Snapshot> callback) {
         if (stopped) {
             return;
@@ -68,7 +68,7 @@
         return new EventBroker.Snapshot(snapshot.revision(), List.copyOf(jobs));
     }
 
-    /** Decodes the changes that stored a record. */
+    /** Decodes the records in changes; deletions and records that can't be decoded are left out. */
     List<JobRecord> decode(List<RecordChange> changes) {
         List<JobRecord> jobs = new ArrayList<>();
         for (RecordChange change : changes) {
--- a/src/main/java/io/kelphoist/controller/JobTraceRecorder.java
+++ b/src/main/java/io/kelphoist/controller/JobTraceRecorder.java
@@ -10,8 +10,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * Passes the events that a controller observes on to the traces of its jobs, with the time of day.
- * Confined to the controller's event loop.
+ * Records the events that a controller observes in the traces of its jobs, with the time of the
+ * wall clock. Confined to the controller's event loop.
  */
 final class JobTraceRecorder {
     private final JobTracer tracer;
@@ -22,7 +22,10 @@
         this.wallClockMillis = wallClockMillis;
     }
 
-    /** A submission arrived; returns the callback that records its result and passes it on. */
+    /**
+     * Starts the span of a submission. Returns a callback that ends the span with the result and
+     * passes the result on.
+     */
     Consumer<AdmissionResult> onSubmission(JobSpec job, Consumer<AdmissionResult> callback) {
         Span span = tracer.startSubmission(job.id(), job.team(), wallClockMillis.getAsLong());
         return result -> {
@@ -35,7 +38,10 @@
         };
     }
 
-    /** The value of a span's attribute, which operators search by: independent of type names. */
+    /**
+     * The value of the span attribute {@code kelphoist.answer}. Operators search by it, so it does
+     * not depend on the names of types.
+     */
     static String resultAttribute(AdmissionResult result) {
         if (result instanceof AdmissionResult.Accepted) {
             return "accepted";
@@ -52,17 +58,17 @@
         return "later";
     }
 
-    /** A term is led here. */
+    /** Handles the start of a term that this controller leads. */
     void onElected(long term) {
         tracer.onElected(term);
     }
 
-    /** The term led here ended. */
+    /** Handles the end of the term that this controller led. */
     void onTermEnded() {
         tracer.onTermEnded(wallClockMillis.getAsLong());
     }
 
-    /** Something happened to a job of the term led here. */
+    /** Records an event of a job or its tasks in the term led here. */
     void onTaskEvent(Job job, TaskEvent event) {
         if (event instanceof TaskEvent.JobEnded jobEnded) {
             tracer.onJobEnded(
@@ -76,7 +82,7 @@
         }
     }
 
-    /** Exports what is pending. */
+    /** Exports the pending spans and stops. */
     void close() {
         tracer.close();
     }
--- a/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
+++ b/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
@@ -10,11 +10,13 @@
 
 /**
  * Polls the leader for its task events while another controller leads, and submits them to this
- * controller's event broker. Owns the position in the leader's log. Confined to the event loop,
- * except {@link #stop}.
+ * controller's event broker. Owns the position in the leader's event log. Confined to the event
+ * loop, except {@link #stop}, which may be called on any thread.
  */
 final class LeaderEventPoller {
     private static final double POLL_INTERVAL_SECONDS = 0.3;
+
+    /** A position for which the leader returns a snapshot. */
     private static final long UNKNOWN_POSITION = -1;
 
     private final TaskEventClient client;
@@ -24,7 +26,7 @@
     private volatile boolean stopped;
     private boolean isPaused;
 
-    /** The leader that was polled last; empty if there was none, or a term was led here since. */
+    /** The leader that was polled last; empty before the first poll and after an election here. */
     private Optional<String> polledLeader = Optional.empty();
 
     private long polledTerm;
@@ -33,7 +35,7 @@
     /**
      * Creates a poller; {@link #poll} starts it.
      *
-     * @param leaderSupplier names the current leader; empty if it is unknown
+     * @param leaderSupplier returns the name of the current leader; empty if it is unknown
      */
     LeaderEventPoller(
             TaskEventClient client,
@@ -46,24 +48,24 @@
         this.loop = loop;
     }
 
-    /** A term is led here: nothing is polled until it ends. */
+    /** Pauses polling, as this controller leads. */
     void onElected() {
         isPaused = true;
         polledLeader = Optional.empty();
     }
 
-    /** The term led here ended. */
+    /** Resumes polling, with a snapshot first, as the term led here ended. */
     void onTermEnded() {
         isPaused = false;
         polledPosition = UNKNOWN_POSITION;
     }
 
-    /** Ends polling. */
+    /** Stops polling for good. */
     void stop() {
         stopped = true;
     }
 
-    /** Polls now, and from now on at an interval; called once. */
+    /** Polls now, and then again an interval after each response. Called once from outside. */
     void poll() {
         if (stopped) {
             return;
--- a/src/main/java/io/kelphoist/controller/PeerRoutes.java
+++ b/src/main/java/io/kelphoist/controller/PeerRoutes.java
@@ -12,11 +12,11 @@
 import io.undertow.util.StatusCodes;
 import java.util.Optional;
 
-/** Serves the other controllers. Runs on the event loop. */
+/** The HTTP routes for the other controllers. Runs on the event loop. */
 final class PeerRoutes implements HttpHandler {
     private static final int MAX_BODY_BYTES = 4 << 20;
 
-    /** Handles a message of another controller. */
+    /** Handles a message from another controller. */
     private interface MessageHandler {
         /**
          * Returns the encoded response.
--- a/src/main/java/io/kelphoist/controller/PublicRoutes.java
+++ b/src/main/java/io/kelphoist/controller/PublicRoutes.java
@@ -6,7 +6,7 @@
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
 
-/** Serves workers, users and operators. Runs on the event loop. */
+/** The HTTP routes for workers, users and operators. Runs on the event loop. */
 final class PublicRoutes implements HttpHandler {
     private static final String HEARTBEAT_PATH = "/v1/report";
     private static final String JOBS_PATH = "/work";
@@ -22,7 +22,7 @@
     private final ControllerComponents components;
     private final HttpJobApi jobApi;
 
-    /** Made at the first scrape: a controller that nobody scrapes does without. Null before. */
+    /** Null until the first scrape: a controller that is not scraped needs no metrics registry. */
     private ControllerMetrics metrics;
 
     PublicRoutes(Controller controller) {
--- a/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
+++ b/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
@@ -12,12 +12,14 @@
 import java.util.Optional;
 
 /**
- * Publishes the task events of the term led here: to this controller's event broker in batches, and
- * to the other controllers on request. Owns the term's event log. Confined to the event loop.
+ * Publishes the task events of the term led here to this controller's event broker, in batches, and
+ * to the other controllers, on request. Owns the term's event log. Confined to the event loop.
  */
 final class TaskEventPublisher {
     private static final double BATCH_DELAY_SECONDS = 0.02;
     private static final int MAX_LOG_EVENTS = 4096;
+
+    /** A position for which the event log returns a snapshot. */
     private static final long UNKNOWN_POSITION = -1;
 
     private final BrokerUpdates brokerUpdates;
@@ -34,36 +36,37 @@
         this.loop = loop;
     }
 
-    /** A term is led here. */
+    /** Starts the event log of a term that this controller leads. */
     void onElected(long newTerm) {
         term = newTerm;
         eventLog = Optional.of(new TaskEventLog(MAX_LOG_EVENTS));
         brokerUpdates.submit(broker -> broker.resetTransientEvents(List.of(), loop.nowSeconds()));
     }
 
-    /** The term led here ended. */
+    /** Drops the event log, as the term led here ended. */
     void onTermEnded() {
         eventLog = Optional.empty();
     }
 
     /**
-     * Something happened to a job's tasks.
+     * Publishes an event of a job's tasks.
      *
-     * @param isFailoverComplete false while tasks that an earlier leader started are being found; a
-     *     running task is then no event of its own
+     * @param isFailoverComplete false while this leader is still discovering the tasks that earlier
+     *     leaders started: a task that is found running is then published as the job's progress,
+     *     not as a start
      */
     void onTaskEvent(Job job, TaskEvent event, boolean isFailoverComplete, long atMillis) {
         if (eventLog.isEmpty()) {
             return;
         }
-        TaskEvent reported =
+        TaskEvent publishedEvent =
                 isFailoverComplete || !(event instanceof TaskEvent.TaskRunning running)
                         ? event
                         : new TaskEvent.TaskDone(running.taskIndex(), running.machineName());
         eventLog.get()
                 .append(
                         job.spec().id(),
-                        reported,
+                        publishedEvent,
                         job.doneTaskCount(),
                         job.runningTaskCount(),
                         atMillis)
--- a/src/main/java/io/kelphoist/controller/TickScheduler.java
+++ b/src/main/java/io/kelphoist/controller/TickScheduler.java
@@ -3,19 +3,24 @@
 import io.kelphoist.eventloop.EventLoop;
 
 /**
- * Decides when the controller ticks: periodically, and soon after input. Input often comes in
- * bursts, which one tick serves; a tick that was due several times while the process stood still
- * runs once. The delay of the periodic ticks tells whether this process keeps up. Runs on the event
- * loop.
+ * Schedules the controller's ticks: periodically, and soon after input. Input often comes in
+ * bursts, and one tick handles a whole burst. Ticks that were missed while the process was paused
+ * run once. The delay of the periodic ticks shows whether the event loop is overloaded. Runs on the
+ * event loop.
  */
 final class TickScheduler {
     private static final double TICK_INTERVAL_SECONDS = 0.2;
+
+    /** Shortest delay of a requested tick, so that it handles a whole burst of inputs. */
     private static final double INPUT_BATCH_SECONDS = 0.015;
 
-    /** After a decision the loop is left to other work for so many times its duration. */
+    /**
+     * After a scheduling decision, ticks that are requested by input wait for this multiple of the
+     * decision's duration, in which the event loop does other work.
+     */
     private static final double DECISION_PAUSE_FACTOR = 4;
 
-    /** With a longer delay users' reads are refused, so that heartbeats and writes go first. */
+    /** Above this delay users' reads are refused, so that heartbeats and writes go first. */
     private static final double OVERLOAD_DELAY_SECONDS = 0.6;
 
     private final EventLoop eventLoop;
@@ -29,7 +34,7 @@
         this.eventLoop = eventLoop;
     }
 
-    /** Runs the first tick now, and further ones periodically. Called once. */
+    /** Runs the first tick now, and from then on one per interval. Called once. */
     void start(Runnable onTick) {
         this.onTick = onTick;
         tickPeriodically();
@@ -43,7 +48,7 @@
         onTick.run();
     }
 
-    /** There is input: ticks soon, unless that is scheduled already. */
+    /** Requests a tick soon, because there is new input. Ignored if a request is pending. */
     void requestTick() {
         if (tickRequested) {
             return;
@@ -58,19 +63,20 @@
     }
 
     /**
-     * A decision was made. Decisions over a large fleet take long, above all in a process that has
-     * just started, and heartbeats must not wait for several of them in a row.
+     * Postpones the next requested tick after a scheduling decision. Decisions over a large fleet
+     * take long, above all in a process that has just started, and heartbeats must not wait for
+     * several decisions in a row.
      */
     void onDecided(double durationSeconds, double nowSeconds) {
         nextDecisionAtSeconds = nowSeconds + DECISION_PAUSE_FACTOR * durationSeconds;
     }
 
-    /** By how much the last periodic tick was late, in seconds. */
+    /** Delay of the last periodic tick after its due time, in seconds. */
     double delaySeconds() {
         return delaySeconds;
     }
 
-    /** Whether this process has more to do than it can. */
+    /** Whether the event loop is so far behind that it must shed load. */
     boolean isOverloaded() {
         return delaySeconds > OVERLOAD_DELAY_SECONDS;
     }
--- a/src/main/java/io/kelphoist/controller/XnioEventLoop.java
+++ b/src/main/java/io/kelphoist/controller/XnioEventLoop.java
@@ -9,8 +9,8 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The event loop on an XNIO I/O thread. A task that fails is logged and counted, and does not end
- * the loop.
+ * The event loop on an XNIO I/O thread. An exception of a task is logged and counted, and does not
+ * end the loop.
  */
 final class XnioEventLoop implements EventLoop {
     private static final Logger LOG = LoggerFactory.getLogger(XnioEventLoop.class);
@@ -25,7 +25,7 @@
         this.counters = counters;
     }
 
-    /** Monotonic, and the same clock on every thread of this process. */
+    /** Returns the time of a monotonic clock that all threads of this process share. */
     @Override
     public double nowSeconds() {
         return System.nanoTime() * SECONDS_PER_NANO;
@@ -37,7 +37,7 @@
         try {
             ioThread.executeAfter(() -> runGuarded(task), delayMillis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            LOG.debug("task dropped, the event loop is stopping");
+            LOG.debug("task dropped because the event loop is stopping");
         }
     }
 
--- a/src/main/java/io/kelphoist/controller/package-info.java
+++ b/src/main/java/io/kelphoist/controller/package-info.java
@@ -1,10 +1,14 @@
 /**
  * The controller process: its composition root, its event loop, its HTTP routes and its metrics.
  *
- * <p>{@code ControllerFactory} makes and connects the parts of a controller, {@code Controller}
- * starts and ticks them, and {@code ControllerProcess} owns the sockets and threads around them.
- * State of jobs, machines or leadership does not belong here. Only the command line and local
- * clusters may depend on this package. Except for {@code ControllerProcess}, which is called from
- * outside, and what {@code JobEventFeed} says of itself, all of it runs on the event loop.
+ * <p>{@code ControllerFactory} creates and connects the components of a controller, {@code
+ * Controller} starts and ticks them, and {@code ControllerProcess} owns the sockets and threads
+ * around them. The state of jobs, machines and leadership belongs to other packages. Only the
+ * command line, local clusters and the training run of the class archive may depend on this
+ * package.
+ *
+ * <p>All code runs on the event loop, with two exceptions: {@code ControllerProcess} is called from
+ * outside the event loop, and {@code JobEventFeed} and its components state which of their methods
+ * run on other threads.
  */
 package io.kelphoist.controller;
