--- a/src/main/java/io/kelphoist/archive/ClassArchiveTraining.java
+++ b/src/main/java/io/kelphoist/archive/ClassArchiveTraining.java
@@ -150,14 +150,14 @@
                                 "127.0.0.1:9",
                                 "m",
                                 "z",
-                                false,
-                                1,
-                                true,
-                                false,
-                                false,
-                                false,
-                                0,
-                                Double.POSITIVE_INFINITY)));
+                                /* spot= */ false,
+                                /* agentEpoch= */ 1,
+                                /* hasReported= */ true,
+                                /* drainedAsFaulty= */ false,
+                                /* possiblyDisconnected= */ false,
+                                /* commandUnanswered= */ false,
+                                /* launchedAtSeconds= */ 0,
+                                /* terminationAtSeconds= */ Double.POSITIVE_INFINITY)));
         LeaderState state =
                 new LeaderState(
                         Optional.empty(),
--- a/src/main/java/io/kelphoist/cli/ClientCommand.java
+++ b/src/main/java/io/kelphoist/cli/ClientCommand.java
@@ -24,36 +24,44 @@
             paramLabel = "HOST:PORT",
             split = ",",
             required = true,
-            description = "Addresses of the controllers' gRPC servers.")
+            description = "Addresses of the controllers' gRPC servers, separated by commas.")
     private List<String> addresses;
 
     @Option(
             names = "--ca",
             paramLabel = "FILE",
-            description = "Authorities of the controllers' certificates (PEM); without it, no TLS.")
+            description =
+                    "Authorities of the controllers' certificates (PEM). Without this option, TLS is not used, and --cert and --key are ignored.")
     private Path caFile;
 
-    @Option(names = "--cert", paramLabel = "FILE", description = "This client's certificate (PEM).")
+    @Option(
+            names = "--cert",
+            paramLabel = "FILE",
+            description =
+                    "This client's certificate (PEM). Used only together with --ca and --key.")
     private Path certificateFile;
 
     @Option(
             names = "--key",
             paramLabel = "FILE",
-            description = "The private key of this client's certificate (PEM).")
+            description =
+                    "The private key of this client's certificate (PEM). Used only together with --ca and --cert.")
     private Path keyFile;
 
     @Option(
             names = "--output",
             paramLabel = "HOW",
             defaultValue = "table",
-            description = "Format of the output: table, or json with a line for each message.")
+            description =
+                    "Format of the output: table, or json. Each line is a job's state or an event; in json, it is one object.")
     private JobPrinter.Format format;
 
     @Option(
             names = "--tries",
             paramLabel = "N",
             defaultValue = "20",
-            description = "Attempts at a call before the command fails (${DEFAULT-VALUE}).")
+            description =
+                    "Attempts at a call before the command fails (${DEFAULT-VALUE}). For a watch, they are counted since its last message.")
     private int maxAttempts;
 
     @Option(
@@ -99,25 +107,36 @@
     }
 
     /**
-     * Prints the events of jobs until all jobs in the request have ended; returns the exit code.
+     * Prints the events of jobs until all jobs that the request names have ended. If the request
+     * names no jobs, this method does not return; it throws an exception if the watch fails.
+     *
+     * @param withCursor whether each line of a table ends with the cursor to resume from after it;
+     *     in JSON, each line has the cursor anyway
+     * @return {@link ExitCodes#CANCELLED} if at least one job was cancelled, otherwise {@link
+     *     ExitCodes#OK}
      */
     final int watchUntilEnded(KelphoistClient client, WatchRequest request, boolean withCursor)
             throws InterruptedException {
         JobPrinter printer = printer();
-        Set<String> cancelled = new HashSet<>();
+        Set<String> cancelledJobs = new HashSet<>();
         client.watch(
                 request,
                 message -> {
                     try {
                         printer.printMessage(message, withCursor);
                     } catch (InvalidProtocolBufferException e) {
-                        throw new IllegalStateException(e);
+                        throw new IllegalStateException(
+                                "can't print the message as JSON: type="
+                                        + message.getWhatCase()
+                                        + " job="
+                                        + message.getEvent().getJob(),
+                                e);
                     }
                     if (message.getEvent().hasCancelled()) {
-                        cancelled.add(message.getEvent().getJob());
+                        cancelledJobs.add(message.getEvent().getJob());
                     }
                     return true;
                 });
-        return cancelled.isEmpty() ? ExitCodes.OK : ExitCodes.CANCELLED;
+        return cancelledJobs.isEmpty() ? ExitCodes.OK : ExitCodes.CANCELLED;
     }
 }
--- a/src/main/java/io/kelphoist/cli/JobPrinter.java
+++ b/src/main/java/io/kelphoist/cli/JobPrinter.java
@@ -46,7 +46,12 @@
                 state.getRunning());
     }
 
-    /** Prints a message of a stream; in a table with its cursor if {@code withCursor}. */
+    /**
+     * Prints a message of a stream.
+     *
+     * @param withCursor whether a row of a table ends with the cursor to resume from after the
+     *     message, in base64; in JSON, each message has its cursor anyway
+     */
     void printMessage(WatchResponse message, boolean withCursor)
             throws InvalidProtocolBufferException {
         if (format == Format.JSON) {
--- a/src/main/java/io/kelphoist/client/KelphoistClient.java
+++ b/src/main/java/io/kelphoist/client/KelphoistClient.java
@@ -184,7 +184,8 @@
     }
 
     /**
-     * Watches jobs until all that the request names have ended, or the handler stops.
+     * Watches jobs until all that the request names have ended, or the handler stops. If the
+     * request names no jobs, only the handler ends the watch.
      *
      * @param request the jobs to watch, and optionally the cursor to resume from. A program that
      *     stores the cursor of each message together with the result of handling it receives the
--- a/src/main/java/io/kelphoist/config/PlatformSettings.java
+++ b/src/main/java/io/kelphoist/config/PlatformSettings.java
@@ -94,9 +94,9 @@
 
     /** Returns the zones of the other controllers, by name. */
     public Map<String, String> peerZones() {
-        Map<String, String> zonesByNode = new LinkedHashMap<>();
-        peers.forEach(peer -> zonesByNode.put(peer.name(), peer.zone()));
-        return zonesByNode;
+        Map<String, String> zonesByName = new LinkedHashMap<>();
+        peers.forEach(peer -> zonesByName.put(peer.name(), peer.zone()));
+        return zonesByName;
     }
 
     /** Returns the number of controllers, including this one. */
--- a/src/main/java/io/kelphoist/config/PlatformSettingsReader.java
+++ b/src/main/java/io/kelphoist/config/PlatformSettingsReader.java
@@ -11,7 +11,11 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads {@link PlatformSettings} from a file in JSON. The file's field names occur only here. */
+/**
+ * Reads {@link PlatformSettings} from a file in JSON. Only this class knows the names of the fields
+ * in the file, besides the code that writes such files for local clusters, for the training run of
+ * the class archive and in tests.
+ */
 final class PlatformSettingsReader {
     private static final double UNLIMITED = Double.POSITIVE_INFINITY;
 
@@ -31,8 +35,8 @@
 
     private static PlatformSettings readSettings(JsonSettings root)
             throws InvalidSettingsException {
-        String node = root.text("label");
-        List<PlatformSettings.Peer> peers = readPeers(root, node);
+        String controllerName = root.text("label");
+        List<PlatformSettings.Peer> peers = readPeers(root, controllerName);
         JsonSettings external = root.object("external");
         JsonSettings cluster = root.object("cluster");
         List<String> zones = cluster.texts("zones");
@@ -41,7 +45,7 @@
         JsonSettings state = cluster.object("state");
         JsonSettings cloud = cluster.object("cloud");
         return new PlatformSettings(
-                node,
+                controllerName,
                 root.textOrEmpty("site"),
                 root.address("serve_on"),
                 root.address("peer_listen"),
@@ -59,23 +63,26 @@
                 readClockErrorMillis(cluster));
     }
 
-    private static List<PlatformSettings.Peer> readPeers(JsonSettings root, String node)
+    private static List<PlatformSettings.Peer> readPeers(JsonSettings root, String controllerName)
             throws InvalidSettingsException {
         List<PlatformSettings.Peer> peers = new ArrayList<>();
         if (!root.has("known")) {
             return peers;
         }
-        Set<String> nodes = new HashSet<>();
-        nodes.add(node);
+        Set<String> names = new HashSet<>();
+        names.add(controllerName);
         for (JsonSettings peerSettings : root.list("known")) {
             PlatformSettings.Peer peer =
                     new PlatformSettings.Peer(
                             peerSettings.text("label"),
                             peerSettings.textOrEmpty("site"),
                             peerSettings.address("peer_addr"));
-            if (!nodes.add(peer.name())) {
+            if (!names.add(peer.name())) {
                 throw peerSettings.invalid(
-                        "label", "'" + peer.name() + "' is the label of another controller");
+                        "label",
+                        "'"
+                                + peer.name()
+                                + "' is also the label of this controller or of an earlier entry");
             }
             peers.add(peer);
         }
@@ -95,14 +102,15 @@
         double maxCpus = team.nonNegative("cpus_max");
         double gpus = team.nonNegative("gpus");
         double maxGpus = team.nonNegative("gpus_max");
+        // A limit of 0 means that there is no limit. Memory is never limited.
         Resources limit =
                 new Resources(
                         maxCpus == 0 ? UNLIMITED : maxCpus,
                         maxGpus == 0 ? UNLIMITED : maxGpus,
                         UNLIMITED);
-        // A resource with neither a guarantee nor a limit is guaranteed without bound, but only to
-        // a team with some other guarantee. A team without any guarantee is a guest team, to which
-        // nothing must be guaranteed.
+        // A team without any guarantee is a guest team: nothing is guaranteed to it, not even a
+        // resource without a limit. For any other team, a resource with neither a guarantee nor a
+        // limit is not restricted: its guarantee is infinite, as that of memory always is.
         Resources guarantee =
                 cpus == 0 && gpus == 0
                         ? Resources.NONE
@@ -124,9 +132,9 @@
     }
 
     /**
-     * Reads, for each limit, the smaller of the current value and the one that will replace it. The
-     * time of the replacement is not announced, and a value that is written before it must not be
-     * too large to be written again after it.
+     * Reads, for each limit, the smaller of the current limit and the announced next one. The time
+     * of the change is not announced, so both must be kept to all the time. In particular, a record
+     * that is stored before the change must not be too large to be stored again after it.
      */
     private static PlatformSettings.StateLimits readStateLimits(JsonSettings state)
             throws InvalidSettingsException {
@@ -144,7 +152,11 @@
         return next.has(name) ? Math.min(limit, next.positive(name)) : limit;
     }
 
-    /** Reads the objectives for the start of tasks; of several for a job class, the shortest. */
+    /**
+     * Reads, by job class, the time within which tasks should start. These are the objectives of
+     * kind {@code wait}; objectives of other kinds are ignored. If a class has several, the
+     * shortest time is used.
+     */
     private static Map<String, Double> readStartObjectives(JsonSettings cluster)
             throws InvalidSettingsException {
         Map<String, Double> objectives = new HashMap<>();
--- a/src/main/java/io/kelphoist/controller/AdmissionClusterView.java
+++ b/src/main/java/io/kelphoist/controller/AdmissionClusterView.java
@@ -8,7 +8,10 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** The controller's machine types, task counts and load, which admission uses besides records. */
+/**
+ * The controller's machine types, task counts and load, which admission uses besides the stored
+ * records.
+ */
 record AdmissionClusterView(
         CloudGateway cloudGateway, TaskCountReplication taskCounts, TickScheduler tickScheduler)
         implements Admission.ClusterView {
--- a/src/main/java/io/kelphoist/controller/Controller.java
+++ b/src/main/java/io/kelphoist/controller/Controller.java
@@ -65,7 +65,8 @@
 
     /**
      * Whether users and workers should use this controller: it has the machine types, and it does
-     * not seem to be the only controller without a connection to the state store.
+     * not appear to be isolated from the state store while other controllers are not. An outage of
+     * the state store for all controllers makes none of them unhealthy.
      */
     boolean isHealthy() {
         return !cloudGateway.machineTypes().isEmpty() && !elector.isIsolatedFromStateStore();
--- a/src/main/java/io/kelphoist/controller/ControllerMetrics.java
+++ b/src/main/java/io/kelphoist/controller/ControllerMetrics.java
@@ -180,7 +180,7 @@
                 c -> machineCount(c, Machine::isSuspected));
         registerCounter(
                 "kelphoist.checks",
-                "Reachability probes of whether a machine receives commands",
+                "Probes that check whether a machine receives commands",
                 ControllerCounters::reachabilityProbes);
     }
 
--- a/src/main/java/io/kelphoist/controller/ControllerProcess.java
+++ b/src/main/java/io/kelphoist/controller/ControllerProcess.java
@@ -90,7 +90,7 @@
         ConnectorStatistics statistics = server.getListenerInfo().get(0).getConnectorStatistics();
         components.workerConnections().setIncomingConnectionCount(statistics::getActiveConnections);
         LOG.info(
-                "controller started: node={} listenAddress={} peerListenAddress={}",
+                "controller started: controller={} listenAddress={} peerListenAddress={}",
                 settings.controllerName(),
                 settings.listenAddress(),
                 settings.peerListenAddress());
--- a/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
+++ b/src/main/java/io/kelphoist/controller/LeaderEventPoller.java
@@ -10,14 +10,14 @@
 
 /**
  * Polls the leader for its task events while another controller leads, and submits them to this
- * controller's event broker. Owns the position in the leader's event log. Confined to the event
- * loop, except {@link #stop}, which may be called on any thread.
+ * controller's event broker. Owns the sequence number up to which the leader's event log was read.
+ * Confined to the event loop, except {@link #stop}, which may be called on any thread.
  */
 final class LeaderEventPoller {
     private static final double POLL_INTERVAL_SECONDS = 0.3;
 
-    /** A position for which the leader returns a snapshot. */
-    private static final long UNKNOWN_POSITION = -1;
+    /** A sequence number for which the leader returns a snapshot. */
+    private static final long SNAPSHOT_SEQUENCE = -1;
 
     private final TaskEventClient client;
     private final Supplier<Optional<String>> leaderSupplier;
@@ -26,11 +26,14 @@
     private volatile boolean stopped;
     private boolean isPaused;
 
-    /** The leader that was polled last; empty before the first poll and after an election here. */
+    /**
+     * The leader that was polled last; empty before the first poll and once this controller was
+     * elected.
+     */
     private Optional<String> polledLeader = Optional.empty();
 
     private long polledTerm;
-    private long polledPosition = UNKNOWN_POSITION;
+    private long nextSequence = SNAPSHOT_SEQUENCE;
 
     /**
      * Creates a poller; {@link #poll} starts it.
@@ -57,7 +60,7 @@
     /** Resumes polling, with a snapshot first, as the term led here ended. */
     void onTermEnded() {
         isPaused = false;
-        polledPosition = UNKNOWN_POSITION;
+        nextSequence = SNAPSHOT_SEQUENCE;
     }
 
     /** Stops polling for good. */
@@ -77,11 +80,11 @@
         }
         if (!leader.equals(polledLeader)) {
             polledLeader = leader;
-            polledPosition = UNKNOWN_POSITION;
+            nextSequence = SNAPSHOT_SEQUENCE;
         }
         client.requestEvents(
                 leader.get(),
-                new EventsRequest(polledTerm, polledPosition),
+                new EventsRequest(polledTerm, nextSequence),
                 update -> onResponse(leader, update));
     }
 
@@ -95,10 +98,10 @@
     private void apply(TermUpdate termUpdate) {
         TaskEventLog.Update update = termUpdate.update();
         polledTerm = termUpdate.term();
-        polledPosition = update.nextSequence();
+        nextSequence = update.nextSequence();
         if (brokerUpdates.isFull()) {
             // The update is dropped; the next response is a snapshot.
-            polledPosition = UNKNOWN_POSITION;
+            nextSequence = SNAPSHOT_SEQUENCE;
         } else if (update.isSnapshot()) {
             brokerUpdates.submitEventReset(update.events());
         } else if (!update.events().isEmpty()) {
--- a/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
+++ b/src/main/java/io/kelphoist/controller/TaskEventPublisher.java
@@ -19,8 +19,8 @@
     private static final double BATCH_DELAY_SECONDS = 0.02;
     private static final int MAX_LOG_EVENTS = 4096;
 
-    /** A position for which the event log returns a snapshot. */
-    private static final long UNKNOWN_POSITION = -1;
+    /** A sequence number for which the event log returns a snapshot. */
+    private static final long SNAPSHOT_SEQUENCE = -1;
 
     private final BrokerUpdates brokerUpdates;
     private final EventLoop loop;
@@ -100,7 +100,7 @@
 
     /** Returns the update for another controller; empty if no term is led here. */
     Optional<TermUpdate> updateFor(EventsRequest request) {
-        long position = request.term() == term ? request.fromSequence() : UNKNOWN_POSITION;
-        return eventLog.map(log -> new TermUpdate(term, log.updateSince(position)));
+        long sequence = request.term() == term ? request.fromSequence() : SNAPSHOT_SEQUENCE;
+        return eventLog.map(log -> new TermUpdate(term, log.updateSince(sequence)));
     }
 }
--- a/src/main/java/io/kelphoist/controller/TickScheduler.java
+++ b/src/main/java/io/kelphoist/controller/TickScheduler.java
@@ -20,7 +20,7 @@
      */
     private static final double DECISION_PAUSE_FACTOR = 4;
 
-    /** Above this delay users' reads are refused, so that heartbeats and writes go first. */
+    /** Above this delay users' queries are deferred, so that heartbeats and writes go first. */
     private static final double OVERLOAD_DELAY_SECONDS = 0.6;
 
     private final EventLoop eventLoop;
@@ -76,7 +76,7 @@
         return delaySeconds;
     }
 
-    /** Whether the event loop is so far behind that it must shed load. */
+    /** Whether the event loop is so far behind that users' queries must be deferred. */
     boolean isOverloaded() {
         return delaySeconds > OVERLOAD_DELAY_SECONDS;
     }
--- a/src/main/java/io/kelphoist/controller/XnioEventLoop.java
+++ b/src/main/java/io/kelphoist/controller/XnioEventLoop.java
@@ -25,12 +25,16 @@
         this.counters = counters;
     }
 
-    /** Returns the time of a monotonic clock that all threads of this process share. */
+    /**
+     * Returns the time of a monotonic clock that all threads of this process share. May be called
+     * on any thread.
+     */
     @Override
     public double nowSeconds() {
         return System.nanoTime() * SECONDS_PER_NANO;
     }
 
+    /** Runs a task on the I/O thread after a delay in whole milliseconds, at least one. */
     @Override
     public void schedule(double delaySeconds, Runnable task) {
         long delayMillis = Math.max(1, Math.round(delaySeconds * MILLIS_PER_SECOND));
--- a/src/main/java/io/kelphoist/emulator/EmulatedService.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedService.java
@@ -19,7 +19,7 @@
     /** An HTTP response with its body before encoding. */
     public record Response(int status, ObjectNode body) {}
 
-    /** Each open watch occupies a thread, and each controller has six open watches. */
+    /** Each open watch occupies a thread, and each controller has up to six open watches. */
     private static final int WORKER_THREADS = 64;
 
     private final Undertow server;
@@ -46,10 +46,10 @@
         byte[] body = exchange.getInputStream().readAllBytes();
         ObjectNode request =
                 body.length == 0 ? MessageEncoding.newObject() : MessageEncoding.decodeCbor(body);
-        Response reply = respond(exchange, request);
-        exchange.setStatusCode(reply.status());
+        Response response = respond(exchange, request);
+        exchange.setStatusCode(response.status());
         exchange.getResponseSender()
-                .send(ByteBuffer.wrap(MessageEncoding.encodeCbor(reply.body())));
+                .send(ByteBuffer.wrap(MessageEncoding.encodeCbor(response.body())));
     }
 
     /** Returns the first value of a query parameter, or the default if it is absent. */
--- a/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedWorker.java
@@ -62,7 +62,12 @@
             notifyAll();
         }
 
-        /** Waits until a task that runs until it is stopped is running, or is not running. */
+        /**
+         * Waits until a task is running, or is not running any more. Only tasks that run until they
+         * are stopped are recorded as running.
+         *
+         * @param isRunning true to wait for the start, false to wait for the stop
+         */
         public synchronized void awaitRunning(String task, boolean isRunning)
                 throws InterruptedException {
             while (machineByRunningTask.containsKey(task) != isRunning) {
@@ -158,7 +163,8 @@
     }
 
     /**
-     * Whether a task runs until it is stopped: by its name, as commands don't have the job kind.
+     * Whether a task runs until it is stopped, as those of services do. The emulator decides by the
+     * job's id, because commands don't contain the job's kind.
      */
     private static boolean runsUntilStopped(String taskName) {
         return taskName.startsWith("job-9");
@@ -251,10 +257,10 @@
         if (tasks.containsKey(id(taskName, attempt))) {
             return;
         }
-        boolean isService = runsUntilStopped(taskName);
-        config.taskLog().onStarted(taskName, name, isService);
+        boolean endsOnlyWhenStopped = runsUntilStopped(taskName);
+        config.taskLog().onStarted(taskName, name, endsOnlyWhenStopped);
         Task task = Task.running(taskName, attempt);
-        boolean keepsRunning = isService || config.taskMillis() > 0;
+        boolean keepsRunning = endsOnlyWhenStopped || config.taskMillis() > 0;
         tasks.put(id(taskName, attempt), keepsRunning ? task : task.exited("done"));
     }
 
--- a/src/main/java/io/kelphoist/events/EventBroker.java
+++ b/src/main/java/io/kelphoist/events/EventBroker.java
@@ -207,7 +207,7 @@
 
     /**
      * Replaces all transient events by the latest of each job, because events may have been missed.
-     * Every subscription then delivers the current state of its unfinished jobs again.
+     * Every subscription then delivers the latest event of each of its unfinished jobs again.
      */
     public void resetTransientEvents(Collection<TransientEvent> events, double nowSeconds) {
         jobs.resetTransientEvents(events);
--- a/src/main/java/io/kelphoist/events/EventDelivery.java
+++ b/src/main/java/io/kelphoist/events/EventDelivery.java
@@ -20,7 +20,7 @@
     private final SubscriptionRegistry subscriptions;
     private final Executor executor;
 
-    /** Like the other counters, written by the event thread and read by the metrics thread. */
+    /** Like the other counters, written by the event thread and read by others, for the metrics. */
     private volatile long deliveredEvents;
 
     private volatile long mergedEvents;
@@ -110,8 +110,9 @@
             return JobEvent.ended(record);
         }
         TransientEvent latest = jobs.latestTransientEvent(record.id());
-        boolean isSnapshot = latest != null || record.version() <= subscription.startRevision();
-        return JobEvent.accepted(record, latest, isSnapshot);
+        boolean reportsCurrentState =
+                latest != null || record.version() <= subscription.startRevision();
+        return JobEvent.accepted(record, latest, reportsCurrentState);
     }
 
     private boolean deliverNextResyncRecord(Subscription subscription) {
--- a/src/main/java/io/kelphoist/events/JobEvent.java
+++ b/src/main/java/io/kelphoist/events/JobEvent.java
@@ -10,9 +10,13 @@
  * @param owner null if the job's record has no owner
  * @param reportsCurrentState whether the event reports the job's current state in place of events
  *     that were merged or may have been missed
- * @param doneTasks number of the job's tasks that were done at the time of the event, 0 if unknown
- * @param runningTasks number of the job's tasks that ran at the time of the event, 0 if unknown
- * @param atMillis time of the event in ms since the epoch
+ * @param doneTasks number of the job's tasks that were done when the state was reported. 0 if no
+ *     task was done, if the number is unknown, and always in a final event
+ * @param runningTasks number of the job's tasks that were running when the state was reported. 0 if
+ *     no task was running, if the number is unknown, and always in a final event
+ * @param atMillis time of the event in ms since the epoch, by the wall clock. For the acceptance
+ *     and for the end of a cancelled job, when the job was accepted; for the end of a done job,
+ *     when the end was stored; 0 if the job's record has no timestamp
  */
 public record JobEvent(
         String jobId,
@@ -23,7 +27,10 @@
         int runningTasks,
         long atMillis) {
 
-    /** Returns the final event of a job that is done or cancelled. */
+    /**
+     * Returns the final event of a job that is done or cancelled, without the numbers of its tasks,
+     * as the stored record does not have them.
+     */
     static JobEvent ended(JobRecord record) {
         JobEventType type =
                 record.status() == JobStatus.DONE
@@ -42,14 +49,17 @@
     /**
      * Returns the event of a job's acceptance.
      *
-     * @param latest the job's latest transient event, null if there is none
+     * @param latest the job's latest transient event, from which the numbers of tasks are taken;
+     *     null if there is none
+     * @param reportsCurrentState false if the acceptance is the only event of the job so far and
+     *     follows the start of the subscription
      */
-    static JobEvent accepted(JobRecord record, TransientEvent latest, boolean isSnapshot) {
+    static JobEvent accepted(JobRecord record, TransientEvent latest, boolean reportsCurrentState) {
         return new JobEvent(
                 record.id(),
                 record.owner(),
                 new JobEventType.Accepted(),
-                isSnapshot,
+                reportsCurrentState,
                 latest == null ? 0 : latest.doneTasks(),
                 latest == null ? 0 : latest.runningTasks(),
                 record.timestampMillis());
--- a/src/main/java/io/kelphoist/events/JobEventState.java
+++ b/src/main/java/io/kelphoist/events/JobEventState.java
@@ -38,7 +38,7 @@
         return appliedRevision >= 0;
     }
 
-    /** Records that the log is complete up to a revision; a lower revision has no effect. */
+    /** Notes that the log is complete up to a revision; a lower revision has no effect. */
     void advanceTo(long revision) {
         appliedRevision = Math.max(appliedRevision, revision);
     }
--- a/src/main/java/io/kelphoist/events/JobEventType.java
+++ b/src/main/java/io/kelphoist/events/JobEventType.java
@@ -13,10 +13,15 @@
     /** The job waits for its dependencies to be done. */
     record WaitingForDependencies() implements JobEventType {}
 
-    /** Capacity on this many machines is reserved for the job; it needs more before it starts. */
+    /**
+     * Capacity is reserved for the job, or machines are held for it, but it can't start yet.
+     *
+     * @param machineCount number of machines with reserved capacity; if machines are held, the
+     *     number of tasks that they are held for
+     */
     record CapacityReserved(int machineCount) implements JobEventType {}
 
-    /** A task started to run for the first time in this term. */
+    /** A task started to run that has not stopped before in this term. */
     record Started(int task, String machine) implements JobEventType {}
 
     /** A task runs again, maybe on the same machine, after it stopped for the given cause. */
--- a/src/main/java/io/kelphoist/events/Subscription.java
+++ b/src/main/java/io/kelphoist/events/Subscription.java
@@ -118,7 +118,7 @@
 
     // ---- readiness of the subscriber ----
 
-    /** Whether the subscriber is ready; if it is not, records since when. */
+    /** Whether the subscriber is ready; if it is not, notes since when. */
     boolean checkReady(double nowSeconds) {
         if (subscriber.isReady()) {
             stalledSinceSeconds = Double.NaN;
@@ -152,7 +152,7 @@
     }
 
     /**
-     * Records the store's reachability that is about to be reported to the subscriber.
+     * Notes the store's reachability that is about to be reported to the subscriber.
      *
      * @return false if it is the same as last reported, so that it need not be reported
      */
--- a/src/main/java/io/kelphoist/events/SubscriptionRegistry.java
+++ b/src/main/java/io/kelphoist/events/SubscriptionRegistry.java
@@ -19,7 +19,7 @@
     private final Map<String, Integer> countByClient = new HashMap<>();
     private boolean closed;
 
-    /** Written by the event thread, read by the metrics thread. */
+    /** Written by the event thread, read by other threads, for the metrics. */
     private volatile int count;
 
     SubscriptionRegistry(EventBrokerLimits limits) {
--- a/src/main/java/io/kelphoist/grpc/GrpcServer.java
+++ b/src/main/java/io/kelphoist/grpc/GrpcServer.java
@@ -215,9 +215,9 @@
     }
 
     /**
-     * Ends all streams, each with a cursor to resume from at another controller, and waits up to
-     * {@link #SHUTDOWN_TIMEOUT_SECONDS} for other calls to complete. Blocks; must not be called on
-     * the event thread.
+     * Ends all streams, each with a cursor to resume from at another controller, and waits at most
+     * {@value #SHUTDOWN_TIMEOUT_SECONDS} s for other calls to complete. Blocks; must not be called
+     * on the event thread.
      */
     @Override
     public void close() {
--- a/src/main/java/io/kelphoist/grpc/TlsCredentials.java
+++ b/src/main/java/io/kelphoist/grpc/TlsCredentials.java
@@ -58,6 +58,8 @@
                             + files.certificate()
                             + " key="
                             + files.key()
+                            + " clientCa="
+                            + files.clientCa().orElse(null)
                             + " error="
                             + e.getMessage(),
                     e);
@@ -96,8 +98,9 @@
     }
 
     /**
-     * Reloads the files if one of them has changed. If a file can't be loaded, the previous
-     * credentials stay in use, and the reload is repeated when a file changes again.
+     * Reloads the files if one of them has changed. If the certificate or its key can't be loaded,
+     * all previous credentials stay in use; if only the client CA can't be loaded, the previous CA
+     * does. The reload is repeated when a file changes again.
      */
     void reloadIfChanged() {
         try {
@@ -107,12 +110,18 @@
             }
             modificationTimes = currentTimes;
             loadFiles();
-            LOG.info("certificate reloaded: file={}", files.certificate());
+            LOG.info(
+                    "TLS files reloaded: certificate={} key={} clientCa={}",
+                    files.certificate(),
+                    files.key(),
+                    files.clientCa().orElse(null));
         } catch (IOException | GeneralSecurityException | RuntimeException e) {
             LOG.error(
-                    "certificate reload failed, previous one kept: certificate={} key={} error={}",
+                    "reload of TLS files failed, previous credentials kept: certificate={} key={} clientCa={}"
+                            + " error={}",
                     files.certificate(),
                     files.key(),
+                    files.clientCa().orElse(null),
                     e.getMessage());
         }
     }
--- a/src/main/java/io/kelphoist/trace/JobTracer.java
+++ b/src/main/java/io/kelphoist/trace/JobTracer.java
@@ -198,7 +198,7 @@
                 .startSpan();
     }
 
-    /** Exports the spans that are still queued, for at most {@link #CLOSE_TIMEOUT_SECONDS}. */
+    /** Exports the spans that are still queued, for at most {@value #CLOSE_TIMEOUT_SECONDS} s. */
     @Override
     public void close() {
         provider.shutdown().join(CLOSE_TIMEOUT_SECONDS, TimeUnit.SECONDS);
--- a/src/main/java/io/kelphoist/trace/SpanProcessors.java
+++ b/src/main/java/io/kelphoist/trace/SpanProcessors.java
@@ -6,7 +6,7 @@
 import io.opentelemetry.sdk.trace.export.BatchSpanProcessor;
 import io.opentelemetry.sdk.trace.export.SimpleSpanProcessor;
 
-/** Creates the span processor that the operator's settings select. */
+/** Creates the span processor that the operators' settings select. */
 public final class SpanProcessors {
     /** The maximum number of ended spans that are queued for export; further spans are dropped. */
     private static final int MAX_QUEUED_SPANS = 2048;
--- a/src/test/java/io/kelphoist/contract/CursorContractTest.java
+++ b/src/test/java/io/kelphoist/contract/CursorContractTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * The encoding of cursors with fixed keys. Guards against a change that makes cursors unreadable
- * that clients keep while controllers are upgraded to another version.
+ * The encoding of cursors with fixed keys. Guards against a change after which controllers can't
+ * read the cursors that clients keep while controllers are upgraded to another version.
  */
 class CursorContractTest {
     private static final CursorSigner.Key FIRST_KEY =
--- a/src/test/java/io/kelphoist/contract/StoredRecordsContractTest.java
+++ b/src/test/java/io/kelphoist/contract/StoredRecordsContractTest.java
@@ -170,6 +170,7 @@
             assertEquals(JobStatus.DONE, decoded.status());
         }
 
+        /** The decoded job depends on an id with 31 digits, one too many for a job to exist. */
         @Test
         void jobWithUnreadableDependenciesNeverStarts() throws MalformedMessageException {
             // given
--- a/src/test/java/io/kelphoist/controller/GrpcTlsTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcTlsTest.java
@@ -274,6 +274,10 @@
         assertTrue(output.contains(expected), output);
     }
 
+    /**
+     * Each of the users' commands runs against a controller. The exit code is 1 if the command
+     * fails and 2 if a required option is missing, and errors name what is wrong.
+     */
     @Test
     void userCommandsWork() throws Exception {
         Path file =
@@ -292,16 +296,19 @@
         assertContains("not found: there is no such job", connectedOutputOf(1, "cancel", "job-6"));
         assertContains(
                 "cursor is damaged", connectedOutputOf(1, "watch", "--cursor", "AAAA", "job-5"));
+        // The option --to is missing.
         outputOf(2, "watch", "job-5");
         Files.writeString(file, "{\"id\": \"job-6\", \"colour\": 1}");
         assertContains("colour", connectedOutputOf(1, "submit", file.toString()));
     }
 
+    /** An error in the operators' settings of gRPC names the field, or the line of the key file. */
     @Test
     void invalidSettingsAreNamed() throws IOException {
         Path file = dir.resolve("wrong");
         Files.writeString(dir.resolve("short"), "1 AAAA\n");
-        // Each row: the settings of grpc, and the field that the message must name.
+        // Each row: the settings of grpc, and a part of the message that names the field or the
+        // line.
         for (String[] invalid :
                 new String[][] {
                     {"listen: \"nowhere\"", "grpc.listen"},
