--- a/src/main/java/io/kelphoist/archive/ClassArchiveTraining.java
+++ b/src/main/java/io/kelphoist/archive/ClassArchiveTraining.java
@@ -110,18 +110,18 @@
             int term)
             throws IOException, InterruptedException {
         for (int round = 0; round < ROUNDS; round++) {
-            call(userAddress + "/healthz", null, false);
+            call(userAddress + "/healthz", null, /* isJson= */ false);
             submitJob(userAddress, term, round);
-            call(userAddress + "/work/job-1", null, false);
-            call(userAddress + "/work/job-" + term + "1", null, false);
-            call(userAddress + "/work/job-999", null, false);
+            call(userAddress + "/work/job-1", null, /* isJson= */ false);
+            call(userAddress + "/work/job-" + term + "1", null, /* isJson= */ false);
+            call(userAddress + "/work/job-999", null, /* isJson= */ false);
             sendHeartbeats(userAddress, peerAddress, trainingServer);
-            call(peerAddress + "/peer/grant", grantRequest(round), true);
+            call(peerAddress + "/peer/grant", grantRequest(round), /* isJson= */ true);
             if (round == ROUNDS - 2) {
                 call(
                         userAddress + "/work/job-" + term + "5/cancel",
                         MessageEncoding.newObject(),
-                        false);
+                        /* isJson= */ false);
             }
             Thread.sleep(ROUND_MILLIS);
         }
@@ -132,11 +132,11 @@
             String userAddress, String peerAddress, ClassArchiveTrainingServer trainingServer)
             throws IOException {
         for (ObjectNode heartbeat : trainingServer.nextHeartbeats()) {
-            ObjectNode response = call(userAddress + "/v1/report", heartbeat, false);
+            ObjectNode response = call(userAddress + "/v1/report", heartbeat, /* isJson= */ false);
             if (response != null) {
                 trainingServer.onResponse(heartbeat, response);
             }
-            call(peerAddress + "/peer/report", heartbeat, true);
+            call(peerAddress + "/peer/report", heartbeat, /* isJson= */ true);
         }
     }
 
@@ -198,13 +198,19 @@
                     default -> null;
                 };
         if (job != null) {
-            call(userAddress + "/work", ClassArchiveTrainingServer.parseJson(job), false);
+            call(
+                    userAddress + "/work",
+                    ClassArchiveTrainingServer.parseJson(job),
+                    /* isJson= */ false);
         }
     }
 
     /**
-     * Sends a request and decodes the response. Returns null if the request or the response has no
-     * body, or the status is an error.
+     * Sends a request and decodes the response.
+     *
+     * @param body null for a GET request
+     * @param isJson whether the messages are JSON; otherwise they are CBOR
+     * @return null if the request or the response has no body, or the status is an error
      */
     private static ObjectNode call(String address, ObjectNode body, boolean isJson)
             throws IOException {
--- a/src/main/java/io/kelphoist/controller/JobEventFeed.java
+++ b/src/main/java/io/kelphoist/controller/JobEventFeed.java
@@ -26,6 +26,7 @@
  * otherwise.
  */
 final class JobEventFeed {
+    /** How long the state store may hold a request for changes of jobs. */
     private static final int WATCH_HOLD_MILLIS = 1000;
 
     private final EventThread eventThread;
--- a/src/main/java/io/kelphoist/events/CursorSigner.java
+++ b/src/main/java/io/kelphoist/events/CursorSigner.java
@@ -26,7 +26,7 @@
     private static final int HEADER_BYTES = 2;
     private static final int MAC_BYTES = 16;
     private static final int MAX_CURSOR_BYTES = 256;
-    private static final int USUAL_CURSOR_BYTES = 80;
+    private static final int INITIAL_BUFFER_BYTES = 80;
 
     /**
      * A secret key and the id by which cursors refer to it. Only the lowest 8 bits of the id are
@@ -68,7 +68,7 @@
     /** Encodes and signs a cursor. */
     public byte[] encode(Cursor cursor) {
         Key key = keys.get(0);
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream(USUAL_CURSOR_BYTES);
+        ByteArrayOutputStream bytes = new ByteArrayOutputStream(INITIAL_BUFFER_BYTES);
         try (DataOutputStream out = new DataOutputStream(bytes)) {
             out.writeByte(VERSION);
             out.writeByte(key.id());
--- a/src/test/java/io/kelphoist/events/EventBrokerSimulationTest.java
+++ b/src/test/java/io/kelphoist/events/EventBrokerSimulationTest.java
@@ -27,6 +27,9 @@
     @Test
     void subscriberReceivesTheEventsOfAScriptedRun() {
         EventBrokerSimulation simulation = new EventBrokerSimulation();
+        // Four clients connect, four jobs are accepted, a task starts and two jobs are done; the
+        // controllers apply the changes, and one client reads in between. The numbers are explained
+        // at EventBrokerSimulation.step.
         for (int step :
                 new int[] {
                     11, 27, 43, 59, 0, 16, 0, 8, 24, 40, 5, 10, 12 + 64, 2, 8, 2 + 48, 8, 12 + 64
