--- a/src/main/java/io/kelphoist/admission/JobLookup.java
+++ b/src/main/java/io/kelphoist/admission/JobLookup.java
@@ -229,7 +229,7 @@
             }
             return new JobReadResult.Present(record);
         } catch (MalformedMessageException e) {
-            LOG.error("malformed record of a job: job={} error={}", jobId, e.getMessage());
+            LOG.error("malformed job record: job={} error={}", jobId, e.getMessage());
             return new JobReadResult.Undecodable();
         }
     }
--- a/src/main/java/io/kelphoist/admission/JobRecordCache.java
+++ b/src/main/java/io/kelphoist/admission/JobRecordCache.java
@@ -275,7 +275,7 @@
                 records.put(jobId, record);
             }
         } catch (MalformedMessageException e) {
-            LOG.error("malformed record of a job: job={} error={}", jobId, e.getMessage());
+            LOG.error("malformed job record: job={} error={}", jobId, e.getMessage());
         }
     }
 
--- a/src/main/java/io/kelphoist/admission/SubmissionHandler.java
+++ b/src/main/java/io/kelphoist/admission/SubmissionHandler.java
@@ -90,7 +90,7 @@
         queries.respondIfStored(
                 jobId,
                 () -> {
-                    LOG.debug("submission rejected as malformed: job={} error={}", jobId, reason);
+                    LOG.debug("submission rejected as malformed: job={} reason={}", jobId, reason);
                     callback.accept(malformed(reason));
                 },
                 callback);
@@ -170,7 +170,7 @@
             JobRecord stored, double sentAtSeconds, Consumer<AdmissionResult> callback) {
         lookup.onWritten(stored);
         LOG.debug(
-                "job accepted: job={} elapsedMillis={}",
+                "job accepted: job={} durationMillis={}",
                 stored.id(),
                 clocks.wallClockMillis().getAsLong() - stored.timestampMillis());
         // The outcome may have arrived late: another controller may have cancelled the job since,
@@ -225,7 +225,7 @@
         queries.respondIfStored(
                 job.id(),
                 () -> {
-                    LOG.info("job rejected: job={} reason={}", job.id(), rejected.message());
+                    LOG.info("submission rejected: job={} reason={}", job.id(), rejected.message());
                     callback.accept(rejected);
                 },
                 callback);
--- a/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
+++ b/src/main/java/io/kelphoist/cancellation/CancellationWatermark.java
@@ -18,8 +18,8 @@
  *       a cancellation is stored before it is acknowledged to a user.
  *   <li>A {@link ConfirmedCancellations.Statement} from every other controller. Together they
  *       advance the watermark to the time when the oldest of the corresponding requests was sent.
- *       They are needed because the state store may be down, or unreachable only from the leader,
- *       for longer than the time in which a cancelled job's tasks must stop.
+ *       They are needed because the state store may be unavailable, or refuse only the leader's
+ *       requests, for longer than the time in which a cancelled job's tasks must stop.
  * </ul>
  *
  * <p>The caller must immediately apply the cancellations that the leader confirms itself.
--- a/src/main/java/io/kelphoist/cloud/CloudClient.java
+++ b/src/main/java/io/kelphoist/cloud/CloudClient.java
@@ -38,16 +38,16 @@
      */
     private static final double USED_RATE_SHARE = 0.9;
 
-    /** The rate limiter accumulates the permits of at most this time. */
+    /** The rate limiter accumulates the tokens of at most this time. */
     private static final int BURST_SECONDS = 2;
 
     /**
-     * Permits that must be available before a page of the instance list is requested, so that one
-     * is left for scaling.
+     * Rate-limit tokens that must be available before a page of the instance list is requested, so
+     * that one is left for scaling.
      */
     private static final int MIN_PERMITS_FOR_LISTING = 2;
 
-    /** Added to the computed wait for a permit, so that the permit is available at the retry. */
+    /** Added to the computed wait for a rate-limit token, so that it is available at the retry. */
     private static final double RETRY_MARGIN_SECONDS = 0.01;
 
     private final HttpHostClient httpClient;
--- a/src/main/java/io/kelphoist/config/OperatorSettings.java
+++ b/src/main/java/io/kelphoist/config/OperatorSettings.java
@@ -50,7 +50,7 @@
                     /* machineHoldBackoffSeconds= */ 5,
                     /* localityWaitSeconds= */ 3,
                     /* machineHoldSeconds= */ 20,
-                    /* gangHoldSeconds= */ 15,
+                    /* gangReservationSeconds= */ 15,
                     /* headroom= */ 0.05,
                     /* idleSeconds= */ 40,
                     /* leaseDelegation= */ false,
--- a/src/main/java/io/kelphoist/controller/Controller.java
+++ b/src/main/java/io/kelphoist/controller/Controller.java
@@ -145,7 +145,7 @@
     @Override
     public void onTermStarted(long term, long termVersion) {
         MDC.put(TERM_LOG_FIELD, Long.toString(term));
-        LOG.info("elected leader: term={}", term);
+        LOG.info("elected as leader: term={}", term);
         components.observers().onTermStarted(term);
         terms.start(term, termVersion);
     }
--- a/src/main/java/io/kelphoist/controller/JobEventFeed.java
+++ b/src/main/java/io/kelphoist/controller/JobEventFeed.java
@@ -19,8 +19,8 @@
 /**
  * The gRPC server of a controller and the sources of its event broker, which work on the leader and
  * on followers. Stored records come from a watch of the state store ({@link RecordEventPublisher}).
- * Task events come from the term led here ({@link TaskEventPublisher}) or, on a follower, from the
- * leader ({@link LeaderEventPoller}).
+ * Transient events come from the term led here ({@link TaskEventPublisher}) or, on a follower, from
+ * the leader ({@link LeaderEventPoller}).
  *
  * <p>Owns these components and the event thread. Methods run on the event loop unless stated
  * otherwise.
--- a/src/main/java/io/kelphoist/election/Election.java
+++ b/src/main/java/io/kelphoist/election/Election.java
@@ -166,12 +166,12 @@
                 && (nowSeconds < leaseExpiresAtSeconds || receivedGrants.areAllValid(nowSeconds));
     }
 
-    /** Changes the role and calls the actions that belong to the change. */
+    /** Changes the state and calls the actions that belong to the change. */
     private void transitionTo(State next, double nowSeconds) {
         if (state == next) {
             return;
         }
-        LOG.debug("election role changed: from={} to={}", state, next);
+        LOG.debug("election state changed: from={} to={}", state, next);
         State previous = state;
         state = next;
         if (previous == State.LEADER) {
--- a/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
+++ b/src/main/java/io/kelphoist/emulator/EmulatedStateStore.java
@@ -53,8 +53,9 @@
     private ObjectNode heldTransaction;
 
     /**
-     * Rejects all requests except polls for changes, which return no changes; or accepts requests
-     * again. Leases don't expire while the store is unavailable, and are renewed afterwards.
+     * Makes the store unavailable or available again. While it is unavailable, it responds to watch
+     * requests without changes, and to all other requests with the status 503. Leases don't expire
+     * in the meantime, and are renewed afterwards.
      */
     public synchronized void setUnavailable(boolean isUnavailable) {
         unavailable = isUnavailable;
@@ -95,10 +96,12 @@
         notifyAll();
     }
 
-    /** Rejects all requests including waiting polls for changes, or accepts them again. */
-    public synchronized void setUnavailableWithWatches(boolean isUnreachable) {
-        watchesUnavailable = isUnreachable;
-        setUnavailable(isUnreachable);
+    /**
+     * As {@link #setUnavailable}, but watch requests, also waiting ones, get the status 503 too.
+     */
+    public synchronized void setUnavailableWithWatches(boolean isUnavailable) {
+        watchesUnavailable = isUnavailable;
+        setUnavailable(isUnavailable);
     }
 
     /**
--- a/src/main/java/io/kelphoist/events/EventBroker.java
+++ b/src/main/java/io/kelphoist/events/EventBroker.java
@@ -94,7 +94,7 @@
         return delivery.deliveredEvents();
     }
 
-    /** Returns the number of delivered events that reported a job's state, not a single change. */
+    /** Returns the number of current-state events that were delivered. */
     public long mergedEvents() {
         return delivery.mergedEvents();
     }
--- a/src/main/java/io/kelphoist/events/JobEventType.java
+++ b/src/main/java/io/kelphoist/events/JobEventType.java
@@ -14,9 +14,9 @@
     record WaitingForDependencies() implements JobEventType {}
 
     /**
-     * Capacity is reserved for the job, or machines are held for it, but it can't start yet.
+     * Resources are reserved for the job, or machines are held for it, but it can't start yet.
      *
-     * @param machineCount number of machines with reserved capacity; if machines are held, the
+     * @param machineCount number of machines with reserved resources; if machines are held, the
      *     number of tasks that they are held for
      */
     record CapacityReserved(int machineCount) implements JobEventType {}
--- a/src/main/java/io/kelphoist/events/TaskEventLog.java
+++ b/src/main/java/io/kelphoist/events/TaskEventLog.java
@@ -59,7 +59,7 @@
      * @param runningTasks number of the job's tasks that run after the event
      * @param atMillis time of the event in ms since the epoch
      * @return the job event, or empty if the task event is not published: the job has ended, or the
-     *     event repeats the last reservation of capacity
+     *     event repeats the last reservation of resources
      */
     public Optional<TransientEvent> append(
             String jobId, TaskEvent taskEvent, int doneTasks, int runningTasks, long atMillis) {
--- a/src/main/java/io/kelphoist/failover/Failover.java
+++ b/src/main/java/io/kelphoist/failover/Failover.java
@@ -191,7 +191,7 @@
     private void markPassed(PromotionCheck check, String detail, double nowSeconds) {
         if (passTimes.putIfAbsent(check, nowSeconds) == null) {
             LOG.info(
-                    "promotion check passed: term={} check={} afterSeconds={}{}",
+                    "promotion check passed: term={} check={} secondsSinceTermStart={}{}",
                     term,
                     check,
                     roundToHundredths(nowSeconds - startedAtSeconds),
@@ -210,7 +210,7 @@
     public boolean onRecordsLoaded(long oldestRevision, long termRevision, double nowSeconds) {
         if (oldestRevision < termRevision) {
             LOG.error(
-                    "records are older than the term, reading them again: term={} revision={}"
+                    "outdated records loaded, reading them again: term={} oldestRevision={}"
                             + " termRevision={}",
                     term,
                     oldestRevision,
@@ -341,7 +341,7 @@
         markPassed(
                 PromotionCheck.MACHINES, " unresponsiveMachines=" + unresponsiveCount, nowSeconds);
         LOG.info(
-                "failover complete: term={} afterSeconds={} machines={} unresponsiveMachines={}"
+                "failover completed: term={} secondsSinceTermStart={} machines={} unresponsiveMachines={}"
                         + " standby={}",
                 term,
                 roundToHundredths(nowSeconds - startedAtSeconds),
--- a/src/main/java/io/kelphoist/grpc/TlsCredentials.java
+++ b/src/main/java/io/kelphoist/grpc/TlsCredentials.java
@@ -54,11 +54,11 @@
         } catch (GeneralSecurityException | RuntimeException e) {
             throw new IOException(
                     "can't load TLS files, expected a certificate, its key and any client CA in PEM"
-                            + " format: certificate="
+                            + " format: certificateFile="
                             + files.certificate()
-                            + " key="
+                            + " keyFile="
                             + files.key()
-                            + " clientCa="
+                            + " clientCaFile="
                             + files.clientCa().orElse(null)
                             + " error="
                             + e.getMessage(),
@@ -111,14 +111,14 @@
             modificationTimes = currentTimes;
             loadFiles();
             LOG.info(
-                    "TLS files reloaded: certificate={} key={} clientCa={}",
+                    "TLS files reloaded: certificateFile={} keyFile={} clientCaFile={}",
                     files.certificate(),
                     files.key(),
                     files.clientCa().orElse(null));
         } catch (IOException | GeneralSecurityException | RuntimeException e) {
             LOG.error(
-                    "reload of TLS files failed, previous credentials kept: certificate={} key={}"
-                            + " clientCa={} error={}",
+                    "reload of TLS files failed, previous credentials kept: certificateFile={}"
+                            + " keyFile={} clientCaFile={} error={}",
                     files.certificate(),
                     files.key(),
                     files.clientCa().orElse(null),
--- a/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
+++ b/src/main/java/io/kelphoist/leadership/LeadershipAcquisition.java
@@ -63,12 +63,12 @@
     private boolean previousLeaseHandled;
 
     LeadershipAcquisition(
-            String nodeName,
+            String controllerName,
             StateStoreClient stateClient,
             EventLoop eventLoop,
             long leaseMillis,
             Listener listener) {
-        this.controllerName = nodeName;
+        this.controllerName = controllerName;
         this.stateClient = stateClient;
         this.eventLoop = eventLoop;
         this.leaseMillis = leaseMillis;
@@ -195,7 +195,8 @@
         LeaderRecord previous = RecordCodec.decodeLeader(leaderKey);
         if (previous.controllerName().equals(controllerName) && leaderKey.hasLease()) {
             LOG.info(
-                    "revoking the leader lease of a previous process of this controller: term={}",
+                    "leader lease of a previous process of this controller found, revoking it:"
+                            + " term={}",
                     previous.term());
             stateClient.revokeLease(leaderKey.leaseId(), onRevocationEnded);
         }
--- a/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
+++ b/src/main/java/io/kelphoist/leadership/WorkerCommandSender.java
@@ -59,8 +59,8 @@
 
     /**
      * Sends a status request with the fencing token of this term to a machine, which responds with
-     * a heartbeat. Once it has received the token, the machine refuses the commands of earlier
-     * leaders.
+     * a heartbeat. Once it has received that fencing token, the machine refuses the commands of
+     * earlier leaders.
      */
     void requestStatus(Machine machine, long agentEpoch) {
         context.counters().onStatusRequested();
--- a/src/main/java/io/kelphoist/peer/PeerPaths.java
+++ b/src/main/java/io/kelphoist/peer/PeerPaths.java
@@ -8,7 +8,7 @@
     /** A leader hands over leadership: its term has ended. */
     public static final String HANDOVER = "/peer/over";
 
-    /** A follower requests the leader's task events. */
+    /** A follower requests the leader's transient events. */
     public static final String EVENTS = "/peer/events";
 
     /** A follower relays a worker's heartbeat. */
--- a/src/main/java/io/kelphoist/peer/TaskEventCodec.java
+++ b/src/main/java/io/kelphoist/peer/TaskEventCodec.java
@@ -13,12 +13,12 @@
 import java.util.Optional;
 
 /**
- * Encodes and decodes a follower's request for the leader's task events, and the response to it.
+ * Encodes and decodes a follower's request for the leader's transient events, and the response.
  * Event types that this version does not know are decoded as progress.
  */
 public final class TaskEventCodec {
     /**
-     * A request for the leader's task events.
+     * A request for the leader's transient events.
      *
      * @param term the term to which the sequence number belongs
      * @param fromSequence sequence number of the first requested event, which is {@link
@@ -26,7 +26,7 @@
      */
     public record EventsRequest(long term, long fromSequence) {}
 
-    /** An update of the task events of a term. */
+    /** An update of the transient events of a term. */
     public record TermUpdate(long term, TaskEventLog.Update update) {}
 
     private static final String TERM = "term";
@@ -81,7 +81,7 @@
                 : Optional.empty();
     }
 
-    /** Encodes an update of the task events of a term. */
+    /** Encodes an update of the transient events of a term. */
     public static ObjectNode encode(long term, TaskEventLog.Update update) {
         ObjectNode message =
                 MessageEncoding.newObject()
@@ -124,7 +124,7 @@
         }
     }
 
-    /** Decodes an update of task events; missing fields are decoded as empty, false or 0. */
+    /** Decodes an update of transient events; missing fields are decoded as empty, false or 0. */
     public static TaskEventLog.Update decode(JsonNode message) {
         List<TransientEvent> events = new ArrayList<>();
         for (JsonNode node : message.path("events")) {
--- a/src/main/java/io/kelphoist/records/PackedRecords.java
+++ b/src/main/java/io/kelphoist/records/PackedRecords.java
@@ -45,7 +45,7 @@
      */
     private static final double MIN_FREE_FRACTION = 0.25;
 
-    /** Lower bound of the page byte limit, which shrinks when the state store refuses a value. */
+    /** Lower bound of the page byte limit, which shrinks when the state store rejects a value. */
     private static final int MIN_PAGE_BYTE_LIMIT = 256;
 
     private static final int MAX_WRITES_IN_FLIGHT = 4;
@@ -315,7 +315,7 @@
     }
 
     /**
-     * Reduces the byte limit of all pages, because the state store refused a value of this page's
+     * Reduces the byte limit of all pages, because the state store rejected a value of this page's
      * size. The page is written again unless it has at most one entry and so cannot be split.
      */
     private void reducePageByteLimit(RecordPage<E> page) {
@@ -327,7 +327,7 @@
             page.clearDirty();
         }
         LOG.error(
-                "record page refused as too large by the state store: entries={} newPageByteLimit={}",
+                "record page rejected as too large by the state store: entries={} newPageLimitBytes={}",
                 page.entryCount(),
                 pageByteLimit);
     }
--- a/src/main/java/io/kelphoist/records/PageWriteOutcome.java
+++ b/src/main/java/io/kelphoist/records/PageWriteOutcome.java
@@ -6,6 +6,6 @@
     STORED,
     /** The outcome of the write is unknown: the page may be stored or not. */
     UNKNOWN,
-    /** The page is not stored: the state store refuses values of this size. */
+    /** The page is not stored: the state store rejects values of this size. */
     TOO_LARGE
 }
--- a/src/main/java/io/kelphoist/replication/MachineStateReplica.java
+++ b/src/main/java/io/kelphoist/replication/MachineStateReplica.java
@@ -58,7 +58,7 @@
 
     private void transitionTo(State next) {
         if (state != next) {
-            LOG.debug("machine state replica changed state: from={} to={}", state, next);
+            LOG.debug("machine replica state changed: from={} to={}", state, next);
             state = next;
         }
     }
--- a/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
+++ b/src/main/java/io/kelphoist/scheduler/autoscaling/ScaleOutRequests.java
@@ -80,7 +80,8 @@
                         pool.spot(),
                         machineCount);
         LOG.info(
-                "scale-out requested: request={} count={} type={} spot={} zone={}",
+                "scale-out requested: request={} requestedMachines={} machineType={} spot={}"
+                        + " zone={}",
                 request.name(),
                 machineCount,
                 pool.type(),
@@ -124,7 +125,7 @@
     private void onInsufficientCapacity(
             ScaleOutRequest request, int grantedCount, double nowSeconds) {
         LOG.info(
-                "scale-out not fully granted: request={} granted={} requested={}",
+                "scale-out not fully granted: request={} grantedMachines={} requestedMachines={}",
                 request.name(),
                 grantedCount,
                 request.machineCount());
--- a/src/main/java/io/kelphoist/scheduler/cluster/Job.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Job.java
@@ -135,7 +135,9 @@
         return failures;
     }
 
-    /** Measures taken to obtain capacity for it: reservations, machine holds, preemption checks. */
+    /**
+     * Measures taken to obtain resources for it: reservations, machine holds, preemption checks.
+     */
     public CapacityAcquisition capacityAcquisition() {
         return capacityAcquisition;
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/Machine.java
@@ -277,17 +277,17 @@
         return resources;
     }
 
-    /** Capacity that is neither used nor reserved. */
+    /** Free resources: neither used nor reserved. */
     public Resources free() {
         return resources.free();
     }
 
-    /** Capacity that its attempts occupy. */
+    /** Resources that its attempts use. */
     public Resources used() {
         return resources.used();
     }
 
-    /** Free capacity once the attempts that are being stopped have ended. */
+    /** Free resources once the attempts that are being stopped have ended. */
     public Resources freeAfterStops() {
         return attempts.addResourcesOfStopping(resources.free());
     }
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineHold.java
@@ -2,7 +2,7 @@
 
 /**
  * The hold of one machine for a job. While it lasts, the machine is offered to no other job, so
- * that capacity can be freed there for a task that does not fit on any machine yet.
+ * that resources can be freed there for a task that does not fit on any machine yet.
  */
 public final class MachineHold {
     private final Machine machine;
--- a/src/main/java/io/kelphoist/scheduler/cluster/MachineResources.java
+++ b/src/main/java/io/kelphoist/scheduler/cluster/MachineResources.java
@@ -33,7 +33,7 @@
         return reserved;
     }
 
-    /** Capacity that is neither used nor reserved. */
+    /** Free resources: neither used nor reserved. */
     Resources free() {
         return free;
     }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatApplier.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatApplier.java
@@ -60,7 +60,7 @@
         if (machine.state() == Machine.State.BOOTING) {
             bootTimeEstimator.onBooted(machine, nowSeconds);
             LOG.info(
-                    "machine up: machine={} type={} zone={} spot={} bootSeconds={}",
+                    "machine up: machine={} machineType={} zone={} spot={} bootSeconds={}",
                     machine.name(),
                     machine.type().name(),
                     zones.name(machine.zone()),
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenderResolver.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/HeartbeatSenderResolver.java
@@ -41,7 +41,7 @@
         if (heartbeat.fencingToken() > term) {
             if (!deposed) {
                 LOG.info(
-                        "worker has seen a newer term: machine={} workerTerm={} term={}",
+                        "leader deposed, a worker has seen a newer term: machine={} workerTerm={} term={}",
                         heartbeat.machineName(),
                         heartbeat.fencingToken(),
                         term);
@@ -68,7 +68,7 @@
                         heartbeat.address(),
                         Machine.State.JOINING,
                         nowSeconds);
-        LOG.info("machine adopted from heartbeat: machine={}", machine.name());
+        LOG.info("machine adopted from a heartbeat: machine={}", machine.name());
         machines.add(machine);
         return machine;
     }
--- a/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
+++ b/src/main/java/io/kelphoist/scheduler/heartbeats/TaskAttemptHandler.java
@@ -235,7 +235,7 @@
                 job.failures().failedMachineCount());
         if (job.isSuspectedFaulty() && !wasSuspectedFaulty) {
             LOG.warn(
-                    "job fails on every machine, limiting it to one task or gang at a time: job={}",
+                    "job suspected faulty, limiting it to one task or gang at a time: job={}",
                     job.spec().id());
         }
         drainIfFaulty(machine, nowSeconds);
--- a/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
+++ b/src/main/java/io/kelphoist/scheduler/reachability/WorkerContact.java
@@ -36,7 +36,7 @@
 
     /**
      * A message of the worker contained the fencing token of this term. A message with an older
-     * token was sent before that one, or by a restarted worker.
+     * fencing token was sent before that one, or by a restarted worker.
      */
     private boolean termConfirmed;
 
--- a/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
+++ b/src/main/java/io/kelphoist/scheduler/spi/TaskEvent.java
@@ -9,9 +9,9 @@
     record WaitingForDependencies() implements TaskEvent {}
 
     /**
-     * Capacity was reserved for the job, or machines are held for it, but it cannot start yet.
+     * Resources were reserved for the job, or machines are held for it, but it cannot start yet.
      *
-     * @param machineCount the number of machines with reserved capacity; where machines are held,
+     * @param machineCount the number of machines with reserved resources; where machines are held,
      *     the number of tasks that they are held for
      */
     record CapacityReserved(int machineCount) implements TaskEvent {}
--- a/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
+++ b/src/main/java/io/kelphoist/statestore/RateLimitedReader.java
@@ -65,7 +65,7 @@
     /**
      * Runs a read now or when the rate limit allows it; rejects it at once if it would have to wait
      * longer than {@link #MAX_WAIT_SECONDS}. Reads run in the order of the calls, since a read that
-     * waits has taken its token already.
+     * waits has taken its rate-limit token already.
      */
     private void runWithinLimit(Runnable read, Runnable onRejected) {
         double nowSeconds = loop.nowSeconds();
--- a/src/main/java/io/kelphoist/statestore/StateStoreClient.java
+++ b/src/main/java/io/kelphoist/statestore/StateStoreClient.java
@@ -45,13 +45,13 @@
     /**
      * A request that would have to wait longer than this for the rate limit is rejected. Checked
      * anew at each attempt, so that a request may wait longer in total: a request that waits does
-     * not reserve a token, and others may take it.
+     * not reserve a rate-limit token, and others may take it.
      */
     private static final double MAX_RATE_LIMIT_WAIT_SECONDS = 2.0;
 
     /**
-     * Added to the computed wait of a request that exceeds the rate limit, so that a token is
-     * available when the request is tried again, unless another request has taken it.
+     * Added to the computed wait of a request that exceeds the rate limit, so that a rate-limit
+     * token is available when the request is tried again, unless another request has taken it.
      */
     private static final double RATE_LIMIT_RETRY_MARGIN_SECONDS = 0.005;
 
--- a/src/main/java/io/kelphoist/wire/WorkerCodec.java
+++ b/src/main/java/io/kelphoist/wire/WorkerCodec.java
@@ -177,12 +177,12 @@
     /**
      * Encodes the response to a heartbeat by a controller that is not the leader.
      *
-     * @param leaderNode name of the leader's node; null if the leader is unknown
+     * @param leaderName name of the leading controller; null if it is unknown
      */
-    public static ObjectNode encodeRedirect(String leaderNode) {
+    public static ObjectNode encodeRedirect(String leaderName) {
         ObjectNode message = MessageEncoding.newObject();
-        if (leaderNode != null) {
-            message.put(FieldNames.LEADER, leaderNode);
+        if (leaderName != null) {
+            message.put(FieldNames.LEADER, leaderName);
         }
         return message;
     }
--- a/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
+++ b/src/test/java/io/kelphoist/admission/AdmissionSimulationTest.java
@@ -29,8 +29,8 @@
 
 /**
  * Guards against responses that are older than an earlier response. Users submit, cancel and query
- * jobs through three controllers, while the state store is slow, unreachable for one controller or
- * down for all, or applies transactions late, out of order or without a response. Users of some
+ * jobs through three controllers, while the state store is slow, refuses one controller's requests,
+ * is unavailable, or applies transactions late, out of order or without a response. Users of some
  * jobs query all controllers within milliseconds of a response that the job is accepted or has
  * ended, submit the job again and sometimes cancel it.
  *
--- a/src/test/java/io/kelphoist/cloud/CloudClientTest.java
+++ b/src/test/java/io/kelphoist/cloud/CloudClientTest.java
@@ -48,12 +48,12 @@
         cloud.scaleOut(request, () -> isLeader, this::onResult);
         assertEquals(1, unknownOutcomeCount);
         isLeader = true;
-        // These requests use up the permits of the rate limiter, so that the next one has to wait.
+        // These requests use up the tokens of the rate limiter, so that the next one has to wait.
         for (int i = 0; i < 10; i++) {
             try {
                 cloud.listMachineTypes(list -> {});
             } catch (NullPointerException e) {
-                // The permit was acquired; sending fails, because there is no HTTP client.
+                // The token was acquired; sending fails, because there is no HTTP client.
             }
         }
         cloud.scaleOut(request, () -> isLeader, this::onResult);
--- a/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
+++ b/src/test/java/io/kelphoist/controller/GrpcWatchResumeTest.java
@@ -120,7 +120,7 @@
     }
 
     /**
-     * While the state store is unreachable, a stream reports that it is not current. Afterwards it
+     * While the state store is unavailable, a stream reports that it is not current. Afterwards it
      * sends the events of the outage, and then reports that it is current.
      */
     @Test
--- a/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
+++ b/src/test/java/io/kelphoist/delegation/CancellationWatermarkTest.java
@@ -13,9 +13,9 @@
 /**
  * Guards against tasks of a cancelled job that continue to run because the leader cannot read the
  * cancellation. The state store refuses only the leader's requests, another controller acknowledges
- * a cancellation to a user, and then the state store is down for longer than the cancellation
- * timeout. The simulation checks that the task has stopped in time; these tests check the other
- * effects.
+ * a cancellation to a user, and then the state store is unavailable for longer than the
+ * cancellation timeout. The simulation checks that the task has stopped in time; these tests check
+ * the other effects.
  */
 class CancellationWatermarkTest {
     private static final double LONG_OUTAGE_SECONDS = 70;
@@ -57,7 +57,7 @@
 
     /**
      * The job is cancelled shortly before, at or after the time from which the state store refuses
-     * the leader. A second later the state store is down for all controllers.
+     * the leader. A second later the state store is unavailable.
      */
     @Test
     void cancelledJobStopsWhenTheLeaderIsRefusedAtThatMoment() {
--- a/src/test/java/io/kelphoist/delegation/DelegationTerm.java
+++ b/src/test/java/io/kelphoist/delegation/DelegationTerm.java
@@ -180,7 +180,7 @@
     }
 
     /**
-     * Writes the records that are due. A write takes less than three seconds, and is refused after
+     * Writes the records that are due. A write takes less than three seconds, and is rejected after
      * a later term has begun.
      */
     void storeRecords() {
--- a/src/test/java/io/kelphoist/election/ElectionCounters.java
+++ b/src/test/java/io/kelphoist/election/ElectionCounters.java
@@ -16,7 +16,8 @@
         ACQUISITIONS_WITHOUT_RESPONSE,
         /**
          * A simulation step in which a controller led although it did not hold the leader key or
-         * the state store was down: by its lease, while that was still valid, or by grants alone.
+         * the state store was unavailable: by its lease, while that was still valid, or by grants
+         * alone.
          */
         STEPS_LED_WITHOUT_KEY_OR_STORE
     }
--- a/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
+++ b/src/test/java/io/kelphoist/failover/FailoverSimulationTest.java
@@ -103,8 +103,8 @@
 
     /**
      * The leader changes ten times within two minutes; in two further rounds the state store is
-     * down, so that no new leader can be elected. Jobs are cancelled immediately before each change
-     * and cancelled and queried after it, and copies of heartbeats are delivered to the next
+     * unavailable, so that no new leader can be elected. Jobs are cancelled immediately before each
+     * change and cancelled and queried after it, and copies of heartbeats are delivered to the next
      * leader.
      */
     @ParameterizedTest
--- a/src/test/java/io/kelphoist/failover/SimulatedLeader.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedLeader.java
@@ -264,8 +264,8 @@
     }
 
     /**
-     * Reads changed jobs from the state store, and receives the cancellations that front ends
-     * acknowledged. It receives the latter even while the state store is unreachable.
+     * Reads changed jobs from the state store, and receives the cancellations that the controllers
+     * acknowledged to users, the latter even while the state store is unavailable.
      */
     void readChanges() {
         if (context.nowSeconds() < frozenUntilSeconds || !isLeading() || !recordsLoaded) {
--- a/src/test/java/io/kelphoist/failover/SimulatedTasks.java
+++ b/src/test/java/io/kelphoist/failover/SimulatedTasks.java
@@ -7,7 +7,7 @@
 
 /**
  * The properties of tasks that do not depend on the machine: their names, whether they belong to a
- * gang, their run time and whether they have finished.
+ * gang, their run time and whether they are done.
  *
  * <p>The name of a task consists of its job's id and its index, for example {@code job-3/1}.
  */
