--- a/src/test/java/io/kelphoist/contract/LeadingControllerContractTest.java
+++ b/src/test/java/io/kelphoist/contract/LeadingControllerContractTest.java
@@ -292,7 +292,7 @@
         responses.add(call("POST", address, "/work", encodedGang("job-2", "vision", 0)));
         responses.add(call("POST", address, "/work", encodedGang("job-2", "nobody", 1)));
         responses.add(call("POST", address, "/work", encodedGang("job-2", "vision", 10_000)));
-        // Requests to no job: a method that is not allowed, the health check and an unknown path.
+        // A method that is not allowed, the health check and an unknown path.
         responses.add(call("DELETE", address, "/work/job-000412", null));
         responses.add(call("GET", address, "/healthz", null));
         responses.add(call("GET", address, "/nothing", null));
